--- a/packages/dotterelspur-gateway/src/__tests__/unit/FormationRunner.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FormationRunner.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { createRandom, EndpointOrderKind, FormationEnd, ManualClock, MemberState, OrderReply, type EndpointOrder, type FormationPlan, type Membership } from 'dotterelspur'
+import { createRandom, EndpointOrderKind, FormationOutcome, ManualClock, MemberState, OrderReply, type EndpointOrder, type FormationPlan, type Membership } from 'dotterelspur'
 import { EndpointKeeper } from '../../process/EndpointKeeper.js'
 import { FleetLease, FLEET_LEASE_TIMING } from '../../process/FleetLease.js'
 import { FormationRunner } from '../../process/FormationRunner.js'
@@ -44,7 +44,7 @@
     for (const id of PLAN.members) this.list(id)
   }
 
-  async run (trail = new FormationTrail()): Promise<FormationEnd> {
+  async run (trail = new FormationTrail()): Promise<FormationOutcome> {
     return await this.runner.run(PLAN, trail)
   }
 
@@ -84,7 +84,7 @@
   it('forms a group and waits until the list shows it', async () => {
     const world = new RunnerWorld()
     await world.takeLease()
-    expect(await world.run()).to.equal(FormationEnd.Opened)
+    expect(await world.run()).to.equal(FormationOutcome.Opened)
     await world.runner.untilListedOpen(PLAN)
     expect(world.orders).to.deep.equal(['join w1', 'join w2', 'open w1'])
   })
@@ -105,9 +105,9 @@
     const world = new RunnerWorld()
     await world.takeLease()
     world.ended.add('w2')
-    expect(await world.run()).to.equal(FormationEnd.NotJoined)
+    expect(await world.run()).to.equal(FormationOutcome.NotJoined)
     expect(world.reachability.isUnreachable('w2')).to.equal(true)
-    expect(await world.run()).to.equal(FormationEnd.NotAsListed)
+    expect(await world.run()).to.equal(FormationOutcome.NotAsListed)
     expect(world.orders).to.deep.equal(['join w1', 'join w2'])
   })
 
@@ -116,7 +116,7 @@
     // third of a core, run into their timeout before they are sent, and are sent again. Cause: nothing bounded them.
     const world = new RunnerWorld()
     await world.takeLease()
-    const orders = Array.from({ length: 200 }, () => ({ endpoint: 'w1', order: OPEN, expectedOrders: null }))
+    const orders = Array.from({ length: 200 }, () => ({ endpoint: 'w1', order: OPEN, expectedOrderCount: null }))
     const replies = await world.runner.sendOrders(orders)
     expect(replies).to.have.length(200)
     expect(world.mostAtOnce).to.be.within(2, 20)
@@ -129,8 +129,8 @@
     await world.takeLease()
     world.store.cut()
     for (let passedMs = 0; passedMs < FLEET_LEASE_TIMING.ttlMs; passedMs += 100) await world.step(100)
-    expect(await world.runner.sendOrders([{ endpoint: 'w1', order: OPEN, expectedOrders: null }])).to.deep.equal([OrderReply.Unreachable])
-    expect(await world.run()).to.equal(FormationEnd.NotJoined)
+    expect(await world.runner.sendOrders([{ endpoint: 'w1', order: OPEN, expectedOrderCount: null }])).to.deep.equal([OrderReply.Unreachable])
+    expect(await world.run()).to.equal(FormationOutcome.NotJoined)
     expect(world.orders).to.deep.equal([])
   })
 })
--- a/packages/dotterelspur-gateway/src/process/FormationKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationKeeper.ts
@@ -1,5 +1,5 @@
 import {
-  FormationDecisionKind, FormationEnd, formationKey, EndpointOrderKind, OrderReply, planFormations, sleep, stoppedHeads,
+  FormationDecisionKind, FormationOutcome, formationKey, EndpointOrderKind, OrderReply, planFormations, sleep, stalledHeads,
   type Clock, type EndpointId, type EndpointRecord, type EngineSpec, type FormationDecision, type FormationPlan, type FormingGroup, type ModelId, type ServiceSpec, type Teardown
 } from 'dotterelspur'
 import type { DecisionLog } from './DecisionLog.js'
@@ -114,7 +114,7 @@
     if (!this.parts.knowsAll()) return []
     const models = this.parts.manifest.current?.manifest.services.flatMap(({ engine }) => engine?.models ?? []) ?? []
     const sizes = new Map(models.map(({ model, size }) => [model, size]))
-    return stoppedHeads(this.known.values(), sizes, ({ endpoint }) => !this.reachability.isUnreachable(endpoint))
+    return stalledHeads(this.known.values(), sizes, ({ endpoint }) => !this.reachability.isUnreachable(endpoint))
   }
 
   private tellStopped (): void {
@@ -182,11 +182,11 @@
       forming: [...this.forming].map((plan) => this.formingGroup(plan)),
       models: engine.models,
       demand: this.demandOf(engine),
-      fullSize,
+      peakEndpoints: fullSize,
       loading: this.loads.loading(clock.nowMs()),
       loadAllowance: this.parts.trafficSeen() ? this.loads.allowance(engine, clock.nowMs()) : endpoints.length,
       mayLoadToForm: !this.parts.trafficSeen(),
-      isSettled: clock.nowMs() - this.appearedAtMs >= SETTLED_MS,
+      isFleetStable: clock.nowMs() - this.appearedAtMs >= SETTLED_MS,
       nextFormation: () => this.nextFormation()
     })
     for (const decision of decisions) this.begin(decision, engine)
@@ -255,7 +255,7 @@
     const trail = new FormationTrail()
     const end = await this.runner.run(plan, trail)
     log.write(LogKind.FormationEnded, { group: plan.group, model: plan.model, end, tookMs: Math.round(clock.nowMs() - startedAtMs), steps: trail.steps })
-    if (end === FormationEnd.Opened) await this.runner.untilListedOpen(plan)
+    if (end === FormationOutcome.Opened) await this.runner.untilListedOpen(plan)
     else await sleep(clock, FAILED_PLAN_PAUSE_MS)
     this.forming.delete(plan)
     for (const member of plan.members) this.engaged.delete(member)
@@ -273,7 +273,7 @@
   private async stage (endpoint: EndpointId, model: ModelId, engine: EngineSpec): Promise<void> {
     const spec = engine.models.find((candidate) => candidate.model === model)!
     this.loads.begin(endpoint, spec, this.parts.clock.nowMs())
-    const [reply] = await this.runner.sendOrders([{ endpoint, order: { kind: EndpointOrderKind.Stage, model }, expectedOrders: null }])
+    const [reply] = await this.runner.sendOrders([{ endpoint, order: { kind: EndpointOrderKind.Stage, model }, expectedOrderCount: null }])
     this.parts.log.write(LogKind.HostStaged, { endpoint, model, reply })
     if (reply === OrderReply.Unfit || reply === OrderReply.Elsewhere || reply === OrderReply.Unreachable) this.loads.drop(endpoint)
     if (reply === OrderReply.Unanswered) this.loads.doubt(endpoint, this.parts.clock.nowMs())
--- a/packages/dotterelspur-gateway/src/process/FormationRunner.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationRunner.ts
@@ -1,7 +1,7 @@
 import pLimit from 'p-limit'
 import {
-  FormationEffectKind, FormationEnd, formGroup, isAsPlanned, MemberState, OrderReply, runProcedure, sleep,
-  type AddressedOrder, type Clock, type EffectHandlers, type EndpointId, type EndpointRecord, type FormationEffect, type FormationPlan, type MemberWord
+  FormationEffectKind, FormationOutcome, formGroup, isAsPlanned, MemberState, OrderReply, runProcedure, sleep,
+  type AddressedOrder, type Clock, type EffectHandlers, type EndpointId, type EndpointRecord, type FormationEffect, type FormationPlan, type MemberReport
 } from 'dotterelspur'
 import type { EndpointKeeper } from './EndpointKeeper.js'
 import type { EndpointQuestions } from './EndpointQuestions.js'
@@ -45,10 +45,10 @@
    *
    * @param trail takes what was asked and answered on the way.
    */
-  async run (plan: FormationPlan, trail: FormationTrail): Promise<FormationEnd> {
+  async run (plan: FormationPlan, trail: FormationTrail): Promise<FormationOutcome> {
     const end = await runProcedure(formGroup(plan), this.handlers(trail))
     const heads = plan.former.flatMap(({ head }) => head ?? [])
-    if (end !== FormationEnd.Opened) new Set([...plan.members, ...heads]).forEach((endpoint) => { this.suspectMember(endpoint) })
+    if (end !== FormationOutcome.Opened) new Set([...plan.members, ...heads]).forEach((endpoint) => { this.suspectMember(endpoint) })
     return end
   }
 
@@ -77,10 +77,10 @@
     if (!listed) await Promise.all(plan.members.map(async (member) => await this.askMember(member)))
   }
 
-  private async sendOrder ({ endpoint, order, expectedOrders }: AddressedOrder): Promise<OrderReply> {
+  private async sendOrder ({ endpoint, order, expectedOrderCount }: AddressedOrder): Promise<OrderReply> {
     if (!this.parts.lease.mayOrder()) return OrderReply.Unreachable
     const place = this.placeOf(endpoint)
-    const reply = await this.parts.control.order(place, order, expectedOrders)
+    const reply = await this.parts.control.order(place, order, expectedOrderCount)
     if (reply === OrderReply.Elsewhere) this.noteElsewhere(place)
     return reply
   }
@@ -106,8 +106,8 @@
   }
 
   /** What members say themselves goes before the list until the list has something newer. */
-  private async confirmMembers (plan: FormationPlan, trail: FormationTrail): Promise<ReadonlyMap<EndpointId, MemberWord> | null> {
-    const words = new Map<EndpointId, MemberWord>()
+  private async confirmMembers (plan: FormationPlan, trail: FormationTrail): Promise<ReadonlyMap<EndpointId, MemberReport> | null> {
+    const words = new Map<EndpointId, MemberReport>()
     await Promise.all(plan.members.map(async (member) => {
       const word = await this.askMember(member, trail)
       if (word !== null && isAsPlanned(plan, member, word.membership)) words.set(member, word)
@@ -116,7 +116,7 @@
   }
 
   /** A member's own word, which is kept; null without an answer. */
-  private async askMember (member: EndpointId, trail?: FormationTrail): Promise<MemberWord | null> {
+  private async askMember (member: EndpointId, trail?: FormationTrail): Promise<MemberReport | null> {
     const end = await this.inTurn(async () => await this.parts.questions.report(this.placeOf(member), REPORT_TIMEOUT_MS))
     trail?.noteReport(member, end)
     if (end.kind !== ReportEndKind.Answered) {
--- a/packages/dotterelspur/src/version/formation/FormationDecision.ts
+++ b/packages/dotterelspur/src/version/formation/FormationDecision.ts
@@ -36,7 +36,7 @@
   /** Group time that callers ask for, by model; only the ratios count. */
   readonly demand: ReadonlyMap<ModelId, number>
   /** The most endpoints seen at once: what the target is made of, so that losses are made good from standbys. */
-  readonly fullSize: number
+  readonly peakEndpoints: number
   /** Hosts whose load of a model is under way, and the model. */
   readonly loading: ReadonlyMap<EndpointId, ModelId>
   /** Loads from the weight store that may begin now. */
@@ -44,7 +44,7 @@
   /** Whether a group may be formed of endpoints that must load first, as before the first request. */
   readonly mayLoadToForm: boolean
   /** No endpoint has appeared for a while. */
-  readonly isSettled: boolean
+  readonly isFleetStable: boolean
   /** Gives a formation number above all that any endpoint has seen. */
   readonly nextFormation: () => number
 }
--- a/packages/dotterelspur/src/version/formation/FormationPlanner.ts
+++ b/packages/dotterelspur/src/version/formation/FormationPlanner.ts
@@ -5,8 +5,8 @@
 import { FormationDecisionKind, type FormationDecision, type FormationInput } from './FormationDecision.js'
 import type { FormationPlan, FormerGroup } from './FormationProcedures.js'
 import { formationKey, type FormationView } from './FormationView.js'
-import { giveUpGroups, lenders, lendingDomains, lendingGroups, mayLend } from './Lending.js'
-import { countGroup, filledShare, holders, modelsByNeed, surveyFleet, type PendingFormation } from './PendingFormation.js'
+import { removeServingGroups, lendableMembers, lendingDomains, lendingGroups, mayLend } from './Lending.js'
+import { countGroup, filledShare, hostsWithStaged, modelsBelowTarget, createPendingFormation, type PendingFormation } from './PendingFormation.js'
 import { stageStandbys } from './StandbyStaging.js'
 
 /** Allowed beyond the time that a join should take: lost orders, and the list's own lag. */
@@ -19,7 +19,7 @@
  * A model that has this part of its groups does not spread into fabric domains of other models. Endpoints of one
  * model together can stand in for each other; spread over all domains, each domain keeps a few that make no group.
  */
-const MIXING_FILLED_SHARE = 0.75
+const MAX_MIXING_FILLED_SHARE = 0.75
 
 /**
  * Decides what to form and stage. Pure: the same input gives the same decisions. The model that is furthest
@@ -27,7 +27,7 @@
  * staged for the next one.
  */
 export function planFormations (input: FormationInput): FormationDecision[] {
-  const pending = surveyFleet(input)
+  const pending = createPendingFormation(input)
   formGroups(pending)
   stageStandbys(pending)
   return pending.decisions
@@ -35,7 +35,7 @@
 
 function formGroups (pending: PendingFormation): void {
   for (;;) {
-    const choice = modelsByNeed(pending).map((spec) => chooseMembers(pending, spec) ?? chooseWithLent(pending, spec)).find((found) => found !== null)
+    const choice = modelsBelowTarget(pending).map((spec) => chooseMembers(pending, spec) ?? chooseWithLentMembers(pending, spec)).find((found) => found !== null)
     if (choice === undefined || choice === null) return
     commitGroup(pending, choice)
   }
@@ -47,7 +47,7 @@
   readonly members: readonly EndpointRecord[]
   readonly loads: number
   /** Groups of other models in the domain. */
-  readonly foreign: number
+  readonly otherModelGroups: number
 }
 
 /** The fabric domain that can form the model with the fewest loads, the fewest other models, the most to spare. */
@@ -57,17 +57,17 @@
     .map(([domain, endpoints]) => chooseInDomain(pending, spec, domain, endpoints))
     .filter((choice) => isAllowed(pending, choice))
   const spare = ({ domain }: MemberChoice): number => pending.free.get(domain)!.length
-  choices.sort((left, right) => left.loads - right.loads || left.foreign - right.foreign || spare(right) - spare(left))
+  choices.sort((left, right) => left.loads - right.loads || left.otherModelGroups - right.otherModelGroups || spare(right) - spare(left))
   return choices[0] ?? null
 }
 
 /** Hosts that hold the model, some of them in groups of models that are better off; see Lending. */
-function chooseWithLent (pending: PendingFormation, spec: ModelSpec): MemberChoice | null {
+function chooseWithLentMembers (pending: PendingFormation, spec: ModelSpec): MemberChoice | null {
   for (const domain of lendingDomains(pending)) {
-    const free = holders(pending.free.get(domain) ?? [], spec.model)
-    const lent = holders(lenders(pending, domain, spec), spec.model)
+    const free = hostsWithStaged(pending.free.get(domain) ?? [], spec.model)
+    const lent = hostsWithStaged(lendableMembers(pending, domain, spec), spec.model)
     const members = [...free, ...lent].slice(0, spec.size)
-    if (members.length === spec.size && mayLend(pending, spec, members, new Map(), 0)) return { spec, domain, members, loads: 0, foreign: 0 }
+    if (members.length === spec.size && mayLend(pending, spec, members, new Map(), 0)) return { spec, domain, members, loads: 0, otherModelGroups: 0 }
   }
   return null
 }
@@ -75,15 +75,15 @@
 function chooseInDomain (pending: PendingFormation, spec: ModelSpec, domain: FabricDomainId, endpoints: readonly EndpointRecord[]): MemberChoice {
   const members = [...endpoints].sort((left, right) => preference(left, spec.model) - preference(right, spec.model)).slice(0, spec.size)
   const loads = members.filter(({ staged }) => !staged.includes(spec.model)).length
-  const foreign = [...pending.groupsByDomain.get(domain) ?? []].reduce((sum, [model, groups]) => model === spec.model ? sum : sum + groups, 0)
-  return { spec, domain, members, loads, foreign }
+  const otherModelGroups = [...pending.groupsByDomain.get(domain) ?? []].reduce((sum, [model, groups]) => model === spec.model ? sum : sum + groups, 0)
+  return { spec, domain, members, loads, otherModelGroups }
 }
 
 /** Without a load a group is formed wherever it can be; with loads only before callers come, and not anywhere. */
-function isAllowed (pending: PendingFormation, { spec, loads, foreign }: MemberChoice): boolean {
+function isAllowed (pending: PendingFormation, { spec, loads, otherModelGroups }: MemberChoice): boolean {
   if (loads === 0) return true
   if (!pending.input.mayLoadToForm || loads > pending.loadAllowance) return false
-  return foreign === 0 || filledShare(pending, spec) < MIXING_FILLED_SHARE
+  return otherModelGroups === 0 || filledShare(pending, spec) < MAX_MIXING_FILLED_SHARE
 }
 
 /** Lower is better: a member of a lost group of this model joins in 0.2 s, a staged one without a load. */
@@ -96,7 +96,7 @@
 function commitGroup (pending: PendingFormation, { spec, domain, members, loads }: MemberChoice): void {
   const taken = new Set(members)
   pending.free.set(domain, (pending.free.get(domain) ?? []).filter((endpoint) => !taken.has(endpoint)))
-  giveUpGroups(pending, lendingGroups(pending, members))
+  removeServingGroups(pending, lendingGroups(pending, members))
   countGroup(pending, domain, spec.model)
   pending.loadAllowance -= loads
   const formation = pending.input.nextFormation()
@@ -122,13 +122,13 @@
       formation: view.formation,
       head: listed ?? input.unlistedHeads.get(formationKey(view.group, view.formation)) ?? null,
       taken: view.members.map(({ endpoint }) => endpoint).filter((endpoint) => wanted.has(endpoint)),
-      closeMode: isWhole(pending, view) ? CloseMode.Wait : CloseMode.BreakOff
+      closeMode: isComplete(pending, view) ? CloseMode.Wait : CloseMode.BreakOff
     }
   })
 }
 
 /** Whether the group still makes progress: then its requests are worth waiting for. */
-function isWhole (pending: PendingFormation, view: FormationView): boolean {
+function isComplete (pending: PendingFormation, view: FormationView): boolean {
   const size = pending.input.models.find(({ model }) => model === view.model)?.size
   return view.members.length === size && view.members.every(({ endpoint }) => !pending.input.unreachable.has(endpoint))
 }
--- a/packages/dotterelspur/src/version/formation/FormationProcedures.ts
+++ b/packages/dotterelspur/src/version/formation/FormationProcedures.ts
@@ -40,14 +40,14 @@
 }
 
 /** What a member said of itself when it was asked. */
-export interface MemberWord {
+export interface MemberReport {
   readonly membership: Membership | null
   /** Orders that it has carried out in this life; null where it doesn't count them. */
   readonly orderCount: number | null
 }
 
 /** What the members say themselves; null unless each is where the plan takes it from, see `isAsPlanned`. */
-export interface ConfirmMembersEffect extends Effect<FormationEffectKind.ConfirmMembers, ReadonlyMap<EndpointId, MemberWord> | null> {
+export interface ConfirmMembersEffect extends Effect<FormationEffectKind.ConfirmMembers, ReadonlyMap<EndpointId, MemberReport> | null> {
   readonly kind: FormationEffectKind.ConfirmMembers
   readonly plan: FormationPlan
 }
@@ -56,7 +56,7 @@
   readonly endpoint: EndpointId
   readonly order: EndpointOrder
   /** The endpoint refuses the order as unfit unless it has carried out just this many; null where that doesn't matter. */
-  readonly expectedOrders: number | null
+  readonly expectedOrderCount: number | null
 }
 
 /** Sends orders side by side; the replies come in the same sequence. */
@@ -78,7 +78,7 @@
 
 export type FormationEffect = ConfirmMembersEffect | SendOrdersEffect | AwaitReadyEffect | FormationWaitEffect
 
-export enum FormationEnd {
+export enum FormationOutcome {
   Opened = 'opened',
   /** A member did not answer, or is in another group than the list says. */
   NotAsListed = 'not-as-listed',
@@ -93,15 +93,15 @@
 }
 
 /** Repeats of an order that got no answer. With the order's own timeout this bounds how long a silent endpoint holds up a plan. */
-const ORDER_TRIES = 4
+const MAX_ORDER_ATTEMPTS = 4
 /** Between two questions to a head that is still closing; a pass of its engine is about 50 ms. */
-const CLOSE_POLL_MS = 60
-const CLOSE_POLLS = 40
+const CLOSE_POLL_INTERVAL_MS = 60
+const MAX_CLOSE_POLLS = 40
 /** A head whose own list lags refuses to open for a moment. */
-const OPEN_RETRY_MS = 80
-const OPEN_TRIES = 12
+const OPEN_RETRY_INTERVAL_MS = 80
+const MAX_OPEN_ATTEMPTS = 12
 
-const SETTLED: Readonly<Record<OrderReply, boolean>> = {
+const IS_FINAL_REPLY: Readonly<Record<OrderReply, boolean>> = {
   [OrderReply.Begun]: true,
   [OrderReply.Done]: true,
   [OrderReply.Unfit]: true,
@@ -111,10 +111,10 @@
   [OrderReply.Unanswered]: false
 }
 
-const TAKEN: ReadonlySet<OrderReply> = new Set([OrderReply.Begun, OrderReply.Done])
+const ACCEPTED_REPLIES: ReadonlySet<OrderReply> = new Set([OrderReply.Begun, OrderReply.Done])
 
 /** Replies to a close after which there is nothing to wait for: the head has closed, or whoever answers is not the head. */
-const NOTHING_TO_CLOSE: ReadonlySet<OrderReply> = new Set([OrderReply.Done, OrderReply.Unfit, OrderReply.Outdated, OrderReply.Elsewhere, OrderReply.Unreachable])
+const CLOSE_COMPLETED_REPLIES: ReadonlySet<OrderReply> = new Set([OrderReply.Done, OrderReply.Unfit, OrderReply.Outdated, OrderReply.Elsewhere, OrderReply.Unreachable])
 
 /** Orders that each member has carried out, as far as this plan knows; kept up to date as it is ordered about. */
 type OrderCounts = Map<EndpointId, number | null>
@@ -130,30 +130,30 @@
  * bring a member back after it has left. So a join is taken only by a member that has carried out no other order
  * since it was in no group.
  */
-export function * formGroup (plan: FormationPlan): Procedure<FormationEffect, FormationEnd> {
-  const words = yield * perform<ConfirmMembersEffect>({ kind: FormationEffectKind.ConfirmMembers, plan })
-  if (words === null) return FormationEnd.NotAsListed
-  const counts: OrderCounts = new Map([...words].map(([member, { orderCount }]) => [member, orderCount]))
+export function * formGroup (plan: FormationPlan): Procedure<FormationEffect, FormationOutcome> {
+  const reports = yield * perform<ConfirmMembersEffect>({ kind: FormationEffectKind.ConfirmMembers, plan })
+  if (reports === null) return FormationOutcome.NotAsListed
+  const counts: OrderCounts = new Map([...reports].map(([member, { orderCount }]) => [member, orderCount]))
   for (const former of plan.former) {
-    const released = yield * releaseMembers(former, words, counts)
-    if (!released) return FormationEnd.NotReleased
+    const released = yield * releaseMembers(former, reports, counts)
+    if (!released) return FormationOutcome.NotReleased
   }
   const joined = yield * joinMembers(plan, counts)
-  if (!joined) return FormationEnd.NotJoined
+  if (!joined) return FormationOutcome.NotJoined
   const ready = yield * perform<AwaitReadyEffect>({ kind: FormationEffectKind.AwaitReady, plan })
-  if (!ready) return FormationEnd.NotReady
+  if (!ready) return FormationOutcome.NotReady
   const opened = yield * openHead(plan.members[0]!, plan.group, plan.formation)
-  return opened ? FormationEnd.Opened : FormationEnd.NotOpened
+  return opened ? FormationOutcome.Opened : FormationOutcome.NotOpened
 }
 
 /** Opens a head whose members are all known to be ready. Repeated, since the order or its answer may be lost. */
 function * openHead (head: EndpointId, group: GroupId, formation: number): Procedure<FormationEffect, boolean> {
   const order: EndpointOrder = { kind: EndpointOrderKind.Open, group, formation }
-  for (let tries = 0; tries < OPEN_TRIES; tries++) {
-    const reply = yield * sendOne({ endpoint: head, order, expectedOrders: null })
-    if (TAKEN.has(reply)) return true
+  for (let attempt = 0; attempt < MAX_OPEN_ATTEMPTS; attempt++) {
+    const reply = yield * sendOne({ endpoint: head, order, expectedOrderCount: null })
+    if (ACCEPTED_REPLIES.has(reply)) return true
     if (reply !== OrderReply.Unfit && reply !== OrderReply.Unanswered) return false
-    yield * perform<FormationWaitEffect>({ kind: FormationEffectKind.Wait, durationMs: OPEN_RETRY_MS })
+    yield * perform<FormationWaitEffect>({ kind: FormationEffectKind.Wait, durationMs: OPEN_RETRY_INTERVAL_MS })
   }
   return false
 }
@@ -162,38 +162,38 @@
  * Closes the former head, so that its requests end before its members go, and has each member that is taken leave. The
  * close is for the callers' sake and frees nobody: who answers may not be the head, and a silent one may still be open.
  */
-function * releaseMembers (former: FormerGroup, words: ReadonlyMap<EndpointId, MemberWord>, counts: OrderCounts): Procedure<FormationEffect, boolean> {
+function * releaseMembers (former: FormerGroup, reports: ReadonlyMap<EndpointId, MemberReport>, counts: OrderCounts): Procedure<FormationEffect, boolean> {
   if (former.head !== null) {
     const closed = yield * closeHead(former.head, former)
     if (!closed) return false
-    if (words.get(former.head)?.membership?.state === MemberState.Open) countOrder(counts, former.head)
-    if (!former.taken.includes(former.head)) yield * leaveAll(former, [former.head], counts)
+    if (reports.get(former.head)?.membership?.state === MemberState.Open) incrementOrderCount(counts, former.head)
+    if (!former.taken.includes(former.head)) yield * confirmLeave(former, [former.head], counts)
   }
-  return yield * leaveAll(former, former.taken, counts)
+  return yield * confirmLeave(former, former.taken, counts)
 }
 
 /** False while the head still finishes requests, or says nothing. */
 function * closeHead (head: EndpointId, { group, formation, closeMode }: FormerGroup): Procedure<FormationEffect, boolean> {
   const order: EndpointOrder = { kind: EndpointOrderKind.Close, group, formation, mode: closeMode }
   let unanswered = 0
-  for (let polls = 0; polls < CLOSE_POLLS && unanswered < ORDER_TRIES; polls++) {
-    const reply = yield * sendOne({ endpoint: head, order, expectedOrders: null })
-    if (NOTHING_TO_CLOSE.has(reply)) return true
+  for (let polls = 0; polls < MAX_CLOSE_POLLS && unanswered < MAX_ORDER_ATTEMPTS; polls++) {
+    const reply = yield * sendOne({ endpoint: head, order, expectedOrderCount: null })
+    if (CLOSE_COMPLETED_REPLIES.has(reply)) return true
     if (reply === OrderReply.Unanswered) unanswered += 1
-    if (reply === OrderReply.Begun) yield * perform<FormationWaitEffect>({ kind: FormationEffectKind.Wait, durationMs: CLOSE_POLL_MS })
+    if (reply === OrderReply.Begun) yield * perform<FormationWaitEffect>({ kind: FormationEffectKind.Wait, durationMs: CLOSE_POLL_INTERVAL_MS })
   }
   return false
 }
 
 /** Whether each endpoint has confirmed that it was in the group and has left it. */
-function * leaveAll ({ group, formation }: FormerGroup, endpoints: readonly EndpointId[], counts: OrderCounts): Procedure<FormationEffect, boolean> {
+function * confirmLeave ({ group, formation }: FormerGroup, endpoints: readonly EndpointId[], counts: OrderCounts): Procedure<FormationEffect, boolean> {
   const order: EndpointOrder = { kind: EndpointOrderKind.Leave, group, formation }
-  const replies = yield * sendUntilSettled(endpoints.map((endpoint) => ({ endpoint, order, expectedOrders: null })))
-  endpoints.forEach((endpoint, index) => { if (TAKEN.has(replies[index]!)) countOrder(counts, endpoint) })
-  return replies.every((reply) => TAKEN.has(reply))
+  const replies = yield * sendUntilAnswered(endpoints.map((endpoint) => ({ endpoint, order, expectedOrderCount: null })))
+  endpoints.forEach((endpoint, index) => { if (ACCEPTED_REPLIES.has(replies[index]!)) incrementOrderCount(counts, endpoint) })
+  return replies.every((reply) => ACCEPTED_REPLIES.has(reply))
 }
 
-function countOrder (counts: OrderCounts, endpoint: EndpointId): void {
+function incrementOrderCount (counts: OrderCounts, endpoint: EndpointId): void {
   const count = counts.get(endpoint) ?? null
   if (count !== null) counts.set(endpoint, count + 1)
 }
@@ -204,8 +204,8 @@
  */
 function * joinMembers (plan: FormationPlan, counts: OrderCounts): Procedure<FormationEffect, boolean> {
   const order = joinOrder(plan)
-  const replies = yield * sendUntilSettled(plan.members.map((endpoint) => ({ endpoint, order, expectedOrders: counts.get(endpoint) ?? null })))
-  return replies.every((reply) => TAKEN.has(reply))
+  const replies = yield * sendUntilAnswered(plan.members.map((endpoint) => ({ endpoint, order, expectedOrderCount: counts.get(endpoint) ?? null })))
+  return replies.every((reply) => ACCEPTED_REPLIES.has(reply))
 }
 
 function joinOrder ({ group, formation, model, members }: FormationPlan): EndpointOrder {
@@ -218,13 +218,13 @@
 }
 
 /** Sends again what got no answer: the same order twice has the effect of one. */
-function * sendUntilSettled (orders: readonly AddressedOrder[]): Procedure<FormationEffect, OrderReply[]> {
+function * sendUntilAnswered (orders: readonly AddressedOrder[]): Procedure<FormationEffect, OrderReply[]> {
   const replies = orders.map(() => OrderReply.Unanswered)
-  for (let tries = 0; tries < ORDER_TRIES; tries++) {
-    const open = orders.map((_order, index) => index).filter((index) => !SETTLED[replies[index]!])
-    if (open.length === 0) break
-    const answers = yield * perform<SendOrdersEffect>({ kind: FormationEffectKind.SendOrders, orders: open.map((index) => orders[index]!) })
-    open.forEach((index, position) => { replies[index] = answers[position]! })
+  for (let attempt = 0; attempt < MAX_ORDER_ATTEMPTS; attempt++) {
+    const pendingIndexes = orders.map((_order, index) => index).filter((index) => !IS_FINAL_REPLY[replies[index]!])
+    if (pendingIndexes.length === 0) break
+    const newReplies = yield * perform<SendOrdersEffect>({ kind: FormationEffectKind.SendOrders, orders: pendingIndexes.map((index) => orders[index]!) })
+    pendingIndexes.forEach((index, position) => { replies[index] = newReplies[position]! })
   }
   return replies
 }
--- a/packages/dotterelspur/src/version/formation/FormationView.ts
+++ b/packages/dotterelspur/src/version/formation/FormationView.ts
@@ -30,7 +30,7 @@
 }
 
 /** Arranges endpoints by the formation that they say they belong to; of two that claim one rank, those that can be counted on. */
-export function readFormations (endpoints: Iterable<EndpointRecord>, isSound: MemberCheck): FormationView[] {
+export function groupByFormation (endpoints: Iterable<EndpointRecord>, isAvailable: MemberCheck): FormationView[] {
   const membersByFormation = new Map<string, EndpointRecord[]>()
   for (const endpoint of endpoints) {
     if (endpoint.membership === null) continue
@@ -39,7 +39,7 @@
     if (members === undefined) membersByFormation.set(key, [endpoint])
     else members.push(endpoint)
   }
-  return [...membersByFormation.values()].map((members) => viewFormation(settleClaims(members, isSound)))
+  return [...membersByFormation.values()].map((members) => createFormationView(resolveRankConflicts(members, isAvailable)))
 }
 
 /** Names a formation: a group's name alone may be used again under a higher number. */
@@ -51,12 +51,12 @@
  * Leaves out members that can't be counted on whose rank another one claims: the list shows a member that has died for three
  * heartbeats, also where a later word of its place has become its successor's.
  */
-function settleClaims (members: readonly EndpointRecord[], isSound: MemberCheck): EndpointRecord[] {
-  const claimed = new Set(members.filter(isSound).map(({ membership }) => membership!.rank))
-  return members.filter((member) => isSound(member) || !claimed.has(member.membership!.rank))
+function resolveRankConflicts (members: readonly EndpointRecord[], isAvailable: MemberCheck): EndpointRecord[] {
+  const claimedRanks = new Set(members.filter(isAvailable).map(({ membership }) => membership!.rank))
+  return members.filter((member) => isAvailable(member) || !claimedRanks.has(member.membership!.rank))
 }
 
-function viewFormation (unordered: readonly EndpointRecord[]): FormationView {
+function createFormationView (unordered: readonly EndpointRecord[]): FormationView {
   const members = [...unordered].sort((left, right) => left.membership!.rank - right.membership!.rank)
   const first = members[0]!
   const { group, formation } = first.membership!
@@ -64,10 +64,10 @@
 }
 
 /** `size` is what the model needs. */
-export function judgeFormation (view: FormationView, size: number, isSound: MemberCheck): FormationCondition {
-  const sound = view.members.filter(isSound)
-  if (new Set(sound.map(({ membership }) => membership!.rank)).size < sound.length) return FormationCondition.Contradictory
-  const complete = view.head !== null && view.members.length === size && view.members.every(isSound)
+export function assessFormation (view: FormationView, size: number, isAvailable: MemberCheck): FormationCondition {
+  const available = view.members.filter(isAvailable)
+  if (new Set(available.map(({ membership }) => membership!.rank)).size < available.length) return FormationCondition.Contradictory
+  const complete = view.head !== null && view.members.length === size && view.members.every(isAvailable)
   if (!complete) return FormationCondition.Broken
   const states = view.members.map((member) => member.membership!.state)
   if (states.includes(MemberState.Broken) || states[0] === MemberState.Closing) return FormationCondition.Broken
--- a/packages/dotterelspur/src/version/formation/Lending.ts
+++ b/packages/dotterelspur/src/version/formation/Lending.ts
@@ -10,13 +10,13 @@
  */
 
 /** A group asks for at most this part of its members: beyond it, more that serves is broken up than is gained. */
-const MOST_LENT_SHARE = 0.5
+const MAX_LENT_SHARE = 0.5
 
 /** Groups that a model has gained and lost by what has been decided so far, before it shows in the fleet. */
 export type GroupTally = Map<ModelId, number>
 
 /** Members of groups that serve other models in a fabric domain, those of one group next to each other. */
-export function lenders ({ serving }: PendingFormation, domain: FabricDomainId, { model }: ModelSpec): EndpointRecord[] {
+export function lendableMembers ({ serving }: PendingFormation, domain: FabricDomainId, { model }: ModelSpec): EndpointRecord[] {
   const groups = new Set([...serving.values()].filter((group) => group.domain === domain && group.spec.model !== model))
   return [...groups].flatMap(({ view }) => view.members)
 }
@@ -38,19 +38,19 @@
  * takes long, and 0 when the members are ready to join.
  */
 export function mayLend (pending: PendingFormation, spec: ModelSpec, members: readonly EndpointRecord[], tally: GroupTally, margin: 0 | 1): boolean {
-  const given = lendingGroups(pending, members)
-  if (given.length === 0) return true
+  const givenUp = lendingGroups(pending, members)
+  if (givenUp.length === 0) return true
   const lent = members.filter(({ endpoint }) => pending.serving.has(endpoint)).length
-  if (lent > spec.size * MOST_LENT_SHARE) return false
-  const filledAfter = filledBy(pending, spec, tally, margin)
-  return given.every(({ spec: giving }) => {
-    const lost = given.filter((group) => group.spec === giving).length
-    return filledBy(pending, giving, tally, -lost) >= filledAfter
+  if (lent > spec.size * MAX_LENT_SHARE) return false
+  const filledAfter = filledShareAfter(pending, spec, tally, margin)
+  return givenUp.every(({ spec: givingModel }) => {
+    const lost = givenUp.filter((group) => group.spec === givingModel).length
+    return filledShareAfter(pending, givingModel, tally, -lost) >= filledAfter
   })
 }
 
 /** Takes the given-up groups out of what serves. */
-export function giveUpGroups (pending: PendingFormation, groups: readonly ServingGroup[]): void {
+export function removeServingGroups (pending: PendingFormation, groups: readonly ServingGroup[]): void {
   for (const { view, spec, domain } of groups) {
     for (const { endpoint } of view.members) pending.serving.delete(endpoint)
     pending.counts.set(spec.model, pending.counts.get(spec.model)! - 1)
@@ -62,7 +62,7 @@
   tally.set(model, (tally.get(model) ?? 0) + groups)
 }
 
-function filledBy (pending: PendingFormation, { model }: ModelSpec, tally: GroupTally, change: number): number {
+function filledShareAfter (pending: PendingFormation, { model }: ModelSpec, tally: GroupTally, change: number): number {
   const groups = (pending.counts.get(model) ?? 0) + (tally.get(model) ?? 0) + change
   return groups / pending.targets.get(model)!
 }
--- a/packages/dotterelspur/src/version/formation/PendingFormation.ts
+++ b/packages/dotterelspur/src/version/formation/PendingFormation.ts
@@ -2,7 +2,7 @@
 import type { ModelSpec } from '../manifest/Manifest.js'
 import type { EndpointRecord } from './Endpoint.js'
 import type { FormationDecision, FormationInput } from './FormationDecision.js'
-import { FormationCondition, judgeFormation, readFormations, type FormationView } from './FormationView.js'
+import { FormationCondition, assessFormation, groupByFormation, type FormationView } from './FormationView.js'
 
 /** A group that serves, all of whose members are sound. */
 export interface ServingGroup {
@@ -28,10 +28,10 @@
   readonly decisions: FormationDecision[]
 }
 
-export function surveyFleet (input: FormationInput): PendingFormation {
+export function createPendingFormation (input: FormationInput): PendingFormation {
   const pending: PendingFormation = {
     input,
-    groups: readFormations(input.endpoints, (endpoint) => isSound(input, endpoint)),
+    groups: groupByFormation(input.endpoints, (endpoint) => isAvailable(input, endpoint)),
     free: new Map(),
     serving: new Map(),
     counts: new Map(),
@@ -42,9 +42,9 @@
   }
   for (const { model, fabricDomain } of input.forming) countGroup(pending, fabricDomain, model)
   const occupied = new Set<EndpointId>(input.engaged)
-  for (const view of pending.groups) occupyGroup(pending, view, occupied)
+  for (const view of pending.groups) markOccupied(pending, view, occupied)
   for (const endpoint of input.endpoints) {
-    if (endpoint.fabricDomain === null || occupied.has(endpoint.endpoint) || !isSound(input, endpoint)) continue
+    if (endpoint.fabricDomain === null || occupied.has(endpoint.endpoint) || !isAvailable(input, endpoint)) continue
     const free = pending.free.get(endpoint.fabricDomain)
     if (free === undefined) pending.free.set(endpoint.fabricDomain, [endpoint])
     else free.push(endpoint)
@@ -57,7 +57,7 @@
  * anew instead of being opened: an order to join that is carried out late would take a member from under its open
  * head, and only a join under a higher number makes such an order void.
  */
-function occupyGroup (pending: PendingFormation, view: FormationView, occupied: Set<EndpointId>): void {
+function markOccupied (pending: PendingFormation, view: FormationView, occupied: Set<EndpointId>): void {
   const { input } = pending
   if (view.members.some(({ endpoint }) => input.engaged.has(endpoint))) {
     // One member is being asked, or taken for another group: what becomes of the others depends on that.
@@ -66,7 +66,7 @@
   }
   const spec = input.models.find(({ model }) => model === view.model)
   if (spec === undefined) return
-  const condition = judgeFormation(view, spec.size, (endpoint) => isSound(input, endpoint))
+  const condition = assessFormation(view, spec.size, (endpoint) => isAvailable(input, endpoint))
   if (condition === FormationCondition.Contradictory) {
     for (const { endpoint } of view.members) occupied.add(endpoint)
     return
@@ -80,7 +80,7 @@
   countGroup(pending, group.domain, spec.model)
 }
 
-function isSound (input: FormationInput, endpoint: EndpointRecord): boolean {
+function isAvailable (input: FormationInput, endpoint: EndpointRecord): boolean {
   return !endpoint.leaving && !input.unreachable.has(endpoint.endpoint)
 }
 
@@ -88,9 +88,9 @@
  * Groups wanted of each model: as many as the fleet holds when each model has the same number of groups for its
  * demand, and at least one of each. Losses are made good as far as the endpoints go.
  */
-export function groupTargets ({ models, demand, fullSize }: Pick<FormationInput, 'models' | 'demand' | 'fullSize'>): Map<ModelId, number> {
+export function groupTargets ({ models, demand, peakEndpoints }: Pick<FormationInput, 'models' | 'demand' | 'peakEndpoints'>): Map<ModelId, number> {
   const endpointsPerUnit = models.reduce((sum, { model, size }) => sum + size * (demand.get(model) ?? 0), 0)
-  const units = endpointsPerUnit === 0 ? 0 : fullSize / endpointsPerUnit
+  const units = endpointsPerUnit === 0 ? 0 : peakEndpoints / endpointsPerUnit
   return new Map(models.map(({ model }) => [model, Math.max(1, Math.round(units * (demand.get(model) ?? 0)))]))
 }
 
@@ -106,7 +106,7 @@
 }
 
 /** Furthest below its target first; models that have reached it are left out. */
-export function modelsByNeed (pending: PendingFormation): ModelSpec[] {
+export function modelsBelowTarget (pending: PendingFormation): ModelSpec[] {
   const specs = pending.input.models.filter((spec) => filledShare(pending, spec) < 1)
   return specs.sort((left, right) => filledShare(pending, left) - filledShare(pending, right))
 }
@@ -116,6 +116,6 @@
 }
 
 /** Hosts on which a model is staged. */
-export function holders (endpoints: readonly EndpointRecord[], model: ModelId): EndpointRecord[] {
+export function hostsWithStaged (endpoints: readonly EndpointRecord[], model: ModelId): EndpointRecord[] {
   return endpoints.filter(({ staged }) => staged.includes(model))
 }
--- a/packages/dotterelspur/src/version/formation/StoppedGroups.ts
+++ b/packages/dotterelspur/src/version/formation/StalledGroups.ts
@@ -1,7 +1,7 @@
 import type { EndpointId, ModelId } from '../../process/ids.js'
 import type { EndpointRecord } from './Endpoint.js'
 import { MemberState } from './Endpoint.js'
-import { FormationCondition, judgeFormation, readFormations, type MemberCheck } from './FormationView.js'
+import { FormationCondition, assessFormation, groupByFormation, type MemberCheck } from './FormationView.js'
 
 /**
  * Heads that are listed as open though their group has lost a member: they take requests for seconds and answer none.
@@ -9,10 +9,10 @@
  *
  * @param sizes members that each model needs; a group of a model that is not declared can't be judged.
  */
-export function stoppedHeads (endpoints: Iterable<EndpointRecord>, sizes: ReadonlyMap<ModelId, number>, isSound: MemberCheck): EndpointId[] {
-  return readFormations(endpoints, isSound).flatMap((view) => {
+export function stalledHeads (endpoints: Iterable<EndpointRecord>, sizes: ReadonlyMap<ModelId, number>, isAvailable: MemberCheck): EndpointId[] {
+  return groupByFormation(endpoints, isAvailable).flatMap((view) => {
     const size = view.model === null ? undefined : sizes.get(view.model)
     if (size === undefined || view.head?.membership?.state !== MemberState.Open) return []
-    return judgeFormation(view, size, isSound) === FormationCondition.Broken ? [view.head.endpoint] : []
+    return assessFormation(view, size, isAvailable) === FormationCondition.Broken ? [view.head.endpoint] : []
   })
 }
--- a/packages/dotterelspur/src/version/formation/StandbyStaging.ts
+++ b/packages/dotterelspur/src/version/formation/StandbyStaging.ts
@@ -2,25 +2,25 @@
 import type { ModelSpec } from '../manifest/Manifest.js'
 import type { EndpointRecord } from './Endpoint.js'
 import { FormationDecisionKind } from './FormationDecision.js'
-import { addToTally, lenders, lendingDomains, lendingGroups, mayLend, type GroupTally } from './Lending.js'
-import { filledShare, groupsIn, holders, modelsByNeed, type PendingFormation } from './PendingFormation.js'
+import { addToTally, lendableMembers, lendingDomains, lendingGroups, mayLend, type GroupTally } from './Lending.js'
+import { filledShare, groupsIn, hostsWithStaged, modelsBelowTarget, type PendingFormation } from './PendingFormation.js'
 
 /** Hosts of a model that stay ready for the next loss of its groups in a fabric domain; a second loss there is rarer than a shortage elsewhere. */
 const STANDBYS_PER_DOMAIN = 1
 
 /** A model without any group is not infinitely dear: the next best may be had with one load. */
-const LEAST_FILLED = 0.25
+const MIN_FILLED_SHARE = 0.25
 
 /**
  * How much more a group is worth to a model that is further below its target. Squared, because groups are lost as
  * requests that wait only when a model is well below it: at nine tenths of its groups all its callers are served.
  */
-const NEED_EXPONENT = 2
+const SHORTAGE_EXPONENT = 2
 
 /** A model without groups in a fabric domain may still get some there. */
-const LEAST_GROUPS = 0.1
+const MIN_GROUPS = 0.1
 
-interface Completion {
+interface GroupCompletion {
   readonly spec: ModelSpec
   readonly members: readonly EndpointRecord[]
   /** Time of the weight store, weighed by how well the model is off already. */
@@ -46,7 +46,7 @@
       if (!endpoint.staged.includes(spec.model)) stage(pending, endpoint, spec.model)
     }
   }
-  for (const [domain, endpoints] of pending.free) stageSpares(pending, domain, endpoints.filter((endpoint) => !used.has(endpoint)))
+  for (const [domain, endpoints] of pending.free) stageSpareHosts(pending, domain, endpoints.filter((endpoint) => !used.has(endpoint)))
 }
 
 /**
@@ -55,14 +55,14 @@
  * left empty until the first losses.
  */
 function isStarting ({ input }: PendingFormation): boolean {
-  return input.mayLoadToForm && (!input.isSettled || input.forming.length > 0)
+  return input.mayLoadToForm && (!input.isFleetStable || input.forming.length > 0)
 }
 
 /**
  * Gives the spare hosts of a fabric domain the models of its groups. One that holds a model without a group there can
  * stand in for nobody: in a domain of two large groups whose spare hosts hold the small model, the first loss ends a group.
  */
-function stageSpares (pending: PendingFormation, domain: FabricDomainId, spares: readonly EndpointRecord[]): void {
+function stageSpareHosts (pending: PendingFormation, domain: FabricDomainId, spares: readonly EndpointRecord[]): void {
   const wanted = standbysWanted(pending, domain, spares.length)
   const misplaced = spares.filter((endpoint) => {
     const model = modelOf(pending, endpoint)
@@ -81,9 +81,9 @@
 /** How many standbys each model should have there, so that the next loss of any member is likely to find one. */
 function standbysWanted (pending: PendingFormation, domain: FabricDomainId, count: number): Map<ModelId, number> {
   const wanted = new Map<ModelId, number>()
-  const perLoss = ({ model, size }: ModelSpec): number => ((wanted.get(model) ?? 0) + 1) / ((groupsIn(pending, domain, model) || LEAST_GROUPS) * size)
+  const standbysPerMember = ({ model, size }: ModelSpec): number => ((wanted.get(model) ?? 0) + 1) / ((groupsIn(pending, domain, model) || MIN_GROUPS) * size)
   for (let standby = 0; standby < count; standby++) {
-    const [first] = [...pending.input.models].sort((left, right) => perLoss(left) - perLoss(right))
+    const [first] = [...pending.input.models].sort((left, right) => standbysPerMember(left) - standbysPerMember(right))
     if (first !== undefined) wanted.set(first.model, (wanted.get(first.model) ?? 0) + 1)
   }
   return wanted
@@ -101,21 +101,21 @@
 }
 
 /** The groups that loads could complete, the cheapest first. */
-function completions (pending: PendingFormation): Completion[] {
+function completions (pending: PendingFormation): GroupCompletion[] {
   const domains = new Set([...pending.free.keys(), ...lendingDomains(pending)])
-  const found = [...domains].flatMap((domain) => modelsByNeed(pending).map((spec) => completionIn(pending, domain, spec)))
+  const found = [...domains].flatMap((domain) => modelsBelowTarget(pending).map((spec) => completionIn(pending, domain, spec)))
   return found.filter((completion) => completion !== null).sort((left, right) => left.cost - right.cost)
 }
 
-function completionIn (pending: PendingFormation, domain: FabricDomainId, spec: ModelSpec): Completion | null {
+function completionIn (pending: PendingFormation, domain: FabricDomainId, spec: ModelSpec): GroupCompletion | null {
   const endpoints = pending.free.get(domain) ?? []
-  const lendable = lenders(pending, domain, spec)
-  const have = [...holders(endpoints, spec.model), ...holders(lendable, spec.model)].slice(0, spec.size)
-  const lacking = spec.size - have.length
-  const candidates = [...spareHosts(pending, domain, endpoints), ...lendable].filter((endpoint) => canLoad(pending, endpoint, spec))
-  const loaded = [...candidates].sort((left, right) => Number(isLoading(pending, right)) - Number(isLoading(pending, left))).slice(0, lacking)
-  if (loaded.length < lacking) return null
-  return { spec, members: [...have, ...loaded], cost: lacking * spec.loadMs * Math.max(LEAST_FILLED, filledShare(pending, spec)) ** NEED_EXPONENT }
+  const lendable = lendableMembers(pending, domain, spec)
+  const membersWithModel = [...hostsWithStaged(endpoints, spec.model), ...hostsWithStaged(lendable, spec.model)].slice(0, spec.size)
+  const missing = spec.size - membersWithModel.length
+  const candidates = [...replaceableHosts(pending, domain, endpoints), ...lendable].filter((endpoint) => canLoad(pending, endpoint, spec))
+  const loadTargets = [...candidates].sort((left, right) => Number(isLoading(pending, right)) - Number(isLoading(pending, left))).slice(0, missing)
+  if (loadTargets.length < missing) return null
+  return { spec, members: [...membersWithModel, ...loadTargets], cost: missing * spec.loadMs * Math.max(MIN_FILLED_SHARE, filledShare(pending, spec)) ** SHORTAGE_EXPONENT }
 }
 
 function canLoad ({ input }: PendingFormation, { endpoint, staged }: EndpointRecord, { model }: ModelSpec): boolean {
@@ -127,11 +127,11 @@
 }
 
 /** Hosts whose model may be replaced, empty ones first: those that their domain doesn't need as standbys. */
-function spareHosts (pending: PendingFormation, domain: FabricDomainId, endpoints: readonly EndpointRecord[]): EndpointRecord[] {
+function replaceableHosts (pending: PendingFormation, domain: FabricDomainId, endpoints: readonly EndpointRecord[]): EndpointRecord[] {
   const empty = endpoints.filter(({ staged }) => staged.length === 0)
   const surplus = pending.input.models.flatMap(({ model }) => {
     const kept = groupsIn(pending, domain, model) > 0 ? STANDBYS_PER_DOMAIN : 0
-    return holders(endpoints, model).slice(kept)
+    return hostsWithStaged(endpoints, model).slice(kept)
   })
   return [...empty, ...surplus]
 }
--- a/packages/dotterelspur/src/version/formation/__tests__/unit/FormationPlanner.test.ts
+++ b/packages/dotterelspur/src/version/formation/__tests__/unit/FormationPlanner.test.ts
@@ -6,7 +6,7 @@
 import type { FormationPlan } from '../../FormationProcedures.js'
 import { formationKey } from '../../FormationView.js'
 import { groupTargets } from '../../PendingFormation.js'
-import { stoppedHeads } from '../../StoppedGroups.js'
+import { stalledHeads } from '../../StalledGroups.js'
 import { createEndpoint, createGroup, createInput, LARGE, SMALL } from '../fixtures/endpoints.js'
 
 function plans (decisions: readonly FormationDecision[]): FormationPlan[] {
@@ -37,7 +37,7 @@
 
   it('never takes members from a group that serves', () => {
     const groups = [...createGroup('g', LARGE, MemberState.Open), ...createGroup('h', SMALL, MemberState.Open)]
-    expect(planFormations(createInput(groups, { fullSize: 60 }))).to.deep.equal([])
+    expect(planFormations(createInput(groups, { peakEndpoints: 60 }))).to.deep.equal([])
   })
 
   it('joins the survivors of two broken groups', () => {
@@ -80,7 +80,7 @@
     // Symptom: hosts stand idle with a staged model. Sequence: three of four members survive, no standby is left.
     // Cause: only hosts that had never been in a group were staged anew.
     const survivors = createGroup('g', LARGE, MemberState.Broken).slice(1)
-    const decisions = planFormations(createInput(survivors, { demand: new Map([['large', 1], ['small', 50]]), fullSize: 60 }))
+    const decisions = planFormations(createInput(survivors, { demand: new Map([['large', 1], ['small', 50]]), peakEndpoints: 60 }))
     expect(staged(decisions).map(([, model]) => model)).to.deep.equal(['small', 'small'])
   })
 
@@ -90,7 +90,7 @@
     // their domain, so the first model seemed to lack standbys until the end.
     const empty = [1, 2].map((index) => createEndpoint(`empty-${index}`))
     const forming = [{ model: 'large', fabricDomain: 'a-1' }, { model: 'small', fabricDomain: 'a-1' }, { model: 'small', fabricDomain: 'a-1' }]
-    const decisions = planFormations(createInput(empty, { forming, fullSize: 8 }))
+    const decisions = planFormations(createInput(empty, { forming, peakEndpoints: 8 }))
     expect(staged(decisions).map(([, model]) => model)).to.have.members(['large', 'small'])
   })
 
@@ -99,7 +99,7 @@
     // below its target for a moment; all idle hosts are loaded with it. Cause: standbys counted as idle.
     const group = createGroup('g', LARGE, MemberState.Open)
     const idle = [1, 2, 3].map((index) => createEndpoint(`idle-${index}`, { staged: ['large'] }))
-    const decisions = planFormations(createInput([...group, ...idle], { fullSize: 60, demand: new Map([['large', 1], ['small', 20]]) }))
+    const decisions = planFormations(createInput([...group, ...idle], { peakEndpoints: 60, demand: new Map([['large', 1], ['small', 20]]) }))
     expect(staged(decisions)).to.deep.equal([['idle-2', 'small'], ['idle-3', 'small']])
   })
 
@@ -120,7 +120,7 @@
     // hosts that need three more for a group. Cause: fabric domains were served in the sequence of their names.
     const empty = [1, 2, 3, 4].map((index) => createEndpoint(`empty-${index}`))
     const pair = [createEndpoint('half', { staged: ['small'], fabricDomain: 'a-2' }), createEndpoint('rest', { fabricDomain: 'a-2' })]
-    const decisions = planFormations(createInput([...empty, ...pair], { loadAllowance: 1, fullSize: 60 }))
+    const decisions = planFormations(createInput([...empty, ...pair], { loadAllowance: 1, peakEndpoints: 60 }))
     expect(staged(decisions)).to.deep.equal([['rest', 'small']])
   })
 
@@ -130,7 +130,7 @@
     // small model, of which there is enough. Cause: members were only taken from groups that are broken.
     const survivors = [1, 2, 3].map((index) => createEndpoint(`large-${index}`, { staged: ['large'], model: 'large' }))
     const pairs = ['p', 'q', 'r', 's'].map((name) => createGroup(name, SMALL, MemberState.Open))
-    const wanted = { fullSize: 16 }
+    const wanted = { peakEndpoints: 16 }
 
     it('loads the model onto a host of a model that is better off, which goes on serving', () => {
       const decisions = planFormations(createInput([...survivors, ...pairs.flat()], wanted))
@@ -164,7 +164,7 @@
         ...endpoint, endpoint: `b-${endpoint.endpoint}`, fabricDomain: 'b-1', membership: endpoint.membership === null ? null : { ...endpoint.membership, group: `b-${endpoint.membership.group}` }
       }))
       const both = [...survivors, ...pairs.slice(0, 2).flat(), ...elsewhere.slice(0, 7)]
-      expect(staged(planFormations(createInput(both, { fullSize: 24 }))).filter(([, model]) => model === 'large')).to.have.length(1)
+      expect(staged(planFormations(createInput(both, { peakEndpoints: 24 }))).filter(([, model]) => model === 'large')).to.have.length(1)
     })
   })
 
@@ -175,7 +175,7 @@
     const nearlyLarge = [...[1, 2, 3].map((index) => createEndpoint(`large-${index}`, { staged: ['large'] })), createEndpoint('empty-large')]
     const nearlySmall = [createEndpoint('small', { staged: ['small'] }), createEndpoint('empty-small')].map((endpoint) => ({ ...endpoint, fabricDomain: 'a-2' }))
     const forming = [...Array.from({ length: 14 }, () => 'small'), ...Array.from({ length: 6 }, () => 'large')].map((model) => ({ model, fabricDomain: 'a-3' }))
-    const decisions = planFormations(createInput([...nearlySmall, ...nearlyLarge], { forming, fullSize: 60, loadAllowance: 1 }))
+    const decisions = planFormations(createInput([...nearlySmall, ...nearlyLarge], { forming, peakEndpoints: 60, loadAllowance: 1 }))
     expect(staged(decisions)).to.deep.equal([['empty-large', 'large']])
   })
 
@@ -193,7 +193,7 @@
     const ghost = createEndpoint('ghost', { staged: ['small'], model: 'small', membership: group[0]!.membership })
     const spare = createEndpoint('spare', { staged: ['small'] })
     expect(plans(planFormations(createInput([ghost, ...group, spare])))).to.deep.equal([])
-    expect(stoppedHeads([ghost, ...group, spare], new Map([['small', 2]]), () => true)).to.deep.equal([])
+    expect(stalledHeads([ghost, ...group, spare], new Map([['small', 2]]), () => true)).to.deep.equal([])
   })
 
   it('goes by the members that answer where a dead one claims a rank of theirs', () => {
@@ -201,7 +201,7 @@
     const ghost = createEndpoint('ghost', { staged: ['small'], model: 'small', membership: group[0]!.membership })
     const input = createInput([ghost, ...group], { unreachable: new Set(['ghost']) })
     expect(plans(planFormations(input))).to.deep.equal([])
-    expect(stoppedHeads([ghost, ...group], new Map([['small', 2]]), ({ endpoint }) => endpoint !== 'ghost')).to.deep.equal([])
+    expect(stalledHeads([ghost, ...group], new Map([['small', 2]]), ({ endpoint }) => endpoint !== 'ghost')).to.deep.equal([])
     const halved = createInput([ghost, group[0]!, createEndpoint('spare', { staged: ['small'] })], { unreachable: new Set(['ghost']) })
     expect(plans(planFormations(halved))[0]?.former[0]?.head).to.equal(group[0]!.endpoint)
   })
@@ -214,9 +214,9 @@
 
 describe('groupTargets', () => {
   it('gives each model the same number of groups for its demand, and at least one', () => {
-    const targets = groupTargets({ models: [LARGE, SMALL], demand: new Map([['large', 1], ['small', 2]]), fullSize: 60 })
+    const targets = groupTargets({ models: [LARGE, SMALL], demand: new Map([['large', 1], ['small', 2]]), peakEndpoints: 60 })
     expect(Object.fromEntries(targets)).to.deep.equal({ large: 8, small: 15 })
-    const skewed = groupTargets({ models: [LARGE, SMALL], demand: new Map([['large', 0], ['small', 1]]), fullSize: 60 })
+    const skewed = groupTargets({ models: [LARGE, SMALL], demand: new Map([['large', 0], ['small', 1]]), peakEndpoints: 60 })
     expect(skewed.get('large')).to.equal(1)
   })
 })
--- a/packages/dotterelspur/src/version/formation/__tests__/unit/formGroup.test.ts
+++ b/packages/dotterelspur/src/version/formation/__tests__/unit/formGroup.test.ts
@@ -2,33 +2,33 @@
 import fc from 'fast-check'
 import { createRandom } from '../../../../process/Random.js'
 import { CloseMode, EndpointOrderKind, OrderReply } from '../../EndpointOrder.js'
-import { FormationEffectKind, FormationEnd, formGroup, type AddressedOrder, type FormationPlan } from '../../FormationProcedures.js'
-import { FleetRun, wordsOf } from '../fixtures/FleetRun.js'
-import { Strain, StrainedFleetRun } from '../fixtures/StrainedFleetRun.js'
+import { FormationEffectKind, FormationOutcome, formGroup, type AddressedOrder, type FormationPlan } from '../../FormationProcedures.js'
+import { FleetRun, memberReports } from '../fixtures/FleetRun.js'
+import { FleetFault, FaultyFleetRun } from '../fixtures/FaultyFleetRun.js'
 import { WorkerModel } from '../fixtures/WorkerModel.js'
 
 /** How often a random run must have brought each strain to a formation to say anything about it: once in four runs. */
-const LEAST_MET = 100
+const MIN_ENCOUNTERS = 100
 
 describe('formGroup', () => {
   it('opens after every member has joined and is ready, whatever answers get lost', () => {
     fc.assert(fc.property(fc.integer(), (seed) => {
       const run = new FleetRun(createRandom(seed))
       run.run()
-      expect(run.workers.breaches).to.deep.equal([])
+      expect(run.workers.violations).to.deep.equal([])
     }), { seed: 20261202, numRuns: 400 })
   })
 
   it('takes no member from under an open head, whatever is believed of addresses and heads', () => {
-    const met = new Map<Strain, number>()
+    const met = new Map<FleetFault, number>()
     fc.assert(fc.property(fc.integer(), (seed) => {
-      const run = new StrainedFleetRun(createRandom(seed))
+      const run = new FaultyFleetRun(createRandom(seed))
       run.run()
-      for (const strain of Object.values(Strain)) met.set(strain, (met.get(strain) ?? 0) + run.met[strain])
-      expect(run.workers.breaches).to.deep.equal([])
+      for (const strain of Object.values(FleetFault)) met.set(strain, (met.get(strain) ?? 0) + run.encounters[strain])
+      expect(run.workers.violations).to.deep.equal([])
     }), { seed: 20261203, numRuns: 400 })
     console.log(`    formations met: ${[...met].map(([strain, times]) => `${strain} ${times}`).join(', ')}`)
-    for (const strain of Object.values(Strain)) expect(met.get(strain), strain).to.be.at.least(LEAST_MET)
+    for (const strain of Object.values(FleetFault)) expect(met.get(strain), strain).to.be.at.least(MIN_ENCOUNTERS)
   })
 
   it('opens no head again that has left its formation, whatever is carried out late', () => {
@@ -39,7 +39,7 @@
     for (const seed of [1_162, 6_341, 17_950]) {
       const run = new FleetRun(createRandom(seed))
       run.run()
-      expect(run.workers.breaches, `seed ${seed}`).to.deep.equal([])
+      expect(run.workers.violations, `seed ${seed}`).to.deep.equal([])
     }
   })
 
@@ -63,11 +63,11 @@
         if (addressed.order.kind !== EndpointOrderKind.Leave) return reply
         for (const copy of copies) {
           workers.apply(copy)
-          workers.settle()
+          workers.completeJoins()
         }
         return reply
       })
-      expect(workers.breaches, taken.join()).to.deep.equal([])
+      expect(workers.violations, taken.join()).to.deep.equal([])
     }
   })
 
@@ -77,12 +77,12 @@
     for (const seed of [2_137, 2_843, 5_833, 10_064, 15_485, 16_486, 16_859, 17_950]) {
       const run = new FleetRun(createRandom(seed))
       run.run()
-      expect(run.workers.breaches, `seed ${seed}`).to.deep.equal([])
+      expect(run.workers.violations, `seed ${seed}`).to.deep.equal([])
     }
     for (const seed of [93, 207, 261, 343, 374, 623]) {
-      const run = new StrainedFleetRun(createRandom(seed))
+      const run = new FaultyFleetRun(createRandom(seed))
       run.run()
-      expect(run.workers.breaches, `strained seed ${seed}`).to.deep.equal([])
+      expect(run.workers.violations, `strained seed ${seed}`).to.deep.equal([])
     }
   })
 
@@ -92,7 +92,7 @@
     const plan: FormationPlan = { group: 'new', formation: 9, model: 'small', members: ['w1', 'w2'], joinTimeoutMs: 1_000, former: [] }
     const steps = formGroup(plan)
     expect(steps.next().value).to.deep.equal({ kind: FormationEffectKind.ConfirmMembers, plan })
-    expect(steps.next(null)).to.deep.equal({ done: true, value: FormationEnd.NotAsListed })
+    expect(steps.next(null)).to.deep.equal({ done: true, value: FormationOutcome.NotAsListed })
   })
 
   it('gives a plan up when a head that must close does not answer', () => {
@@ -109,7 +109,7 @@
       orders += 1
       step = steps.next(step.value.kind === FormationEffectKind.SendOrders ? step.value.orders.map(() => OrderReply.Unanswered) : true)
     }
-    expect(step.value).to.equal(FormationEnd.NotReleased)
+    expect(step.value).to.equal(FormationOutcome.NotReleased)
     expect(orders).to.be.at.most(6)
   })
 
@@ -145,7 +145,7 @@
       group: 'g9', formation: 9, model: 'small', members: ['h', 'w2'], joinTimeoutMs: 1_000, former: [{ group: 'g3', formation: 3, head: 'dead', taken: ['h', 'w2'], closeMode: CloseMode.Wait }]
     }
     perform(plan, workers, (order) => order.endpoint === 'dead' ? OrderReply.Elsewhere : workers.apply(order))
-    expect(workers.breaches).to.deep.equal([])
+    expect(workers.violations).to.deep.equal([])
   })
 
   it('takes no member that a late order has brought back to a group whose head is silent', () => {
@@ -163,28 +163,28 @@
       if (addressed.order.kind === EndpointOrderKind.Leave) workers.apply(firstJoinOf(addressed.endpoint, 'g3', 3, ['h', 'w2']))
       return reply
     })
-    expect(workers.breaches).to.deep.equal([])
+    expect(workers.violations).to.deep.equal([])
   })
 })
 
 /** An order to join as it is sent to a member that has carried out no order yet. */
 function firstJoinOf (endpoint: string, group: string, formation: number, members: readonly string[]): AddressedOrder {
-  return { endpoint, order: { kind: EndpointOrderKind.Join, group, formation, model: 'small', members }, expectedOrders: 0 }
+  return { endpoint, order: { kind: EndpointOrderKind.Join, group, formation, model: 'small', members }, expectedOrderCount: 0 }
 }
 
 function formOpenGroup (workers: WorkerModel, group: string, formation: number, members: readonly string[]): void {
   for (const member of members) workers.apply(firstJoinOf(member, group, formation, members))
-  workers.settle()
-  workers.apply({ endpoint: members[0]!, order: { kind: EndpointOrderKind.Open, group, formation }, expectedOrders: null })
+  workers.completeJoins()
+  workers.apply({ endpoint: members[0]!, order: { kind: EndpointOrderKind.Open, group, formation }, expectedOrderCount: null })
 }
 
 /** Carries out a plan, every member of which is where the plan says; orders go by `send`. */
 function perform (plan: FormationPlan, workers: WorkerModel, send: (order: AddressedOrder) => OrderReply): void {
   const steps = formGroup(plan)
   steps.next()
-  let step = steps.next(wordsOf(plan, workers))
+  let step = steps.next(memberReports(plan, workers))
   while (step.done !== true) {
-    workers.settle()
+    workers.completeJoins()
     step = steps.next(step.value.kind === FormationEffectKind.SendOrders ? step.value.orders.map(send) : true)
   }
 }
