--- a/packages/dotterelspur/src/version/formation/Endpoint.ts
+++ b/packages/dotterelspur/src/version/formation/Endpoint.ts
@@ -1,48 +1,48 @@
 import type { EndpointId, FabricDomainId, FailureDomainId, GroupId, ModelId, ServiceId } from '../../process/ids.js'
 
-/** How far an endpoint is with its place in a group, by its own word. */
+/** State of an endpoint's group membership, as the endpoint reports it. */
 export enum MemberState {
-  /** Loads or connects. */
+  /** Loads the model or connects to the other members. */
   Joining = 'joining',
   Ready = 'ready',
-  /** Head only: takes requests. */
+  /** Head only: accepts requests. */
   Open = 'open',
-  /** Head only: finishes what it has. */
+  /** Head only: finishes its running requests and accepts no new ones. */
   Closing = 'closing',
-  /** A member was lost for so long that the group has given up. */
+  /** A member has been lost for so long that the group has given up. */
   Broken = 'broken'
 }
 
 /** An endpoint's place in a group. */
 export interface Membership {
   readonly group: GroupId
-  /** Formation number: a group of the same name under another number is another group. */
+  /** Formation number. The same group name with another number denotes another group. */
   readonly formation: number
-  /** 0 is the head, which takes the group's requests. */
+  /** 0 is the head, which accepts the group's requests. */
   readonly rank: number
   readonly state: MemberState
 }
 
-/** What the list says of one life of an endpoint. Lags by a heartbeat where the endpoint was lost. */
+/** List entry of one incarnation of an endpoint. After the endpoint is lost, the entry lags by a heartbeat. */
 export interface EndpointRecord {
   readonly endpoint: EndpointId
   readonly service: ServiceId
-  /** `ip:port`; another service may have it soon after this endpoint ends. */
+  /** `ip:port`. Another service may reuse it soon after this endpoint terminates. */
   readonly address: string
   readonly failureDomain: FailureDomainId
   /** Null for endpoints that form no groups. */
   readonly fabricDomain: FabricDomainId | null
   readonly slots: number
-  /** It has said that it will stop: it gets no new work. */
+  /** The endpoint has announced that it will terminate, so it gets no new work. */
   readonly leaving: boolean
-  /** Models on its host, from which a join is short. */
+  /** Models staged on its host; joining a group of one of them needs no load from the weight store. */
   readonly staged: readonly ModelId[]
   /** The model of its group. */
   readonly model: ModelId | null
   readonly membership: Membership | null
 }
 
-/** Whether callers' requests may be sent there at all. */
+/** Whether callers' requests may be sent to the endpoint. */
 export function takesRequests (record: EndpointRecord): boolean {
   if (record.leaving) return false
   if (record.fabricDomain === null) return true
--- a/packages/dotterelspur/src/version/formation/EndpointOrder.ts
+++ b/packages/dotterelspur/src/version/formation/EndpointOrder.ts
@@ -8,15 +8,15 @@
   Stage = 'stage'
 }
 
-/** What a head does with its requests when it closes. */
+/** What a closing head does with its running requests. */
 export enum CloseMode {
-  /** It finishes them. */
+  /** Finishes them. */
   Wait = 'wait',
-  /** It breaks them off. */
+  /** Aborts them. */
   BreakOff = 'break-off'
 }
 
-/** What an endpoint can be told to do. Each is idempotent: the same order again changes nothing. */
+/** Orders to an endpoint. Each is idempotent: repeating it changes nothing. */
 export type EndpointOrder =
   | { readonly kind: EndpointOrderKind.Join, readonly group: GroupId, readonly formation: number, readonly model: ModelId, readonly members: readonly EndpointId[] }
   | { readonly kind: EndpointOrderKind.Open, readonly group: GroupId, readonly formation: number }
@@ -24,20 +24,20 @@
   | { readonly kind: EndpointOrderKind.Leave, readonly group: GroupId, readonly formation: number }
   | { readonly kind: EndpointOrderKind.Stage, readonly model: ModelId }
 
-/** What became of an order. */
+/** An endpoint's reply to an order, or why there is none. */
 export enum OrderReply {
-  /** It has begun. */
+  /** The endpoint has begun to carry out the order. */
   Begun = 'begun',
-  /** The state already holds, or it is done. */
+  /** The order is completed, or the endpoint already was in the ordered state. */
   Done = 'done',
-  /** It doesn't fit the endpoint's state. */
+  /** The order does not apply in the endpoint's current state. */
   Unfit = 'unfit',
   /** The endpoint has seen a higher formation number. */
   Outdated = 'outdated',
-  /** Another endpoint has the address, or this one is gone. */
+  /** Another endpoint has the address, or the addressed endpoint has terminated. */
   Elsewhere = 'elsewhere',
-  /** The connection was refused: nothing listens there, and nothing was sent. */
+  /** The connection was refused: nothing listens at the address, and nothing was sent. */
   Unreachable = 'unreachable',
-  /** It may have been accepted, or may be carried out later. */
+  /** No reply arrived. The order may have been accepted, or may still be carried out. */
   Unanswered = 'unanswered'
 }
--- a/packages/dotterelspur/src/version/formation/FormationDecision.ts
+++ b/packages/dotterelspur/src/version/formation/FormationDecision.ts
@@ -6,7 +6,7 @@
 export enum FormationDecisionKind {
   /** Form a group. */
   Form = 'form',
-  /** Put a model on a host, so that a later join is short. */
+  /** Load a model onto a host, so that a later join needs no load from the weight store. */
   Stage = 'stage'
 }
 
@@ -14,37 +14,37 @@
   | { readonly kind: FormationDecisionKind.Form, readonly plan: FormationPlan }
   | { readonly kind: FormationDecisionKind.Stage, readonly endpoint: EndpointId, readonly model: ModelId }
 
-/** A group that a plan under way will add. */
+/** A group that a formation in progress will add. */
 export interface FormingGroup {
   readonly model: ModelId
   readonly fabricDomain: FabricDomainId
 }
 
-/** What one look at the fleet decides from. */
+/** Input of one planning pass over a service's endpoints. */
 export interface FormationInput {
   /** Listed endpoints of one service. */
   readonly endpoints: readonly EndpointRecord[]
-  /** Listed, but they do not answer. */
+  /** Listed endpoints that do not respond. */
   readonly unreachable: ReadonlySet<EndpointId>
-  /** Heads that are not listed any more and still answer, by formation. */
+  /** Heads that are no longer listed but still respond, by formation key. */
   readonly unlistedHeads: ReadonlyMap<string, EndpointId>
-  /** Endpoints that a plan under way needs. */
+  /** Endpoints in use by a formation in progress. */
   readonly engaged: ReadonlySet<EndpointId>
-  /** Groups that plans under way will add. */
+  /** Groups that formations in progress will add. */
   readonly forming: readonly FormingGroup[]
   readonly models: readonly ModelSpec[]
-  /** Group time that callers ask for, by model; only the ratios count. */
+  /** Group time that callers' requests need, by model; only the ratios count. */
   readonly demand: ReadonlyMap<ModelId, number>
-  /** The most endpoints seen at once: what the target is made of, so that losses are made good from standbys. */
+  /** Highest number of endpoints listed at once. Targets derive from it, so that they do not shrink when endpoints are lost. */
   readonly peakEndpoints: number
-  /** Hosts whose load of a model is under way, and the model. */
+  /** Hosts that are loading a model from the weight store, with the model. */
   readonly loading: ReadonlyMap<EndpointId, ModelId>
-  /** Loads from the weight store that may begin now. */
+  /** Number of loads from the weight store that may begin now. */
   readonly loadAllowance: number
-  /** Whether a group may be formed of endpoints that must load first, as before the first request. */
+  /** Whether a group may be formed from endpoints that must load the model first; true before the first request. */
   readonly mayLoadToForm: boolean
-  /** No endpoint has appeared for a while. */
+  /** No endpoint has appeared recently. */
   readonly isFleetStable: boolean
-  /** Gives a formation number above all that any endpoint has seen. */
+  /** Returns a formation number higher than any that an endpoint has received. */
   readonly nextFormation: () => number
 }
--- a/packages/dotterelspur/src/version/formation/FormationPlanner.ts
+++ b/packages/dotterelspur/src/version/formation/FormationPlanner.ts
@@ -9,22 +9,23 @@
 import { countGroup, filledShare, hostsWithStaged, modelsBelowTarget, createPendingFormation, type PendingFormation } from './PendingFormation.js'
 import { stageStandbys } from './StandbyStaging.js'
 
-/** Allowed beyond the time that a join should take: lost orders, and the list's own lag. */
+/** Added to the expected duration of a join, to cover lost orders and the lag of the endpoint list. */
 const JOIN_SLACK_MS = 2_500
 
-/** Loads beyond the weight store's parallel limit take proportionally longer; a join that waits for such a load is given this factor. */
+/** Factor on the join timeout when members must load first: loads beyond the weight store's parallel limit take proportionally longer. */
 const LOAD_TIMEOUT_FACTOR = 3
 
 /**
- * A model that has this part of its groups does not spread into fabric domains of other models. Endpoints of one
- * model together can stand in for each other; spread over all domains, each domain keeps a few that make no group.
+ * A model with at least this share of its target groups is not loaded into fabric domains that hold groups of other
+ * models. Endpoints of one model can replace each other within a fabric domain; if every domain mixed all models, each
+ * would be left with a few endpoints per model, too few for a group.
  */
 const MAX_MIXING_FILLED_SHARE = 0.75
 
 /**
- * Decides what to form and stage. Pure: the same input gives the same decisions. The model that is furthest
- * below its target goes first; where it can be formed without a load, it is. What can't be used for a group yet is
- * staged for the next one.
+ * Decides which groups to form and which models to stage. Pure: the same input gives the same decisions. Models are
+ * served in order of how far they are below their target number of groups, preferring groups that need no load. Endpoints
+ * that cannot be used for a group yet get a model staged for a later one.
  */
 export function planFormations (input: FormationInput): FormationDecision[] {
   const pending = createPendingFormation(input)
@@ -50,7 +51,7 @@
   readonly otherModelGroups: number
 }
 
-/** The fabric domain that can form the model with the fewest loads, the fewest other models, the most to spare. */
+/** Chooses the fabric domain for a group of the model: fewest loads, then fewest groups of other models, then most free endpoints. */
 function chooseMembers (pending: PendingFormation, spec: ModelSpec): MemberChoice | null {
   const choices = [...pending.free]
     .filter(([, endpoints]) => endpoints.length >= spec.size)
@@ -61,7 +62,7 @@
   return choices[0] ?? null
 }
 
-/** Hosts that hold the model, some of them in groups of models that are better off; see Lending. */
+/** Chooses hosts on which the model is staged, including members of serving groups of other models; see Lending. */
 function chooseWithLentMembers (pending: PendingFormation, spec: ModelSpec): MemberChoice | null {
   for (const domain of lendingDomains(pending)) {
     const free = hostsWithStaged(pending.free.get(domain) ?? [], spec.model)
@@ -79,14 +80,14 @@
   return { spec, domain, members, loads, otherModelGroups }
 }
 
-/** Without a load a group is formed wherever it can be; with loads only before callers come, and not anywhere. */
+/** A group that needs loads may be formed only before the first request, and only where `MAX_MIXING_FILLED_SHARE` permits. */
 function isAllowed (pending: PendingFormation, { spec, loads, otherModelGroups }: MemberChoice): boolean {
   if (loads === 0) return true
   if (!pending.input.mayLoadToForm || loads > pending.loadAllowance) return false
   return otherModelGroups === 0 || filledShare(pending, spec) < MAX_MIXING_FILLED_SHARE
 }
 
-/** Lower is better: a member of a lost group of this model joins in 0.2 s, a staged one without a load. */
+/** Lower is better. A former member of a group of this model joins in 0.2 s; one that has the model staged joins without a load. */
 function preference (endpoint: EndpointRecord, model: ModelId): number {
   if (endpoint.model === model && endpoint.staged.includes(model)) return 0
   if (endpoint.staged.includes(model)) return 1
@@ -111,7 +112,7 @@
   pending.decisions.push({ kind: FormationDecisionKind.Form, plan })
 }
 
-/** The groups out of which the members are taken, each with its head where that can still be told to close. */
+/** The groups from which the members are taken, each with its head if that can still be ordered to close. */
 function formerGroups (pending: PendingFormation, members: readonly EndpointRecord[]): FormerGroup[] {
   const { input } = pending
   const wanted = new Set(members.map(({ endpoint }) => endpoint))
@@ -127,7 +128,7 @@
   })
 }
 
-/** Whether the group still makes progress: then its requests are worth waiting for. */
+/** Whether all members are listed and reachable. Such a group still makes progress, so its head can finish its requests before it closes. */
 function isComplete (pending: PendingFormation, view: FormationView): boolean {
   const size = pending.input.models.find(({ model }) => model === view.model)?.size
   return view.members.length === size && view.members.every(({ endpoint }) => !pending.input.unreachable.has(endpoint))
--- a/packages/dotterelspur/src/version/formation/FormationProcedures.ts
+++ b/packages/dotterelspur/src/version/formation/FormationProcedures.ts
@@ -3,18 +3,18 @@
 import { MemberState, type Membership } from './Endpoint.js'
 import { CloseMode, EndpointOrderKind, OrderReply, type EndpointOrder } from './EndpointOrder.js'
 
-/** A former group whose members are needed for a new one. */
+/** A group from which a plan takes members for a new group. */
 export interface FormerGroup {
   readonly group: GroupId
   readonly formation: number
-  /** Its head where it can be reached; null where it is gone for good. */
+  /** Null if the head cannot be reached. */
   readonly head: EndpointId | null
-  /** Members that are wanted for the new group. */
+  /** Members taken for the new group. */
   readonly taken: readonly EndpointId[]
   readonly closeMode: CloseMode
 }
 
-/** A group to be formed. The pair of name and formation is never used for another list of members. */
+/** A group to be formed. A pair of name and formation number is never reused for another list of members. */
 export interface FormationPlan {
   readonly group: GroupId
   readonly formation: number
@@ -22,11 +22,11 @@
   /** Head first. */
   readonly members: readonly EndpointId[]
   readonly former: readonly FormerGroup[]
-  /** How long the joins may take before the plan is given up. */
+  /** Time after which the plan is abandoned if the members are not ready. */
   readonly joinTimeoutMs: number
 }
 
-/** Whether a member is where the plan takes it from: in the former group that names it, or in none. */
+/** Whether a member is in the former group from which the plan takes it, or in no group if the plan names none. */
 export function isAsPlanned (plan: FormationPlan, member: EndpointId, membership: Membership | null): boolean {
   const former = plan.former.find(({ taken }) => taken.includes(member))
   return former?.group === membership?.group && former?.formation === membership?.formation
@@ -39,14 +39,14 @@
   Wait = 'wait'
 }
 
-/** What a member said of itself when it was asked. */
+/** A member's response to a status query. */
 export interface MemberReport {
   readonly membership: Membership | null
-  /** Orders that it has carried out in this life; null where it doesn't count them. */
+  /** Orders that the member has carried out in this incarnation; null if it does not count them. */
   readonly orderCount: number | null
 }
 
-/** What the members say themselves; null unless each is where the plan takes it from, see `isAsPlanned`. */
+/** Queries the members. The result is null unless each is where the plan expects it; see `isAsPlanned`. */
 export interface ConfirmMembersEffect extends Effect<FormationEffectKind.ConfirmMembers, ReadonlyMap<EndpointId, MemberReport> | null> {
   readonly kind: FormationEffectKind.ConfirmMembers
   readonly plan: FormationPlan
@@ -55,17 +55,17 @@
 export interface AddressedOrder {
   readonly endpoint: EndpointId
   readonly order: EndpointOrder
-  /** The endpoint refuses the order as unfit unless it has carried out just this many; null where that doesn't matter. */
+  /** The endpoint rejects the order as unfit unless it has carried out exactly this many orders; null disables the check. */
   readonly expectedOrderCount: number | null
 }
 
-/** Sends orders side by side; the replies come in the same sequence. */
+/** Sends orders in parallel; the replies are in the order of `orders`. */
 export interface SendOrdersEffect extends Effect<FormationEffectKind.SendOrders, readonly OrderReply[]> {
   readonly kind: FormationEffectKind.SendOrders
   readonly orders: readonly AddressedOrder[]
 }
 
-/** Whether every member said that it is ready in this formation before the time was over and none was lost. */
+/** Waits until every member reports that it is ready in this formation; false if a member is lost or the timeout expires. */
 export interface AwaitReadyEffect extends Effect<FormationEffectKind.AwaitReady, boolean> {
   readonly kind: FormationEffectKind.AwaitReady
   readonly plan: FormationPlan
@@ -80,24 +80,24 @@
 
 export enum FormationOutcome {
   Opened = 'opened',
-  /** A member did not answer, or is in another group than the list says. */
+  /** A member did not respond, or is in a different group than listed. */
   NotAsListed = 'not-as-listed',
   /** The head of a former group is still closing, or a member did not confirm that it has left. */
   NotReleased = 'not-released',
-  /** A member did not take its order to join. */
+  /** A member did not accept its order to join. */
   NotJoined = 'not-joined',
-  /** A member was lost, or took too long. */
+  /** A member was lost, or was not ready in time. */
   NotReady = 'not-ready',
   /** The head did not confirm that it opens. */
   NotOpened = 'not-opened'
 }
 
-/** Repeats of an order that got no answer. With the order's own timeout this bounds how long a silent endpoint holds up a plan. */
+/** Attempts per order that gets no reply. With the order's own timeout, this bounds how long an unresponsive endpoint delays a plan. */
 const MAX_ORDER_ATTEMPTS = 4
-/** Between two questions to a head that is still closing; a pass of its engine is about 50 ms. */
+/** Interval at which a closing head is polled; one pass of its engine takes about 50 ms. */
 const CLOSE_POLL_INTERVAL_MS = 60
 const MAX_CLOSE_POLLS = 40
-/** A head whose own list lags refuses to open for a moment. */
+/** A head whose view of the endpoint list lags refuses to open for a short time. */
 const OPEN_RETRY_INTERVAL_MS = 80
 const MAX_OPEN_ATTEMPTS = 12
 
@@ -113,22 +113,23 @@
 
 const ACCEPTED_REPLIES: ReadonlySet<OrderReply> = new Set([OrderReply.Begun, OrderReply.Done])
 
-/** Replies to a close after which there is nothing to wait for: the head has closed, or whoever answers is not the head. */
+/** Replies to a close order after which no further wait is needed: the head has closed, or the endpoint that replied is not the head. */
 const CLOSE_COMPLETED_REPLIES: ReadonlySet<OrderReply> = new Set([OrderReply.Done, OrderReply.Unfit, OrderReply.Outdated, OrderReply.Elsewhere, OrderReply.Unreachable])
 
-/** Orders that each member has carried out, as far as this plan knows; kept up to date as it is ordered about. */
+/** Orders that each member has carried out, according to its report and the orders that it has confirmed since. */
 type OrderCounts = Map<EndpointId, number | null>
 
 /**
- * Forms a group: frees its members, has them join, waits until each has said that it is ready under exactly this
- * formation, and only then opens the head, because heads don't check their members.
+ * Forms a group: releases its members from their former groups, orders them to join, waits until each has reported that it
+ * is ready in exactly this formation, and only then opens the head, because heads do not check their members.
  *
- * The list may be old, as after the store was out: members say themselves where they are before they are taken.
+ * The endpoint list may be outdated, for example after a store outage, so members are queried for their current group
+ * before they are taken.
  *
- * Each member confirms itself that it has left its former group before it joins another; what anybody else says, or
- * that the former head is silent, frees nobody. Orders may be carried out late, also an earlier holder's, and could
- * bring a member back after it has left. So a join is taken only by a member that has carried out no other order
- * since it was in no group.
+ * Each member must itself confirm that it has left its former group before it joins another. Neither a reply of another
+ * endpoint nor the silence of the former head releases a member. Delayed orders, including those of an earlier lease
+ * holder, could bring a member back after it has left. Therefore a join order states the member's order count, and the
+ * member rejects it if it has carried out any other order since it was last confirmed to be in no group.
  */
 export function * formGroup (plan: FormationPlan): Procedure<FormationEffect, FormationOutcome> {
   const reports = yield * perform<ConfirmMembersEffect>({ kind: FormationEffectKind.ConfirmMembers, plan })
@@ -146,7 +147,7 @@
   return opened ? FormationOutcome.Opened : FormationOutcome.NotOpened
 }
 
-/** Opens a head whose members are all known to be ready. Repeated, since the order or its answer may be lost. */
+/** Opens the head after all members have reported that they are ready. Retries, because the order or its reply may be lost. */
 function * openHead (head: EndpointId, group: GroupId, formation: number): Procedure<FormationEffect, boolean> {
   const order: EndpointOrder = { kind: EndpointOrderKind.Open, group, formation }
   for (let attempt = 0; attempt < MAX_OPEN_ATTEMPTS; attempt++) {
@@ -159,8 +160,9 @@
 }
 
 /**
- * Closes the former head, so that its requests end before its members go, and has each member that is taken leave. The
- * close is for the callers' sake and frees nobody: who answers may not be the head, and a silent one may still be open.
+ * Closes the former head, so that its requests complete before its members leave, and orders each taken member to leave.
+ * The close only protects running requests and releases no member: the endpoint that replies may not be the head, and a
+ * head that does not reply may still be open.
  */
 function * releaseMembers (former: FormerGroup, reports: ReadonlyMap<EndpointId, MemberReport>, counts: OrderCounts): Procedure<FormationEffect, boolean> {
   if (former.head !== null) {
@@ -172,7 +174,7 @@
   return yield * confirmLeave(former, former.taken, counts)
 }
 
-/** False while the head still finishes requests, or says nothing. */
+/** Returns false if the head still finishes requests after the last poll, or does not reply. */
 function * closeHead (head: EndpointId, { group, formation, closeMode }: FormerGroup): Procedure<FormationEffect, boolean> {
   const order: EndpointOrder = { kind: EndpointOrderKind.Close, group, formation, mode: closeMode }
   let unanswered = 0
@@ -185,7 +187,7 @@
   return false
 }
 
-/** Whether each endpoint has confirmed that it was in the group and has left it. */
+/** Orders the endpoints to leave; true if each has confirmed that it was in the group and has left it. */
 function * confirmLeave ({ group, formation }: FormerGroup, endpoints: readonly EndpointId[], counts: OrderCounts): Procedure<FormationEffect, boolean> {
   const order: EndpointOrder = { kind: EndpointOrderKind.Leave, group, formation }
   const replies = yield * sendUntilAnswered(endpoints.map((endpoint) => ({ endpoint, order, expectedOrderCount: null })))
@@ -199,8 +201,8 @@
 }
 
 /**
- * A join whose count has passed is refused, so of several copies of it, or of earlier ones, at most one is carried out,
- * and none after the member has been told anything else.
+ * A member rejects a join whose expected order count does not match its own. Of several copies of join orders at most one
+ * is therefore carried out, and none after the member has carried out another order.
  */
 function * joinMembers (plan: FormationPlan, counts: OrderCounts): Procedure<FormationEffect, boolean> {
   const order = joinOrder(plan)
@@ -217,7 +219,7 @@
   return replies[0]!
 }
 
-/** Sends again what got no answer: the same order twice has the effect of one. */
+/** Resends orders that got no reply, up to `MAX_ORDER_ATTEMPTS` attempts. Orders are idempotent, so duplicates are harmless. */
 function * sendUntilAnswered (orders: readonly AddressedOrder[]): Procedure<FormationEffect, OrderReply[]> {
   const replies = orders.map(() => OrderReply.Unanswered)
   for (let attempt = 0; attempt < MAX_ORDER_ATTEMPTS; attempt++) {
--- a/packages/dotterelspur/src/version/formation/FormationView.ts
+++ b/packages/dotterelspur/src/version/formation/FormationView.ts
@@ -2,23 +2,23 @@
 import type { EndpointRecord } from './Endpoint.js'
 import { MemberState } from './Endpoint.js'
 
-/** A group as its members' own words show it. */
+/** A group, reconstructed from the memberships that its members report. */
 export interface FormationView {
   readonly group: GroupId
   readonly formation: number
   readonly model: ModelId | null
-  /** By rank; those that are not listed any more are missing. */
+  /** In rank order; members that are no longer listed are missing. */
   readonly members: readonly EndpointRecord[]
   readonly head: EndpointRecord | null
 }
 
-/** Whether a member can be counted on: listed, reachable as far as is known, and not leaving. */
+/** Whether a member is available: listed, not found unreachable, and not leaving. */
 export type MemberCheck = (endpoint: EndpointRecord) => boolean
 
 export enum FormationCondition {
   /**
-   * Two claim one rank, so one of their places is somebody else's word. Which one is not known yet: that the group is
-   * whole, or that it isn't, can't be concluded.
+   * Two available members claim the same rank, so one of the two records holds another endpoint's membership. Until it is
+   * clear which one, the group can be judged neither complete nor broken.
    */
   Contradictory = 'contradictory',
   /** Complete, and its head takes requests. */
@@ -29,7 +29,7 @@
   Broken = 'broken'
 }
 
-/** Arranges endpoints by the formation that they say they belong to; of two that claim one rank, those that can be counted on. */
+/** Groups endpoints by the formation that they report. Where two claim the same rank, an unavailable one is left out. */
 export function groupByFormation (endpoints: Iterable<EndpointRecord>, isAvailable: MemberCheck): FormationView[] {
   const membersByFormation = new Map<string, EndpointRecord[]>()
   for (const endpoint of endpoints) {
@@ -42,14 +42,14 @@
   return [...membersByFormation.values()].map((members) => createFormationView(resolveRankConflicts(members, isAvailable)))
 }
 
-/** Names a formation: a group's name alone may be used again under a higher number. */
+/** Identifies a formation. The group name alone is not enough: it may be reused under a higher number. */
 export function formationKey (group: GroupId, formation: number): string {
   return `${group}@${formation}`
 }
 
 /**
- * Leaves out members that can't be counted on whose rank another one claims: the list shows a member that has died for three
- * heartbeats, also where a later word of its place has become its successor's.
+ * Removes unavailable members whose rank an available member claims too. A dead member stays listed for three heartbeats,
+ * and its record may meanwhile show the membership of the endpoint that took over its address.
  */
 function resolveRankConflicts (members: readonly EndpointRecord[], isAvailable: MemberCheck): EndpointRecord[] {
   const claimedRanks = new Set(members.filter(isAvailable).map(({ membership }) => membership!.rank))
@@ -63,7 +63,7 @@
   return { group, formation, model: first.model, members, head: first.membership!.rank === 0 ? first : null }
 }
 
-/** `size` is what the model needs. */
+/** @param size number of members that the model needs. */
 export function assessFormation (view: FormationView, size: number, isAvailable: MemberCheck): FormationCondition {
   const available = view.members.filter(isAvailable)
   if (new Set(available.map(({ membership }) => membership!.rank)).size < available.length) return FormationCondition.Contradictory
--- a/packages/dotterelspur/src/version/formation/Lending.ts
+++ b/packages/dotterelspur/src/version/formation/Lending.ts
@@ -4,38 +4,39 @@
 import { groupsIn, type PendingFormation, type ServingGroup } from './PendingFormation.js'
 
 /*
- * A large group that loses a member leaves the others of its fabric domain idle when no standby is left: seven of
- * eight hosts make no group. Groups of a model that is better off can lend the host or two that are missing. The
- * model is loaded onto them while they go on serving, and only then are they taken from their group.
+ * When a large group loses a member and its fabric domain has no standby left, the remaining members are idle: seven of
+ * eight hosts cannot form a group. Groups of a model that is closer to its target can lend the one or two missing hosts.
+ * The model is loaded onto these hosts while they continue to serve; only then do they leave their group.
  */
 
-/** A group asks for at most this part of its members: beyond it, more that serves is broken up than is gained. */
+/** At most this share of a new group's members may be lent; with more, breaking up serving groups costs more than the new group gains. */
 const MAX_LENT_SHARE = 0.5
 
-/** Groups that a model has gained and lost by what has been decided so far, before it shows in the fleet. */
+/** Net change in the number of groups per model by the decisions of this pass. */
 export type GroupTally = Map<ModelId, number>
 
-/** Members of groups that serve other models in a fabric domain, those of one group next to each other. */
+/** Members of groups in a fabric domain that serve other models; members of the same group are adjacent. */
 export function lendableMembers ({ serving }: PendingFormation, domain: FabricDomainId, { model }: ModelSpec): EndpointRecord[] {
   const groups = new Set([...serving.values()].filter((group) => group.domain === domain && group.spec.model !== model))
   return [...groups].flatMap(({ view }) => view.members)
 }
 
-/** Fabric domains in which groups serve. */
+/** Fabric domains that have serving groups. */
 export function lendingDomains ({ serving }: PendingFormation): Set<FabricDomainId> {
   return new Set([...serving.values()].map(({ domain }) => domain))
 }
 
-/** The groups that would be given up. */
+/** The serving groups that these members belong to, which taking the members would break up. */
 export function lendingGroups ({ serving }: PendingFormation, members: readonly EndpointRecord[]): ServingGroup[] {
   const groups = members.map(({ endpoint }) => serving.get(endpoint)).filter((group) => group !== undefined)
   return [...new Set(groups)]
 }
 
 /**
- * Whether a group of `spec` with these members is worth the groups that its members leave: each model that gives
- * stays better off, measured by its target, than the one that gets. `margin` is 1 when a load is begun for it, which
- * takes long, and 0 when the members are ready to join.
+ * Whether a group of `spec` with these members may break up the serving groups that its members belong to: afterwards each
+ * lending model must have at least as large a share of its target groups as the receiving model. `margin` is added to the
+ * receiving model's groups: 1 when a load, which takes long, would be started for the group, and 0 when its members are
+ * ready to join.
  */
 export function mayLend (pending: PendingFormation, spec: ModelSpec, members: readonly EndpointRecord[], tally: GroupTally, margin: 0 | 1): boolean {
   const givenUp = lendingGroups(pending, members)
@@ -49,7 +50,7 @@
   })
 }
 
-/** Takes the given-up groups out of what serves. */
+/** Removes groups that are given up from the serving groups and from the group counts. */
 export function removeServingGroups (pending: PendingFormation, groups: readonly ServingGroup[]): void {
   for (const { view, spec, domain } of groups) {
     for (const { endpoint } of view.members) pending.serving.delete(endpoint)
--- a/packages/dotterelspur/src/version/formation/PendingFormation.ts
+++ b/packages/dotterelspur/src/version/formation/PendingFormation.ts
@@ -4,25 +4,25 @@
 import type { FormationDecision, FormationInput } from './FormationDecision.js'
 import { FormationCondition, assessFormation, groupByFormation, type FormationView } from './FormationView.js'
 
-/** A group that serves, all of whose members are sound. */
+/** A serving group, all of whose members are available. */
 export interface ServingGroup {
   readonly view: FormationView
   readonly spec: ModelSpec
   readonly domain: FabricDomainId
 }
 
-/** One look at the fleet while it is decided on: what is left free, and what has been decided so far. */
+/** Working state of one planning pass: the endpoints that are still free, and the decisions made so far. */
 export interface PendingFormation {
   readonly input: FormationInput
   readonly groups: readonly FormationView[]
-  /** Sound endpoints that no group has. */
+  /** Available endpoints that belong to no group. */
   readonly free: Map<FabricDomainId, EndpointRecord[]>
-  /** The groups that serve, by each of their members. */
+  /** Serving groups, keyed by each of their members. */
   readonly serving: Map<EndpointId, ServingGroup>
-  /** Groups that serve or soon will, by model. */
+  /** Number of groups that serve or are being formed, by model. */
   readonly counts: Map<ModelId, number>
   readonly targets: ReadonlyMap<ModelId, number>
-  /** The same groups, by fabric domain and model. */
+  /** `counts` broken down by fabric domain. */
   readonly groupsByDomain: Map<FabricDomainId, Map<ModelId, number>>
   loadAllowance: number
   readonly decisions: FormationDecision[]
@@ -53,14 +53,14 @@
 }
 
 /**
- * Groups that serve keep their members. A complete one that isn't open, as a former decider may leave it, is formed
- * anew instead of being opened: an order to join that is carried out late would take a member from under its open
- * head, and only a join under a higher number makes such an order void.
+ * Serving groups keep their members. A complete group that is not open, as a former lease holder may leave it, is formed
+ * again under a new number instead of being opened: a delayed join order could otherwise move a member to another group
+ * while the head is open, and only a join with a higher formation number invalidates such an order.
  */
 function markOccupied (pending: PendingFormation, view: FormationView, occupied: Set<EndpointId>): void {
   const { input } = pending
   if (view.members.some(({ endpoint }) => input.engaged.has(endpoint))) {
-    // One member is being asked, or taken for another group: what becomes of the others depends on that.
+    // A formation in progress is querying a member or taking it for another group; until it ends, the others are not free.
     for (const { endpoint } of view.members) occupied.add(endpoint)
     return
   }
@@ -85,8 +85,8 @@
 }
 
 /**
- * Groups wanted of each model: as many as the fleet holds when each model has the same number of groups for its
- * demand, and at least one of each. Losses are made good as far as the endpoints go.
+ * Target number of groups per model: `peakEndpoints` divided in proportion to demand, and at least one group of each
+ * model. The targets do not shrink when endpoints are lost.
  */
 export function groupTargets ({ models, demand, peakEndpoints }: Pick<FormationInput, 'models' | 'demand' | 'peakEndpoints'>): Map<ModelId, number> {
   const endpointsPerUnit = models.reduce((sum, { model, size }) => sum + size * (demand.get(model) ?? 0), 0)
@@ -105,7 +105,7 @@
   return pending.groupsByDomain.get(domain)?.get(model) ?? 0
 }
 
-/** Furthest below its target first; models that have reached it are left out. */
+/** Models below their target, the one with the smallest share of its target first. */
 export function modelsBelowTarget (pending: PendingFormation): ModelSpec[] {
   const specs = pending.input.models.filter((spec) => filledShare(pending, spec) < 1)
   return specs.sort((left, right) => filledShare(pending, left) - filledShare(pending, right))
@@ -115,7 +115,7 @@
   return (pending.counts.get(model) ?? 0) / pending.targets.get(model)!
 }
 
-/** Hosts on which a model is staged. */
+/** Endpoints on whose hosts the model is staged. */
 export function hostsWithStaged (endpoints: readonly EndpointRecord[], model: ModelId): EndpointRecord[] {
   return endpoints.filter(({ staged }) => staged.includes(model))
 }
--- a/packages/dotterelspur/src/version/formation/StalledGroups.ts
+++ b/packages/dotterelspur/src/version/formation/StalledGroups.ts
@@ -4,10 +4,11 @@
 import { FormationCondition, assessFormation, groupByFormation, type MemberCheck } from './FormationView.js'
 
 /**
- * Heads that are listed as open though their group has lost a member: they take requests for seconds and answer none.
- * Of twelve requests that waited in vain at one group without a standby, ten were sent there after its loss was known.
+ * Heads that are listed as open although their group has lost a member. Until the group gives up, such a head accepts
+ * requests for seconds and completes none. Of twelve requests that timed out at one group without a standby, ten were
+ * sent to it after the loss had been detected.
  *
- * @param sizes members that each model needs; a group of a model that is not declared can't be judged.
+ * @param sizes members that each model needs; groups of a model without an entry are skipped.
  */
 export function stalledHeads (endpoints: Iterable<EndpointRecord>, sizes: ReadonlyMap<ModelId, number>, isAvailable: MemberCheck): EndpointId[] {
   return groupByFormation(endpoints, isAvailable).flatMap((view) => {
--- a/packages/dotterelspur/src/version/formation/StandbyStaging.ts
+++ b/packages/dotterelspur/src/version/formation/StandbyStaging.ts
@@ -5,33 +5,33 @@
 import { addToTally, lendableMembers, lendingDomains, lendingGroups, mayLend, type GroupTally } from './Lending.js'
 import { filledShare, groupsIn, hostsWithStaged, modelsBelowTarget, type PendingFormation } from './PendingFormation.js'
 
-/** Hosts of a model that stay ready for the next loss of its groups in a fabric domain; a second loss there is rarer than a shortage elsewhere. */
+/** Standbys kept per model and fabric domain for the next loss; a second loss in the same domain is rarer than a shortage of another model. */
 const STANDBYS_PER_DOMAIN = 1
 
-/** A model without any group is not infinitely dear: the next best may be had with one load. */
+/** Lower bound on a model's filled share in the cost. Without it, the cost of a model that has no group would be zero, even where another model needs only one load. */
 const MIN_FILLED_SHARE = 0.25
 
 /**
- * How much more a group is worth to a model that is further below its target. Squared, because groups are lost as
- * requests that wait only when a model is well below it: at nine tenths of its groups all its callers are served.
+ * Exponent of a model's filled share in the cost of a group, which favours models far below their target. Squared, because
+ * a shortage makes requests wait only when it is large: with nine tenths of the target groups all callers are served.
  */
 const SHORTAGE_EXPONENT = 2
 
-/** A model without groups in a fabric domain may still get some there. */
+/** Stands in for the group count of a model without groups in a fabric domain, so that it may still get standbys there. */
 const MIN_GROUPS = 0.1
 
 interface GroupCompletion {
   readonly spec: ModelSpec
   readonly members: readonly EndpointRecord[]
-  /** Time of the weight store, weighed by how well the model is off already. */
+  /** Load time on the weight store, multiplied by the model's filled share raised to `SHORTAGE_EXPONENT`. */
   readonly cost: number
 }
 
 /**
- * Loads models onto hosts that no group can use as they are. The weight store is the narrowest part of a repair, so
- * each load goes where it brings a group soonest: first to fabric domains in which few hosts lack the model that is
- * furthest below its target. Members of broken groups would otherwise stand idle with a model of which their domain
- * has too few. What is left stands by with the models of its domain's groups.
+ * Loads models onto hosts that no group can use as they are. The weight store is the bottleneck of a repair, so loads go
+ * first where they complete a group at the lowest cost: to fabric domains where few hosts lack a model that is far below
+ * its target. Without these loads, members of broken groups would stay idle, holding a model that too few hosts of their
+ * domain hold. The remaining free hosts become standbys for the groups of their domain.
  */
 export function stageStandbys (pending: PendingFormation): void {
   if (isStarting(pending)) return
@@ -50,17 +50,17 @@
 }
 
 /**
- * While a fleet starts, hosts appear one by one, and one that is free now is a member in a moment. That all models have
- * too few groups doesn't mean that more will come: in 40 domains of 19 hosts three of each make no group, and 131 were
- * left empty until the first losses.
+ * While a fleet starts, hosts appear one by one, and a free host usually becomes a group member shortly. Start-up is
+ * detected from arrivals and formations in progress, not from models below their target: in 40 domains of 19 hosts, three
+ * hosts of each domain fit into no group, and 131 hosts were left empty until the first losses.
  */
 function isStarting ({ input }: PendingFormation): boolean {
   return input.mayLoadToForm && (!input.isFleetStable || input.forming.length > 0)
 }
 
 /**
- * Gives the spare hosts of a fabric domain the models of its groups. One that holds a model without a group there can
- * stand in for nobody: in a domain of two large groups whose spare hosts hold the small model, the first loss ends a group.
+ * Stages the models of a fabric domain's groups on its spare hosts. A host whose model has no group in the domain can
+ * replace no member: in a domain of two large groups whose spare hosts hold the small model, the first loss ends a group.
  */
 function stageSpareHosts (pending: PendingFormation, domain: FabricDomainId, spares: readonly EndpointRecord[]): void {
   const wanted = standbysWanted(pending, domain, spares.length)
@@ -78,7 +78,7 @@
   }
 }
 
-/** How many standbys each model should have there, so that the next loss of any member is likely to find one. */
+/** Number of standbys per model, in proportion to the model's members in the fabric domain, so that a loss of any member is likely to find one. */
 function standbysWanted (pending: PendingFormation, domain: FabricDomainId, count: number): Map<ModelId, number> {
   const wanted = new Map<ModelId, number>()
   const standbysPerMember = ({ model, size }: ModelSpec): number => ((wanted.get(model) ?? 0) + 1) / ((groupsIn(pending, domain, model) || MIN_GROUPS) * size)
@@ -89,18 +89,18 @@
   return wanted
 }
 
-/** The model on a host, or the one that is being loaded onto it. */
+/** The model that is being loaded onto a host, or the one staged on it. */
 function modelOf ({ input }: PendingFormation, { endpoint, staged }: EndpointRecord): ModelId | null {
   return input.loading.get(endpoint) ?? staged[0] ?? null
 }
 
-/** Empty hosts always; others while loads cost nothing, or where their model has no group. */
+/** Empty hosts may always be staged; others only before the first request, or when their model has no group in the fabric domain. */
 function mayRestage (pending: PendingFormation, domain: FabricDomainId, endpoint: EndpointRecord): boolean {
   const model = modelOf(pending, endpoint)
   return model === null || pending.input.mayLoadToForm || groupsIn(pending, domain, model) === 0
 }
 
-/** The groups that loads could complete, the cheapest first. */
+/** Groups that loads could complete, in order of cost. */
 function completions (pending: PendingFormation): GroupCompletion[] {
   const domains = new Set([...pending.free.keys(), ...lendingDomains(pending)])
   const found = [...domains].flatMap((domain) => modelsBelowTarget(pending).map((spec) => completionIn(pending, domain, spec)))
@@ -126,7 +126,7 @@
   return input.loading.has(endpoint)
 }
 
-/** Hosts whose model may be replaced, empty ones first: those that their domain doesn't need as standbys. */
+/** Hosts that the fabric domain does not need as standbys, so that their model may be replaced; empty hosts first. */
 function replaceableHosts (pending: PendingFormation, domain: FabricDomainId, endpoints: readonly EndpointRecord[]): EndpointRecord[] {
   const empty = endpoints.filter(({ staged }) => staged.length === 0)
   const surplus = pending.input.models.flatMap(({ model }) => {
--- a/packages/dotterelspur/src/version/formation/__tests__/unit/FormationPlanner.test.ts
+++ b/packages/dotterelspur/src/version/formation/__tests__/unit/FormationPlanner.test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('planFormations', () => {
-  it('mends a group from its survivor and a standby of the same domain', () => {
+  it('repairs a group from its survivor and a standby of the same domain', () => {
     const [head, member] = createGroup('g', SMALL, MemberState.Open)
     const standby = createEndpoint('standby', { staged: ['small'] })
     const [plan] = plans(planFormations(createInput([head!, member!, standby], { unreachable: new Set([member!.endpoint]) })))
@@ -26,21 +26,21 @@
     expect(plan?.former).to.deep.equal([{ group: 'g', formation: 7, head: head!.endpoint, taken: [head!.endpoint], closeMode: CloseMode.BreakOff }])
   })
 
-  it('takes nobody from a group while one of its members is being asked', () => {
-    // Symptom: a new group waits 16 s for a dead head to close. Sequence: both members of a pair die; the first is
-    // asked; the planner takes the second for free. Cause: a group under question was left out of what is occupied.
+  it('takes no member of a group while another of its members is in use by a formation', () => {
+    // Guards against a new group waiting 16 s for a dead head to close: both members of a pair die, a formation queries the
+    // first one, and the planner treats the second one as free.
     const group = createGroup('g', SMALL, MemberState.Open)
     const standby = createEndpoint('standby', { staged: ['small'] })
     const decisions = planFormations(createInput([...group, standby], { engaged: new Set([group[0]!.endpoint]) }))
     expect(plans(decisions)).to.deep.equal([])
   })
 
-  it('never takes members from a group that serves', () => {
+  it('leaves serving groups alone when models are below their targets', () => {
     const groups = [...createGroup('g', LARGE, MemberState.Open), ...createGroup('h', SMALL, MemberState.Open)]
     expect(planFormations(createInput(groups, { peakEndpoints: 60 }))).to.deep.equal([])
   })
 
-  it('joins the survivors of two broken groups', () => {
+  it('forms a group from the survivors of two broken groups', () => {
     const first = createGroup('g', SMALL, MemberState.Open)
     const second = createGroup('h', SMALL, MemberState.Open)
     const [plan] = plans(planFormations(createInput([first[0]!, second[0]!])))
@@ -53,50 +53,50 @@
     expect(plans(planFormations(createInput(apart)))).to.deep.equal([])
   })
 
-  it('names the head that left the list and still answers, so that it is closed first', () => {
-    // Symptom: a worker joins another group while the head of its former one still serves. Sequence: a head loses
-    // the store, its entry lapses, callers' nodes still reach it. Cause: an entry that is gone was taken for a death.
+  it('names the former head that is no longer listed but still responds, so that it is closed first', () => {
+    // Guards against a worker joining another group while the head of its former group still serves: the head loses its
+    // connection to the store, so that its entry expires, but callers' nodes still reach it.
     const [, member] = createGroup('g', SMALL, MemberState.Open)
     const standby = createEndpoint('standby', { staged: ['small'] })
     const [plan] = plans(planFormations(createInput([member!, standby], { unlistedHeads: new Map([[formationKey('g', 7), 'g-0']]) })))
     expect(plan?.former[0]?.head).to.equal('g-0')
   })
 
-  it('forms a complete group anew that its former decider did not open', () => {
-    // Symptom: a head joins another group while it is open. Sequence: a decider closes a group, its order to join is
-    // delayed, and its successor opens the group again. Cause: nothing outdates the delayed order but a higher number.
+  it('forms a complete group again if the former lease holder did not open it', () => {
+    // Guards against a head joining another group while it is open: a lease holder closes a group, its join order is delayed,
+    // and its successor opens the group again. Only a higher formation number invalidates the delayed order.
     const [plan] = plans(planFormations(createInput(createGroup('g', SMALL, MemberState.Ready))))
     expect(plan?.members).to.deep.equal(['g-0', 'g-1'])
     expect(plan?.formation).to.be.greaterThan(7)
   })
 
-  it('does not load to form once callers are served', () => {
+  it('forms groups that need loads only if `mayLoadToForm` is set', () => {
     const empty = [1, 2, 3, 4].map((index) => createEndpoint(`empty-${index}`))
     expect(plans(planFormations(createInput(empty)))).to.deep.equal([])
     expect(plans(planFormations(createInput(empty, { mayLoadToForm: true })))).to.have.length(1)
   })
 
-  it('stages what the neediest model lacks on members of broken groups', () => {
-    // Symptom: hosts stand idle with a staged model. Sequence: three of four members survive, no standby is left.
-    // Cause: only hosts that had never been in a group were staged anew.
+  it('stages the model furthest below its target on members of broken groups', () => {
+    // Guards against idle hosts with a staged model: three of four members survive, no standby is left, and only hosts that
+    // had never been in a group were considered for staging.
     const survivors = createGroup('g', LARGE, MemberState.Broken).slice(1)
     const decisions = planFormations(createInput(survivors, { demand: new Map([['large', 1], ['small', 50]]), peakEndpoints: 60 }))
     expect(staged(decisions).map(([, model]) => model)).to.deep.equal(['small', 'small'])
   })
 
   it('spreads standbys over the models while their groups are still forming', () => {
-    // Symptom: every standby holds the large model, and pairs that lose a member stay broken. Sequence: a fleet
-    // starts, all groups form at once, and what is left is staged. Cause: groups under way were not counted in
-    // their domain, so the first model seemed to lack standbys until the end.
+    // Guards against staging the large model on every standby, so that pairs that lose a member stay broken: while a fleet
+    // starts, all groups form at once and the remaining hosts are staged. If groups that are still forming are not counted in
+    // their fabric domain, the first model seems to lack standbys throughout.
     const empty = [1, 2].map((index) => createEndpoint(`empty-${index}`))
     const forming = [{ model: 'large', fabricDomain: 'a-1' }, { model: 'small', fabricDomain: 'a-1' }, { model: 'small', fabricDomain: 'a-1' }]
     const decisions = planFormations(createInput(empty, { forming, peakEndpoints: 8 }))
     expect(staged(decisions).map(([, model]) => model)).to.have.members(['large', 'small'])
   })
 
-  it('keeps a domain\'s standby for its groups, and gives its surplus to the neediest model', () => {
-    // Symptom: after a loss no standby is left, though nothing had broken before. Sequence: a model is one group
-    // below its target for a moment; all idle hosts are loaded with it. Cause: standbys counted as idle.
+  it('keeps a domain\'s standby for its groups, and stages the model furthest below its target on the others', () => {
+    // Guards against a first loss that finds no standby: a model is briefly one group below its target, and all idle hosts,
+    // including the standbys of the other model, are loaded with it.
     const group = createGroup('g', LARGE, MemberState.Open)
     const idle = [1, 2, 3].map((index) => createEndpoint(`idle-${index}`, { staged: ['large'] }))
     const decisions = planFormations(createInput([...group, ...idle], { peakEndpoints: 60, demand: new Map([['large', 1], ['small', 20]]) }))
@@ -104,9 +104,8 @@
   })
 
   it('fills a fabric domain with one model before it mixes models in it', () => {
-    // Symptom: a third of the hosts stand idle after some losses. Sequence: each domain holds one large group and
-    // pairs; each loses a member or two, and has three hosts left of a model that needs four. Cause: what is left of
-    // a model can't stand in across domains.
+    // Guards against a third of the hosts being idle after some losses: each domain holds one large group and some pairs, loses
+    // a member or two, and is left with three hosts of a model that needs four. Hosts cannot replace members across domains.
     const empty = ['a-1', 'a-2'].flatMap((fabricDomain) => Array.from({ length: 10 }, (_unused, index) => createEndpoint(`${fabricDomain}-${index}`, { fabricDomain })))
     const formed = plans(planFormations(createInput(empty, { mayLoadToForm: true, loadAllowance: 60 })))
     const domains = (model: string): Set<string> => new Set(formed.filter((plan) => plan.model === model).flatMap(({ members }) => members.map((member) => member.slice(0, 3))))
@@ -116,8 +115,8 @@
   })
 
   it('loads first where one load completes a group', () => {
-    // Symptom: groups stay broken though the weight store was busy all the time. Sequence: loads are few, and go to
-    // hosts that need three more for a group. Cause: fabric domains were served in the sequence of their names.
+    // Guards against groups that stay broken although the weight store is busy throughout: if fabric domains are served in
+    // order of name, the few loads that are allowed go to hosts that need three more loads to form a group.
     const empty = [1, 2, 3, 4].map((index) => createEndpoint(`empty-${index}`))
     const pair = [createEndpoint('half', { staged: ['small'], fabricDomain: 'a-2' }), createEndpoint('rest', { fabricDomain: 'a-2' })]
     const decisions = planFormations(createInput([...empty, ...pair], { loadAllowance: 1, peakEndpoints: 60 }))
@@ -125,25 +124,25 @@
   })
 
   describe('when a large group lacks a member that no standby replaces', () => {
-    // Symptom: half of the hosts that hold the large model stand idle while its callers are refused. Sequence: each fabric
-    // domain loses a member or two; what is left of a group waits for a host of its domain, where all others serve the
-    // small model, of which there is enough. Cause: members were only taken from groups that are broken.
+    // Guards against half of the hosts with the large model being idle while requests for it are rejected: each fabric domain
+    // loses a member or two, and the survivors wait for a host of their domain, where all others serve the small model, which
+    // has enough groups. If members are taken only from broken groups, no host becomes available.
     const survivors = [1, 2, 3].map((index) => createEndpoint(`large-${index}`, { staged: ['large'], model: 'large' }))
     const pairs = ['p', 'q', 'r', 's'].map((name) => createGroup(name, SMALL, MemberState.Open))
     const wanted = { peakEndpoints: 16 }
 
-    it('loads the model onto a host of a model that is better off, which goes on serving', () => {
+    it('loads the model onto a host of a model that is closer to its target, which continues to serve', () => {
       const decisions = planFormations(createInput([...survivors, ...pairs.flat()], wanted))
       expect(staged(decisions)).to.deep.equal([['p-0', 'large']])
       expect(plans(decisions)).to.deep.equal([])
     })
 
-    it('asks for no second host while the first one loads', () => {
+    it('selects no second host while the first one loads', () => {
       const decisions = planFormations(createInput([...survivors, ...pairs.flat()], { ...wanted, loading: new Map([['q-1', 'large']]) }))
       expect(staged(decisions)).to.deep.equal([])
     })
 
-    it('takes the host once it holds the model, and lets its group finish first', () => {
+    it('takes the host once it holds the model, after its group has finished its requests', () => {
       const [head, lent] = createGroup('p', SMALL, MemberState.Open)
       const prepared = [head!, { ...lent!, staged: ['large'] }]
       const [plan] = plans(planFormations(createInput([...survivors, ...prepared, ...pairs.slice(1).flat()], wanted)))
@@ -151,15 +150,15 @@
       expect(plan?.former).to.deep.equal([{ group: 'p', formation: 7, head: 'p-0', taken: ['p-1'], closeMode: CloseMode.Wait }])
     })
 
-    it('leaves a model alone that would be worse off than the one that it helps', () => {
+    it('breaks up no group of a model that would then be further below its target than the receiving model', () => {
       expect(staged(planFormations(createInput([...survivors, ...pairs[0]!], wanted))).filter(([, model]) => model === 'large')).to.deep.equal([])
     })
 
-    it('breaks up no more than it gains, and lets the idle host stand by for the groups that are there', () => {
+    it('borrows no more than half of the members, and makes the idle host a standby for the existing groups', () => {
       expect(staged(planFormations(createInput([survivors[0]!, ...pairs.flat()], wanted)))).to.deep.equal([['large-1', 'small']])
     })
 
-    it('lends at most as many groups at a time as leave the model better off', () => {
+    it('lends only as many groups at a time as keep the lending model closer to its target than the receiving model', () => {
       const elsewhere = [...survivors, ...pairs.flat()].map((endpoint) => ({
         ...endpoint, endpoint: `b-${endpoint.endpoint}`, fabricDomain: 'b-1', membership: endpoint.membership === null ? null : { ...endpoint.membership, group: `b-${endpoint.membership.group}` }
       }))
@@ -169,9 +168,9 @@
   })
 
   it('loads for the model that is further below its target, though its load takes longer', () => {
-    // Symptom: callers of one model are refused, while all of the other's are served and its groups are made good at once.
-    // Sequence: the weight store does seven loads in 16 s; half of them go to the model that lacks one group of fifteen.
-    // Cause: a group of either was taken to be worth about the same.
+    // Guards against rejecting requests for one model while the other model's groups are all replaced at once: the weight store
+    // does seven loads in 16 s, and if a group of either model counts about the same, half of the loads go to the model that
+    // lacks one group of fifteen.
     const nearlyLarge = [...[1, 2, 3].map((index) => createEndpoint(`large-${index}`, { staged: ['large'] })), createEndpoint('empty-large')]
     const nearlySmall = [createEndpoint('small', { staged: ['small'] }), createEndpoint('empty-small')].map((endpoint) => ({ ...endpoint, fabricDomain: 'a-2' }))
     const forming = [...Array.from({ length: 14 }, () => 'small'), ...Array.from({ length: 6 }, () => 'large')].map((model) => ({ model, fabricDomain: 'a-3' }))
@@ -179,16 +178,17 @@
     expect(staged(decisions)).to.deep.equal([['empty-large', 'large']])
   })
 
-  it('begins no second load on a host, and none beyond the allowance', () => {
+  it('starts no second load on a host, and no more loads than the allowance', () => {
     const empty = [1, 2, 3, 4].map((index) => createEndpoint(`empty-${index}`))
     expect(staged(planFormations(createInput(empty, { loading: new Map([['empty-1', 'small']]), loadAllowance: 2 })))).to.have.length(2)
     expect(staged(planFormations(createInput(empty, { loading: new Map(empty.map(({ endpoint }) => [endpoint, 'small'])) })))).to.deep.equal([])
   })
 
-  it('builds nothing on a group in which two claim one rank', () => {
-    // A dead VM that was still listed had the word of its successor put down as its own. The group of the successor, complete
-    // and open for half a second, had two heads then, seemed broken, and was planned anew with "former":["g1000129:i-b127ce5b8f"],
-    // the dead one, as its head. Two who claim one rank show that one of the two words is wrong, and not that the group is lost.
+  it('draws no conclusion about a group in which two available members claim the same rank', () => {
+    // The record of a dead VM that was still listed had been updated with the membership of its address's next owner. That
+    // owner's group, complete and open for half a second, then had two heads, appeared broken, and was planned again with the
+    // dead VM as its head: "former":["g1000129:i-b127ce5b8f"]. Two claims to one rank show that one of the two records is
+    // wrong, not that the group is lost.
     const group = createGroup('g', SMALL, MemberState.Open)
     const ghost = createEndpoint('ghost', { staged: ['small'], model: 'small', membership: group[0]!.membership })
     const spare = createEndpoint('spare', { staged: ['small'] })
@@ -196,7 +196,7 @@
     expect(stalledHeads([ghost, ...group, spare], new Map([['small', 2]]), () => true)).to.deep.equal([])
   })
 
-  it('goes by the members that answer where a dead one claims a rank of theirs', () => {
+  it('ignores the claim of an unreachable member to the rank of an available one', () => {
     const group = createGroup('g', SMALL, MemberState.Open)
     const ghost = createEndpoint('ghost', { staged: ['small'], model: 'small', membership: group[0]!.membership })
     const input = createInput([ghost, ...group], { unreachable: new Set(['ghost']) })
@@ -206,14 +206,14 @@
     expect(plans(planFormations(halved))[0]?.former[0]?.head).to.equal(group[0]!.endpoint)
   })
 
-  it('leaves leaving endpoints alone', () => {
+  it('ignores endpoints that are leaving', () => {
     const leaving = [1, 2].map((index) => createEndpoint(`leaving-${index}`, { staged: ['small'], leaving: true }))
     expect(planFormations(createInput(leaving))).to.deep.equal([])
   })
 })
 
 describe('groupTargets', () => {
-  it('gives each model the same number of groups for its demand, and at least one', () => {
+  it('sets targets in proportion to demand, and at least one group per model', () => {
     const targets = groupTargets({ models: [LARGE, SMALL], demand: new Map([['large', 1], ['small', 2]]), peakEndpoints: 60 })
     expect(Object.fromEntries(targets)).to.deep.equal({ large: 8, small: 15 })
     const skewed = groupTargets({ models: [LARGE, SMALL], demand: new Map([['large', 0], ['small', 1]]), peakEndpoints: 60 })
--- a/packages/dotterelspur/src/version/formation/__tests__/unit/LossReplay.test.ts
+++ b/packages/dotterelspur/src/version/formation/__tests__/unit/LossReplay.test.ts
@@ -4,7 +4,7 @@
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
 
-/** Six fabric domains of eight; callers keep two fifths of all groups busy, and a member is lost every three seconds. */
+/** Six fabric domains of eight hosts; the load keeps two fifths of all groups busy, and a member is lost every three seconds. */
 const LOSSES: LossOptions = {
   seed: 1,
   domains: 6,
@@ -17,7 +17,7 @@
   darkDomain: false
 }
 
-/** Fleets, how often they lose a member, and what they keep at least, of all that is asked for and in the worst two seconds. */
+/** Fleets with their loss interval and the least share of the load that they must serve, on average and in the worst two seconds. */
 const FLEETS = [
   { domains: 9, hostsPerDomain: 19, large: 8, small: 4, lossIntervalMs: 1_150, served: 0.87, worst: 0.8 },
   { domains: 40, hostsPerDomain: 19, large: 8, small: 4, lossIntervalMs: 270, served: 0.87, worst: 0.8 },
@@ -33,25 +33,25 @@
   return outcomes.reduce((sum, outcome) => sum + read(outcome), 0) / outcomes.length
 }
 
-describe('planFormations, replayed through losses of members', () => {
-  it('keeps nearly all that callers ask for while members are lost one after the other', () => {
-    // Load: 11 losses in 34 s, new hosts only in the last two thirds, and loads of 12 to 16 s. What breaks first is the
-    // large model: each loss idles four hosts, until their domain has a standby.
+describe('planFormations under simulated losses of members', () => {
+  it('serves nearly the whole load while members are lost one after another', () => {
+    // 11 losses in 34 s, new hosts only in the last two thirds, and loads of 12 to 16 s. The large model suffers first:
+    // each loss leaves a group of four out of service until its fabric domain has a standby.
     const outcomes = replay({})
     expect(mean(outcomes, ({ served }) => served)).to.be.greaterThan(0.95)
     expect(mean(outcomes, ({ worst }) => worst)).to.be.greaterThan(0.85)
   })
 
-  it('keeps the worst two seconds above three quarters when a whole fabric domain goes dark as well', () => {
+  it('serves over three quarters of the load in the worst two seconds when a whole fabric domain is lost as well', () => {
     const outcomes = replay({ darkDomain: true })
     expect(mean(outcomes, ({ worst }) => worst)).to.be.greaterThan(0.75)
   })
 
   for (const { domains, hostsPerDomain, large, small, lossIntervalMs, served, worst } of FLEETS) {
     it(`has standbys of the right model in ${domains} domains of ${hostsPerDomain}, for groups of ${large} and ${small}`, () => {
-      // Symptom: groups of eight are lost one by one while 25 hosts that hold their model, and 21 that hold the other, stand
-      // idle. Sequence: a domain of two large groups has three hosts left, which were loaded with the small model before
-      // its groups formed, or not at all; its first loss ends a group. Cause: standbys were chosen once, for groups to come.
+      // Guards against choosing standbys only once, before the groups have formed: a domain of two large groups has three
+      // hosts left, which hold the small model or none, so its first loss ends a group. Groups of eight were lost one by one
+      // while 25 hosts with their model and 21 with the other were idle in other domains.
       const hosts = domains * hostsPerDomain
       const outcomes = replay({
         domains,
@@ -66,7 +66,7 @@
     })
   }
 
-  it('leaves the hosts of one large group and one pair idle at most when nothing is lost', () => {
+  it('leaves at most as many hosts idle as one large and one small group need when nothing is lost', () => {
     const outcomes = replay({ lossIntervalMs: Infinity, arrivalIntervalMs: Infinity })
     for (const { served, groups } of outcomes) {
       expect(served).to.equal(1)
--- a/packages/dotterelspur/src/version/formation/__tests__/unit/StalledGroups.test.ts
+++ b/packages/dotterelspur/src/version/formation/__tests__/unit/StalledGroups.test.ts
@@ -9,22 +9,22 @@
   return stalledHeads(endpoints, SIZES, ({ endpoint }) => !lost.includes(endpoint))
 }
 
-describe('stoppedHeads', () => {
-  it('finds an open head whose member does not answer, or is listed no longer', () => {
-    // Symptom: requests go to a group for five seconds after its loss was known. Sequence: a member dies; no standby is
-    // there to mend the group; its head stays listed as open until it gives up by itself. Cause: nobody told.
+describe('stalledHeads', () => {
+  it('finds an open head whose member does not respond or is no longer listed', () => {
+    // Guards against dispatching requests to a group for five seconds after its loss was detected: a member dies, there is
+    // no standby to repair the group, and its head stays listed as open until the group gives up by itself.
     const [head, member] = createGroup('g', SMALL, MemberState.Open)
     expect(findStalled([head!, member!])).to.deep.equal([])
     expect(findStalled([head!, member!], [member!.endpoint])).to.deep.equal(['g-0'])
     expect(findStalled([head!])).to.deep.equal(['g-0'])
   })
 
-  it('leaves a member that is leaving alone: it stays while its head has work', () => {
+  it('ignores a member that is leaving, because it stays until its head has no work', () => {
     const [head, member] = createGroup('g', SMALL, MemberState.Open)
     expect(findStalled([head!, { ...member!, leaving: true }])).to.deep.equal([])
   })
 
-  it('says nothing of groups that take no requests, or of a model that is not declared', () => {
+  it('skips groups that accept no requests, and groups of an undeclared model', () => {
     const closing = createGroup('c', SMALL, MemberState.Closing)
     const unknown = createGroup('u', { ...SMALL, model: 'unknown' }, MemberState.Open)
     expect(findStalled([closing[0]!, unknown[0]!, createEndpoint('free')])).to.deep.equal([])
--- a/packages/dotterelspur/src/version/formation/__tests__/unit/formGroup.test.ts
+++ b/packages/dotterelspur/src/version/formation/__tests__/unit/formGroup.test.ts
@@ -7,11 +7,11 @@
 import { FleetFault, FaultyFleetRun } from '../fixtures/FaultyFleetRun.js'
 import { WorkerModel } from '../fixtures/WorkerModel.js'
 
-/** How often a random run must have brought each strain to a formation to say anything about it: once in four runs. */
+/** Least number of formations that must encounter each fault for the random runs to be meaningful: one per four runs. */
 const MIN_ENCOUNTERS = 100
 
 describe('formGroup', () => {
-  it('opens after every member has joined and is ready, whatever answers get lost', () => {
+  it('opens a group only after every member has joined and is ready, even if replies are lost', () => {
     fc.assert(fc.property(fc.integer(), (seed) => {
       const run = new FleetRun(createRandom(seed))
       run.run()
@@ -19,7 +19,7 @@
     }), { seed: 20261202, numRuns: 400 })
   })
 
-  it('takes no member from under an open head, whatever is believed of addresses and heads', () => {
+  it('takes no member from a group with an open head, even under reassigned addresses, stale reports and unreachable heads', () => {
     const met = new Map<FleetFault, number>()
     fc.assert(fc.property(fc.integer(), (seed) => {
       const run = new FaultyFleetRun(createRandom(seed))
@@ -27,15 +27,15 @@
       for (const strain of Object.values(FleetFault)) met.set(strain, (met.get(strain) ?? 0) + run.encounters[strain])
       expect(run.workers.violations).to.deep.equal([])
     }), { seed: 20261203, numRuns: 400 })
-    console.log(`    formations met: ${[...met].map(([strain, times]) => `${strain} ${times}`).join(', ')}`)
+    console.log(`    formations that met a fault: ${[...met].map(([strain, times]) => `${strain} ${times}`).join(', ')}`)
     for (const strain of Object.values(FleetFault)) expect(met.get(strain), strain).to.be.at.least(MIN_ENCOUNTERS)
   })
 
-  it('opens no head again that has left its formation, whatever is carried out late', () => {
-    // Symptom: a member joins another group while the head that it left is open again. Sequence: a head leaves its
-    // formation and has joined no other yet; a join and an open of that same formation, both held back by the head, bring
-    // it back; its former member, or the head itself, then gets its next join. Cause: only a join under a higher number
-    // voids what is held back, and between the leave and that join there is none.
+  it('does not reopen a head that has left its formation when delayed orders are carried out', () => {
+    // Guards against a member joining another group while its former head is open again: the head has left its formation and
+    // joined no other yet, and delayed copies of the join and open orders of that formation bring it back. Then its former
+    // member, or the head itself, gets its next join. Only a join with a higher number invalidates delayed orders, and
+    // between the leave and that join there is none.
     for (const seed of [1_162, 6_341, 17_950]) {
       const run = new FleetRun(createRandom(seed))
       run.run()
@@ -44,12 +44,12 @@
   })
 
   it('takes no member while copies of the orders that formed its group are carried out late', () => {
-    // A free head left its formation; a copy of its join and one of its open, both held back, brought it back before the next
-    // join, and then its former member, or it itself, joined another group while it was open. The orders of two runs:
+    // A head left its formation; delayed copies of its join and open orders brought it back before the next join, and then
+    // its former member, or the head itself, joined another group while the head was open. The orders of two runs:
     //   leave w3 g7006: done, late join w3 g7006: begun, late open w3 g7006: begun, join w4 g9002 (a member of g7006): begun
     //   leave w1 g3004: done, late join w1 g3004: begun, late open w1 g3004: begun, join w1 g4002: begun
-    // The copies are of what was really sent, so a join that states no order count fails here, and so does a member that is
-    // freed by its head's leave.
+    // The copies repeat the orders that were really sent, so the test fails if joins state no order count, and if a member
+    // counts as released once its head has left.
     for (const taken of [['h', 'w2'], ['w2'], ['h']]) {
       const workers = new WorkerModel(['h', 'w2', 'w3'])
       const copies: AddressedOrder[] = []
@@ -71,9 +71,9 @@
     }
   })
 
-  it('keeps to it on the seeds that show each half of how a member is freed', () => {
-    // Without the order count in joins, or with a member freed by its head's leave, these runs break as those above did. Seeds
-    // say nothing for good: a stand-in that draws once more plays another day, so each half has its sequence above as well.
+  it('holds on the seeds that fail without the order count or without each member\'s own leave', () => {
+    // Without the order count in joins, or if a member counts as released once its head has left, these runs fail like those
+    // above. A change of the simulation's random draws makes the seeds meaningless, so the test above covers both cases too.
     for (const seed of [2_137, 2_843, 5_833, 10_064, 15_485, 16_486, 16_859, 17_950]) {
       const run = new FleetRun(createRandom(seed))
       run.run()
@@ -86,18 +86,18 @@
     }
   })
 
-  it('orders nothing when a member is not where the list says', () => {
-    // Symptom: a head joins another group while it is open. Sequence: the store goes out, a group is formed by direct
-    // orders, the store comes back with the entries of before, and the members are taken for free. Cause: an old list.
+  it('sends no orders when a member is not in the listed group', () => {
+    // Guards against a head joining another group while it is open: during a store outage a group is formed by direct orders,
+    // then the store returns with its earlier entries, and by this outdated list the members appear to be free.
     const plan: FormationPlan = { group: 'new', formation: 9, model: 'small', members: ['w1', 'w2'], joinTimeoutMs: 1_000, former: [] }
     const steps = formGroup(plan)
     expect(steps.next().value).to.deep.equal({ kind: FormationEffectKind.ConfirmMembers, plan })
     expect(steps.next(null)).to.deep.equal({ done: true, value: FormationOutcome.NotAsListed })
   })
 
-  it('gives a plan up when a head that must close does not answer', () => {
-    // Symptom: members of a broken group are blocked for 16 s. Sequence: a head dies, and the order to close it is
-    // repeated for as long as a living head may take to finish. Cause: no answer was treated like a slow close.
+  it('abandons a plan when a head that must close does not reply', () => {
+    // Guards against blocking the members of a broken group for 16 s: the head is dead, and the close order is retried for as
+    // long as a running head may take to finish its requests, as if the missing replies meant a slow close.
     const plan: FormationPlan = {
       group: 'new', formation: 9, model: 'small', members: ['w1', 'w2'], joinTimeoutMs: 1_000, former: [{ group: 'old', formation: 3, head: 'dead', taken: ['w1'], closeMode: 'break-off' as never }]
     }
@@ -114,9 +114,9 @@
   })
 
   it('has the head of a former group leave before any of its members joins another', () => {
-    // Symptom: a head joins another group while it is open. Sequence: an order to open is delayed; the next decider
-    // closes the head, the delayed order opens it again, the order to join arrives. Cause: only the head's own
-    // leaving voids the delayed order. Its members leave as well: a late order to join is void for who has left.
+    // Guards against a head joining another group while it is open: an open order is delayed, the next lease holder closes
+    // the head, the delayed order opens it again, and the join order arrives. Only the head's own leave invalidates the
+    // delayed open order. The members leave too, since a delayed join order is then invalid for them.
     const plan: FormationPlan = {
       group: 'new', formation: 9, model: 'small', members: ['h', 'w2'], joinTimeoutMs: 1_000, former: [{ group: 'old', formation: 3, head: 'h', taken: ['h', 'w2'], closeMode: 'break-off' as never }]
     }
@@ -133,11 +133,11 @@
     expect(sent).to.deep.equal(['close h', 'leave h+leave w2', 'join h+join w2', 'open h'])
   })
 
-  it('takes no member from an open group because a stranger at an address says that it is not its head', () => {
-    // A VM died, and another one came to its address and became the head of a group. The dead one, listed for three more
-    // seconds, was asked where it is; its successor answered, and so the dead one was taken for the head of that group. It was
-    // told to close: "close i-b127ce5b8f g1000129: elsewhere", and this was taken for a release. The true head, i-4583542034,
-    // at the same address 10.2.64.38, was never asked, and took its next join while it was open.
+  it('takes no member from an open group because another endpoint at a former head\'s address replies that it is not the head', () => {
+    // A VM died, and another VM got its address and became the head of a group. The dead VM, listed for three more seconds,
+    // was queried for its group; its successor responded, so the dead VM was taken for the head of that group. Its close order
+    // was answered with "close i-b127ce5b8f g1000129: elsewhere", which was taken for a release. The true head, i-4583542034,
+    // at the same address 10.2.64.38, got no close order, and carried out its next join while it was open.
     const workers = new WorkerModel(['dead', 'h', 'w2'])
     workers.crash('dead')
     formOpenGroup(workers, 'g3', 3, ['h', 'w2'])
@@ -148,11 +148,11 @@
     expect(workers.violations).to.deep.equal([])
   })
 
-  it('takes no member that a late order has brought back to a group whose head is silent', () => {
-    // The head of an open group was cut off from the deciding node, answered nothing for 0.35 s and was taken for gone:
+  it('takes no member that a delayed order has brought back to a group whose head does not respond', () => {
+    // The head of an open group was unreachable for the lease holder for 0.35 s and was taken for gone:
     // "former":["g1000029:gone"], and 2.9 s later "endpoint-reachable" of that head. Its members joined another group while it
-    // was open. They had been told to leave; but an earlier order to join that same group, sent twice because the first one
-    // got no answer, can be carried out after the leave and bring its member back before its next join.
+    // was open. They had been ordered to leave, but an earlier join order for the same group, sent twice because the first
+    // copy got no reply, can be carried out after the leave and bring the member back before its next join.
     const workers = new WorkerModel(['h', 'w2', 'w3'])
     formOpenGroup(workers, 'g3', 3, ['h', 'w2'])
     const plan: FormationPlan = {
@@ -167,7 +167,7 @@
   })
 })
 
-/** An order to join as it is sent to a member that has carried out no order yet. */
+/** A join order to a member that has carried out no order yet. */
 function firstJoinOf (endpoint: string, group: string, formation: number, members: readonly string[]): AddressedOrder {
   return { endpoint, order: { kind: EndpointOrderKind.Join, group, formation, model: 'small', members }, expectedOrderCount: 0 }
 }
@@ -178,7 +178,7 @@
   workers.apply({ endpoint: members[0]!, order: { kind: EndpointOrderKind.Open, group, formation }, expectedOrderCount: null })
 }
 
-/** Carries out a plan, every member of which is where the plan says; orders go by `send`. */
+/** Carries out a plan whose members are all where the plan expects them; `send` delivers the orders. */
 function perform (plan: FormationPlan, workers: WorkerModel, send: (order: AddressedOrder) => OrderReply): void {
   const steps = formGroup(plan)
   steps.next()
