--- a/packages/dotterelspur/src/__tests__/unit/Explain.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Explain.test.ts
@@ -1,15 +1,15 @@
 import { expect } from 'chai'
 import { ExplainCauseKind, RolloutPhase, explainGroup, explainIntent, explainVm } from '../../index.js'
 import type { Decision, ExplainInput, GroupPresence } from '../../index.js'
-import { PlannedFabricDomain, createIntent } from './planningFixture.js'
+import { SimulatedFabricDomain, createIntent } from './planningFixture.js'
 
 interface Recorded {
-  readonly domain: PlannedFabricDomain
+  readonly domain: SimulatedFabricDomain
   readonly decisions: Decision[]
 }
 
 function record (vms: number, replicas = 1): Recorded {
-  const recorded: Recorded = { domain: new PlannedFabricDomain(vms, [createIntent({ replicas })]), decisions: [] }
+  const recorded: Recorded = { domain: new SimulatedFabricDomain(vms, [createIntent({ replicas })]), decisions: [] }
   run(recorded, 8)
   return recorded
 }
@@ -70,10 +70,10 @@
   })
 
   const cases = [
-    { name: 'a restart', strike: (domain: PlannedFabricDomain) => domain.restart('vm-01'), change: {}, kind: ExplainCauseKind.MemberRestarted },
+    { name: 'a restart', strike: (domain: SimulatedFabricDomain) => domain.restart('vm-01'), change: {}, kind: ExplainCauseKind.MemberRestarted },
     { name: 'evidence that expired', strike: () => {}, change: { evidenceTtlMs: 100 }, kind: ExplainCauseKind.EvidenceExpired },
     { name: 'no evidence', strike: () => {}, change: { presence: [] }, kind: ExplainCauseKind.EvidenceMissing },
-    { name: 'a store outage beside it', strike: (domain: PlannedFabricDomain) => domain.kill('vm-01'), change: { storeContactAgeMs: 60_000 }, kind: ExplainCauseKind.StoreUnavailable }
+    { name: 'a store outage beside it', strike: (domain: SimulatedFabricDomain) => domain.kill('vm-01'), change: { storeContactAgeMs: 60_000 }, kind: ExplainCauseKind.StoreUnavailable }
   ]
   for (const { name, strike, change, kind } of cases) {
     it(`names ${name}`, () => {
@@ -112,7 +112,7 @@
 describe('explainIntent', () => {
   it('counts what serves, and names the team that it lost VMs to', () => {
     const recorded = record(2, 2)
-    const unmet = [{ team: 'tradeline', model: 'logbook', wanted: 2, allocated: 1, lostTo: [{ team: 'piedmont', model: 'drafting' }], placesAllowed: 1, reason: 'piedmont/drafting goes before it' }]
+    const unmet = [{ team: 'tradeline', model: 'logbook', wanted: 2, allocated: 1, lostTo: [{ team: 'piedmont', model: 'drafting' }], eligibleFabricDomains: 1, reason: 'piedmont/drafting goes before it' }]
     const explanation = explainIntent(createInput(recorded, { unmet }), 'tradeline', 'logbook')!
     expect(explanation.summary).to.contain('1 of 2 replicas')
     expect(explanation.causes[0]!.kind).to.equal(ExplainCauseKind.CompetingTeam)
--- a/packages/dotterelspur/src/__tests__/unit/FabricDomainPlanner.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/FabricDomainPlanner.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai'
 import { DecisionKind, GroupState } from '../../index.js'
-import { PlannedFabricDomain, createIntent } from './planningFixture.js'
+import { SimulatedFabricDomain, createIntent } from './planningFixture.js'
 
 describe('planFabricDomain', () => {
   it('forms groups of the exact size and serves once all members are ready', () => {
-    const domain = new PlannedFabricDomain(5, [createIntent({ replicas: 3 })])
+    const domain = new SimulatedFabricDomain(5, [createIntent({ replicas: 3 })])
     domain.tick()
     expect(domain.assignment!.groups.map((group) => group.members.length)).to.deep.equal([2, 2])
     expect(domain.serving()).to.equal(0)
-    domain.settle()
+    domain.tickUntilStable()
     expect(domain.serving()).to.equal(2)
   })
 
@@ -16,10 +16,10 @@
   // Sequence: a member of a serving group dies; nothing can take its place.
   // Cause: the group stayed in a state in which entries may dispatch to it.
   it('breaks a group whose member is gone, and says which', () => {
-    const domain = new PlannedFabricDomain(2)
-    domain.settle()
+    const domain = new SimulatedFabricDomain(2)
+    domain.tickUntilStable()
     domain.kill('vm-01')
-    domain.settle()
+    domain.tickUntilStable()
     const group = domain.assignment!.groups[0]!
     expect(group.state).to.equal(GroupState.Broken)
     expect(group.cause).to.contain('vm-01').and.to.contain('absent')
@@ -29,13 +29,13 @@
   // Sequence: a member restarts between two probes and answers under its next incarnation.
   // Cause: the name alone was taken for the member.
   it('forms anew with a member that restarted', () => {
-    const domain = new PlannedFabricDomain(2)
-    domain.settle()
+    const domain = new SimulatedFabricDomain(2)
+    domain.tickUntilStable()
     const before = domain.assignment!.groups[0]!
     domain.restart('vm-01')
     const plan = domain.tick()
     expect(plan.decisions.map((decision) => decision.kind)).to.include(DecisionKind.Break)
-    domain.settle()
+    domain.tickUntilStable()
     const after = domain.assignment!.groups[0]!
     expect(after.group).to.equal(before.group)
     expect(after.formation).to.be.greaterThan(before.formation)
--- a/packages/dotterelspur/src/__tests__/unit/GroupRepair.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/GroupRepair.test.ts
@@ -1,15 +1,15 @@
 import { expect } from 'chai'
 import { DecisionKind, GroupState, shareLoadBudget } from '../../index.js'
 import type { AssignedGroup, PlannedIntent } from '../../index.js'
-import { PlannedFabricDomain, createIntent } from './planningFixture.js'
+import { SimulatedFabricDomain, createIntent } from './planningFixture.js'
 
 interface RepairCase {
   readonly name: string
   readonly vms: number
   readonly intents: readonly PlannedIntent[]
-  readonly strike: (domain: PlannedFabricDomain) => void
+  readonly injectFault: (domain: SimulatedFabricDomain) => void
   readonly ticks: number
-  readonly taken: DecisionKind
+  readonly expectedDecision: DecisionKind
   readonly serving: number
 }
 
@@ -17,36 +17,36 @@
 const LOW = createIntent({ team: 'piedmont', model: 'drafting', priority: 10, vmsPerReplica: 2 })
 const HIGH = createIntent({ priority: 90, vmsPerReplica: 2 })
 
-function memberOf (domain: PlannedFabricDomain, group: number, rank: number): string {
+function memberOf (domain: SimulatedFabricDomain, group: number, rank: number): string {
   return domain.assignment!.groups[group]!.members[rank]!.vm
 }
 
 const CASES: readonly RepairCase[] = [
-  { name: 'a standby takes a lost member\'s place', vms: 5, intents: [{ ...PAIR, standbys: 1 }], strike: (domain) => domain.kill(memberOf(domain, 0, 1)), ticks: 10, taken: DecisionKind.Replace, serving: 2 },
-  { name: 'a member that was silent for a moment resumes without a new formation', vms: 2, intents: [createIntent()], strike: (domain) => { domain.kill('vm-00'); domain.tick(5_000); domain.tick(); domain.comeBack('vm-00') }, ticks: 4, taken: DecisionKind.Resume, serving: 1 },
-  { name: 'without a free VM it waits', vms: 2, intents: [createIntent()], strike: (domain) => domain.kill('vm-00'), ticks: 10, taken: DecisionKind.Wait, serving: 0 },
-  { name: 'two broken groups make one', vms: 4, intents: [PAIR], strike: (domain) => { domain.kill(memberOf(domain, 0, 0)); domain.kill(memberOf(domain, 1, 0)) }, ticks: 12, taken: DecisionKind.Merge, serving: 1 },
-  { name: 'a group of lower priority gives its VMs after a long wait only', vms: 4, intents: [HIGH, LOW], strike: (domain) => { domain.kill(memberOf(domain, 0, 0)) }, ticks: 12, taken: DecisionKind.Donate, serving: 1 },
-  { name: 'a leaving member is exchanged while it still serves', vms: 5, intents: [{ ...PAIR, standbys: 1 }], strike: (domain) => { domain.vms.get(memberOf(domain, 0, 0))!.leaving = true }, ticks: 12, taken: DecisionKind.Swap, serving: 2 },
-  { name: 'a straggler is exchanged', vms: 5, intents: [{ ...PAIR, standbys: 1 }], strike: (domain) => { domain.vms.get(memberOf(domain, 0, 0))!.straggling = true }, ticks: 12, taken: DecisionKind.Swap, serving: 2 }
+  { name: 'a standby takes a lost member\'s place', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => domain.kill(memberOf(domain, 0, 1)), ticks: 10, expectedDecision: DecisionKind.Replace, serving: 2 },
+  { name: 'a member that was silent for a moment resumes without a new formation', vms: 2, intents: [createIntent()], injectFault: (domain) => { domain.kill('vm-00'); domain.tick(5_000); domain.tick(); domain.reconnect('vm-00') }, ticks: 4, expectedDecision: DecisionKind.Resume, serving: 1 },
+  { name: 'without a free VM it waits', vms: 2, intents: [createIntent()], injectFault: (domain) => domain.kill('vm-00'), ticks: 10, expectedDecision: DecisionKind.Wait, serving: 0 },
+  { name: 'two broken groups make one', vms: 4, intents: [PAIR], injectFault: (domain) => { domain.kill(memberOf(domain, 0, 0)); domain.kill(memberOf(domain, 1, 0)) }, ticks: 12, expectedDecision: DecisionKind.Merge, serving: 1 },
+  { name: 'a group of lower priority gives its VMs after a long wait only', vms: 4, intents: [HIGH, LOW], injectFault: (domain) => { domain.kill(memberOf(domain, 0, 0)) }, ticks: 12, expectedDecision: DecisionKind.Donate, serving: 1 },
+  { name: 'a leaving member is exchanged while it still serves', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => { domain.vms.get(memberOf(domain, 0, 0))!.leaving = true }, ticks: 12, expectedDecision: DecisionKind.Swap, serving: 2 },
+  { name: 'a straggler is exchanged', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => { domain.vms.get(memberOf(domain, 0, 0))!.straggling = true }, ticks: 12, expectedDecision: DecisionKind.Swap, serving: 2 }
 ]
 
 describe('repair', () => {
-  for (const { name, vms, intents, strike, ticks, taken, serving } of CASES) {
+  for (const { name, vms, intents, injectFault, ticks, expectedDecision, serving } of CASES) {
     it(name, () => {
-      const domain = new PlannedFabricDomain(vms, intents)
-      domain.settle()
-      strike(domain)
+      const domain = new SimulatedFabricDomain(vms, intents)
+      domain.tickUntilStable()
+      injectFault(domain)
       const kinds = new Set<DecisionKind>()
       for (let count = 0; count < ticks; count++) for (const decision of domain.tick().decisions) kinds.add(decision.kind)
-      expect([...kinds]).to.include(taken)
+      expect([...kinds]).to.include(expectedDecision)
       expect(domain.serving()).to.equal(serving)
     })
   }
 
   it('records the ways that it rejected, with their scores', () => {
-    const domain = new PlannedFabricDomain(3, [createIntent({ standbys: 1 })])
-    domain.settle()
+    const domain = new SimulatedFabricDomain(3, [createIntent({ standbys: 1 })])
+    domain.tickUntilStable()
     domain.kill('vm-00')
     domain.nowMs += 30_000
     const decision = domain.tick().decisions.find((one) => one.kind === DecisionKind.Replace)!
@@ -59,11 +59,11 @@
   // Sequence: two members restart at once; both could join again at once.
   // Cause: waiting was scored by its time alone, acting also by the reserve that it uses up.
   it('does not wait for what waiting cannot bring', () => {
-    const domain = new PlannedFabricDomain(14, [createIntent({ vmsPerReplica: 4, replicas: 2, weights: { groupDowntime: 1, strandedAccelerators: 4 } }), { ...LOW, replicas: 2 }])
-    domain.settle()
+    const domain = new SimulatedFabricDomain(14, [createIntent({ vmsPerReplica: 4, replicas: 2, weights: { groupDowntime: 1, strandedAccelerators: 4 } }), { ...LOW, replicas: 2 }])
+    domain.tickUntilStable()
     domain.restart('vm-00')
     domain.restart('vm-01')
-    domain.settle()
+    domain.tickUntilStable()
     expect(domain.serving()).to.equal(4)
   })
 
@@ -71,16 +71,16 @@
   // Sequence: it is formed; before its engines join, all go silent; they come back.
   // Cause: a broken group gets no orders, so its engines never heard of the formation.
   it('lets a group join that broke before it had joined', () => {
-    const domain = new PlannedFabricDomain(2)
-    domain.following = false
+    const domain = new SimulatedFabricDomain(2)
+    domain.followsAssignment = false
     domain.tick()
     domain.kill('vm-00')
     domain.tick(5_000)
     domain.tick()
     expect(domain.assignment!.groups[0]!.state).to.equal(GroupState.Broken)
-    domain.comeBack('vm-00')
-    domain.following = true
-    domain.settle()
+    domain.reconnect('vm-00')
+    domain.followsAssignment = true
+    domain.tickUntilStable()
     expect(domain.serving()).to.equal(1)
   })
 })
@@ -93,8 +93,8 @@
   for (const { name, weights, serving } of cases) {
     it(`decide which of two broken groups gets the VMs: ${name}`, () => {
       const large = createIntent({ vmsPerReplica: 16, standbys: 3, weights })
-      const domain = new PlannedFabricDomain(21, [large, { ...LOW, priority: large.priority, weights }])
-      domain.settle()
+      const domain = new SimulatedFabricDomain(21, [large, { ...LOW, priority: large.priority, weights }])
+      domain.tickUntilStable()
       const [first, second] = domain.assignment!.groups
       const [sixteen, two] = first!.members.length === 16 ? [first!, second!] : [second!, first!]
       for (const member of [...sixteen.members.slice(0, 3), two.members[0]!]) domain.kill(member.vm)
@@ -110,17 +110,17 @@
   // Sequence: a VM comes and goes; each time that it is there it is the first by name.
   // Cause: the VM was chosen as if nothing had happened.
   it('puts a VM that comes and goes behind one that stays', () => {
-    const domain = new PlannedFabricDomain(4, [createIntent({ standbys: 0 })])
-    domain.settle()
+    const domain = new SimulatedFabricDomain(4, [createIntent({ standbys: 0 })])
+    domain.tickUntilStable()
     const idle = [...domain.vms.keys()].filter((vm) => !domain.assignment!.groups[0]!.members.some((member) => member.vm === vm))
     for (let count = 0; count < domain.settings.flapCount; count++) {
       domain.kill(idle[0]!)
       domain.tick()
-      domain.comeBack(idle[0]!)
+      domain.reconnect(idle[0]!)
       domain.tick()
     }
     domain.kill(domain.assignment!.groups[0]!.members[0]!.vm)
-    domain.settle()
+    domain.tickUntilStable()
     const members = domain.assignment!.groups[0]!.members.map((member) => member.vm)
     expect(members).to.include(idle[1]).and.not.to.include(idle[0])
   })
@@ -131,22 +131,22 @@
   // Sequence: all VMs go silent together and come back one by one.
   // Cause: each return was treated as the last.
   it('changes nothing while the darkness is young, and resumes groups as they were', () => {
-    const domain = new PlannedFabricDomain(8, [createIntent({ vmsPerReplica: 4, replicas: 2 })])
-    domain.settle()
+    const domain = new SimulatedFabricDomain(8, [createIntent({ vmsPerReplica: 4, replicas: 2 })])
+    domain.tickUntilStable()
     const formations = domain.assignment!.groups.map((group) => group.formation)
     for (const vm of domain.vms.keys()) domain.kill(vm)
     for (let count = 0; count < 20; count++) domain.tick()
     for (const vm of domain.vms.keys()) {
-      domain.comeBack(vm)
+      domain.reconnect(vm)
       domain.tick()
     }
-    domain.settle()
+    domain.tickUntilStable()
     expect(domain.assignment!.groups.map((group) => group.formation)).to.deep.equal(formations)
     expect(domain.serving()).to.equal(2)
   })
 
   it('starts no more formations in a tick than its settings allow', () => {
-    const domain = new PlannedFabricDomain(40, [createIntent({ replicas: 20 })])
+    const domain = new SimulatedFabricDomain(40, [createIntent({ replicas: 20 })])
     let before: readonly AssignedGroup[] = []
     for (let count = 0; count < 12; count++) {
       domain.tick()
@@ -157,7 +157,7 @@
   })
 
   it('keeps loads within its share of the weight store\'s rate', () => {
-    const domain = new PlannedFabricDomain(16, [createIntent({ vmsPerReplica: 4, replicas: 4 })])
+    const domain = new SimulatedFabricDomain(16, [createIntent({ vmsPerReplica: 4, replicas: 4 })])
     domain.loadBudget = { loadsPerMinute: 4, burst: 4 }
     domain.tick()
     expect(domain.assignment!.groups.length).to.equal(1)
--- a/packages/dotterelspur/src/__tests__/unit/PlannerSchedules.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/PlannerSchedules.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { GroupState, emptyPlanningMemory, planFabricDomain } from '../../index.js'
 import type { AssignedGroup, FabricDomainPlan } from '../../index.js'
-import { PlannedFabricDomain, createIntent } from './planningFixture.js'
+import { SimulatedFabricDomain, createIntent } from './planningFixture.js'
 
 const SEED = 20_261_202
 const VM_COUNT = 14
@@ -31,20 +31,20 @@
   readonly ticks: number
 }
 
-type EventHandler = (domain: PlannedFabricDomain, vm: string, amount: number) => void
+type EventHandler = (domain: SimulatedFabricDomain, vm: string, amount: number) => void
 
 const HANDLERS: Readonly<Record<EventKind, EventHandler>> = {
   [EventKind.Kill]: (domain, vm) => domain.kill(vm),
-  [EventKind.ComeBack]: (domain, vm) => domain.comeBack(vm),
+  [EventKind.ComeBack]: (domain, vm) => domain.reconnect(vm),
   [EventKind.Restart]: (domain, vm) => domain.restart(vm),
   [EventKind.Leave]: (domain, vm) => { domain.vms.get(vm)!.leaving = true },
   [EventKind.Straggle]: (domain, vm, amount) => { domain.vms.get(vm)!.straggling = amount > 1 },
-  [EventKind.Unlist]: (domain, vm) => { domain.vms.get(vm)!.known = false },
-  [EventKind.ListAgain]: (domain, vm) => { domain.vms.get(vm)!.known = true },
+  [EventKind.Unlist]: (domain, vm) => { domain.vms.get(vm)!.listed = false },
+  [EventKind.ListAgain]: (domain, vm) => { domain.vms.get(vm)!.listed = true },
   [EventKind.ForgetMemory]: (domain) => { domain.memory = emptyPlanningMemory },
   [EventKind.Dark]: (domain) => { for (const vm of domain.vms.keys()) domain.kill(vm) },
   [EventKind.Want]: (domain, _vm, amount) => { domain.intents = [{ ...LARGE, replicas: amount % 4 }, SMALL] },
-  [EventKind.Stall]: (domain, _vm, amount) => { domain.following = amount > 0 },
+  [EventKind.Stall]: (domain, _vm, amount) => { domain.followsAssignment = amount > 0 },
   [EventKind.Rollout]: (domain, _vm, amount) => {
     const changing = domain.assignment?.groups.map((group) => group.group).slice(0, 1) ?? []
     domain.intents = [{ ...LARGE, revision: { version: `v${amount}`, adapters: [] }, changing }, SMALL]
@@ -58,7 +58,7 @@
   ticks: fc.constantFrom(0, 1, 2, 5, 40)
 })
 
-function checkTick (domain: PlannedFabricDomain, before: readonly AssignedGroup[], highestBefore: number): void {
+function checkTick (domain: SimulatedFabricDomain, before: readonly AssignedGroup[], highestBefore: number): void {
   const groups = domain.assignment!.groups
   const places = groups.flatMap((group) => [...group.members, ...group.standbys].map((place) => place.vm))
   expect(new Set(places).size, 'a VM has two places').to.equal(places.length)
@@ -73,16 +73,16 @@
   }
 }
 
-function checkServing (domain: PlannedFabricDomain, group: AssignedGroup): void {
+function checkServing (domain: SimulatedFabricDomain, group: AssignedGroup): void {
   for (const member of group.members) {
     const vm = domain.vms.get(member.vm)!
-    const restarted = vm.present && vm.known && vm.incarnation > member.incarnation
+    const restarted = vm.present && vm.listed && vm.incarnation > member.incarnation
     expect(restarted, `${group.group} serves with a member that restarted`).to.equal(false)
   }
 }
 
-function run (events: readonly ScheduledEvent[]): PlannedFabricDomain {
-  const domain = new PlannedFabricDomain(VM_COUNT, [LARGE, SMALL])
+function run (events: readonly ScheduledEvent[]): SimulatedFabricDomain {
+  const domain = new SimulatedFabricDomain(VM_COUNT, [LARGE, SMALL])
   const tick = (): FabricDomainPlan => {
     const before = domain.assignment?.groups ?? []
     const highest = domain.assignment?.highestFormation ?? 0
@@ -98,16 +98,16 @@
   return domain
 }
 
-function heal (domain: PlannedFabricDomain): void {
-  domain.following = true
+function endFaults (domain: SimulatedFabricDomain): void {
+  domain.followsAssignment = true
   domain.intents = [{ ...LARGE, revision: domain.intents[0]!.revision }, SMALL]
   for (const vm of domain.vms.values()) {
-    vm.known = true
+    vm.listed = true
     vm.leaving = false
     vm.straggling = false
-    if (!vm.present) domain.comeBack(vm.vm)
+    if (!vm.present) domain.reconnect(vm.vm)
   }
-  domain.follow()
+  domain.applyAssignment()
 }
 
 describe(`planFabricDomain over random schedules (seed ${SEED})`, function () {
@@ -120,9 +120,9 @@
   it('comes to rest with everything wanted serving once the faults end', () => {
     fc.assert(fc.property(fc.array(event, { maxLength: 20 }), (events) => {
       const domain = run(events)
-      heal(domain)
+      endFaults(domain)
       for (let count = 0; count < 30; count++) domain.tick(60_000)
-      domain.settle(400)
+      domain.tickUntilStable(400)
       const serving = domain.assignment!.groups.filter((group) => group.state === GroupState.Serving)
       expect(serving.filter((group) => group.model === 'drafting').length).to.equal(2)
       expect(serving.filter((group) => group.model === 'logbook').length).to.equal(2)
--- a/packages/dotterelspur/src/__tests__/unit/ReplicaAllocation.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/ReplicaAllocation.test.ts
@@ -5,7 +5,7 @@
 
 const SEED = 2_718
 
-function createRanked (change: Partial<ModelIntent> = {}, team = 'tradeline', priority = 50): RankedIntent {
+function createRankedIntent (change: Partial<ModelIntent> = {}, team = 'tradeline', priority = 50): RankedIntent {
   const intent: ModelIntent = {
     model: 'logbook',
     version: 'v1',
@@ -40,19 +40,19 @@
 
 describe('allocateReplicas', () => {
   it('spreads over failure domains, whole groups only', () => {
-    expect(sharesOf(allocateReplicas([createRanked()], createDomains([15, 15, 15])))).to.deep.equal({ 'f0-a': 1, 'f1-a': 1, 'f2-a': 1 })
-    const tight = allocateReplicas([createRanked()], createDomains([3, 7, 3]))
+    expect(sharesOf(allocateReplicas([createRankedIntent()], createDomains([15, 15, 15])))).to.deep.equal({ 'f0-a': 1, 'f1-a': 1, 'f2-a': 1 })
+    const tight = allocateReplicas([createRankedIntent()], createDomains([3, 7, 3]))
     expect(sharesOf(tight)).to.deep.equal({ 'f1-a': 1 })
     expect(tight.unmet[0]).to.deep.include({ wanted: 3, allocated: 1, lostTo: [] })
   })
 
   it('keeps what is held where it is', () => {
     const domains = createDomains([15, 15, 15], [{ serving: 2 }, { serving: 1 }])
-    expect(sharesOf(allocateReplicas([createRanked()], domains))).to.include({ 'f0-a': 2, 'f1-a': 1 })
+    expect(sharesOf(allocateReplicas([createRankedIntent()], domains))).to.include({ 'f0-a': 2, 'f1-a': 1 })
   })
 
   it('evens out after a failure domain has come back, one replica at a time, and lets go of the old only when the new serves', () => {
-    const wanted = createRanked({ replicas: 4 })
+    const wanted = createRankedIntent({ replicas: 4 })
     const started = allocateReplicas([wanted], createDomains([15, 15, 15], [{ serving: 2 }, { serving: 2 }]))
     expect(sharesOf(started)).to.deep.equal({ 'f0-a': 2, 'f1-a': 2, 'f2-a': 1 })
     const forming = allocateReplicas([wanted], createDomains([15, 15, 15], [{ serving: 2 }, { serving: 2 }, { forming: 1 }]))
@@ -63,8 +63,8 @@
   })
 
   it('settles competing teams by stated priority and names to whom it was lost', () => {
-    const high = createRanked({ replicas: 2 }, 'tradeline', 80)
-    const low = createRanked({ model: 'drafting', replicas: 2 }, 'piedmont', 20)
+    const high = createRankedIntent({ replicas: 2 }, 'tradeline', 80)
+    const low = createRankedIntent({ model: 'drafting', replicas: 2 }, 'piedmont', 20)
     const allocation = allocateReplicas([low, high], createDomains([4, 8]))
     expect(sharesOf(allocation)).to.deep.equal({ 'f0-a': 1, 'f1-a': 1 })
     expect(sharesOf(allocation, 'piedmont')).to.deep.equal({ 'f1-a': 1 })
@@ -78,14 +78,14 @@
   // Cause: the list's count was taken for the capacity.
   it('holds on to groups while a VM is missing from the list', () => {
     const domains = createDomains([7, 15, 15], [{ serving: 1, forming: 1 }, { serving: 1 }])
-    expect(sharesOf(allocateReplicas([createRanked()], domains))).to.include({ 'f0-a': 2, 'f1-a': 1 })
+    expect(sharesOf(allocateReplicas([createRankedIntent()], domains))).to.include({ 'f0-a': 2, 'f1-a': 1 })
   })
 
   it(`never exceeds capacity or the count wanted by more than one, whatever the order of its input (seed ${SEED})`, () => {
     const domains = fc.array(fc.nat(30), { minLength: 1, maxLength: 6 }).map((vms) => createDomains(vms))
     const intents = fc.tuple(fc.nat(6), fc.nat(6), fc.integer({ min: 1, max: 5 }), fc.integer({ min: 1, max: 5 }))
     fc.assert(fc.property(domains, intents, (capacities, [first, second, firstSize, secondSize]) => {
-      const ranked = [createRanked({ replicas: first, vmsPerReplica: firstSize }), createRanked({ model: 'drafting', replicas: second, vmsPerReplica: secondSize }, 'piedmont', 70)]
+      const ranked = [createRankedIntent({ replicas: first, vmsPerReplica: firstSize }), createRankedIntent({ model: 'drafting', replicas: second, vmsPerReplica: secondSize }, 'piedmont', 70)]
       const allocation = allocateReplicas(ranked, capacities)
       expect(allocateReplicas(ranked.slice().reverse(), capacities.slice().reverse())).to.deep.equal(allocation)
       for (const domain of capacities) {
--- a/packages/dotterelspur/src/__tests__/unit/Rollout.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Rollout.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { GroupState, RolloutPhase, planRollout } from '../../index.js'
 import type { RolloutGroup, RolloutInput, RolloutRecord } from '../../index.js'
-import { PlannedFabricDomain, createIntent } from './planningFixture.js'
+import { SimulatedFabricDomain, createIntent } from './planningFixture.js'
 
 const OLD = { version: 'v1', adapters: [] }
 const NEW = { version: 'v2', adapters: [] }
@@ -56,7 +56,7 @@
     it(`halts on ${name} and goes back`, () => {
       const plan = planRollout(createInput([group, createGroup(1)]))
       expect(plan.rollout).to.deep.include({ phase: RolloutPhase.Halted, previous: OLD })
-      expect(plan.held).to.contain(cause)
+      expect(plan.holdReason).to.contain(cause)
       expect(plan).to.deep.include({ revision: OLD, changing: ['g0'] })
     })
   }
@@ -71,13 +71,13 @@
 })
 
 describe('a change of version in a fabric domain', () => {
-  function createDomain (vms: number): PlannedFabricDomain {
-    const domain = new PlannedFabricDomain(vms, [createIntent({ replicas: 2 })])
-    domain.settle()
+  function createDomain (vms: number): SimulatedFabricDomain {
+    const domain = new SimulatedFabricDomain(vms, [createIntent({ replicas: 2 })])
+    domain.tickUntilStable()
     return domain
   }
 
-  function change (domain: PlannedFabricDomain): number {
+  function change (domain: SimulatedFabricDomain): number {
     const group = domain.assignment!.groups[0]!.group
     domain.intents = [createIntent({ replicas: 2, revision: NEW, changing: [group] })]
     let fewest = 2
--- a/packages/dotterelspur/src/__tests__/unit/StepIn.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/StepIn.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { GroupState, countStepIns, deriveStepIn, groupAtStepIn, readStepIn } from '../../index.js'
 import type { AssignedGroup, AssignedMember } from '../../index.js'
-import { PlannedFabricDomain, createIntent } from './planningFixture.js'
+import { SimulatedFabricDomain, createIntent } from './planningFixture.js'
 
 const SEED = 31_415
 
@@ -82,8 +82,8 @@
   // Sequence: the store goes out; a member dies; its standby steps in and the group serves; the store is back.
   // Cause: the planner knew only the formation that was written before the outage.
   it('are taken over as they stand when the store is back', () => {
-    const domain = new PlannedFabricDomain(5, [createIntent({ vmsPerReplica: 4, standbys: 1 })])
-    domain.settle()
+    const domain = new SimulatedFabricDomain(5, [createIntent({ vmsPerReplica: 4, standbys: 1 })])
+    domain.tickUntilStable()
     const before = domain.assignment!.groups[0]!
     const lost = before.members[1]!.vm
     const derived = deriveStepIn(before, [lost])!
@@ -101,13 +101,13 @@
   })
 
   it('have numbers that no later formation reuses', () => {
-    const domain = new PlannedFabricDomain(6, [createIntent({ vmsPerReplica: 4, standbys: 2 })])
-    domain.settle()
+    const domain = new SimulatedFabricDomain(6, [createIntent({ vmsPerReplica: 4, standbys: 2 })])
+    domain.tickUntilStable()
     const group = domain.assignment!.groups[0]!
     const last = group.stepInBase! + countStepIns(4, 2) - 1
     expect(domain.assignment!.highestFormation).to.be.at.least(last)
     domain.restart(group.members[0]!.vm)
-    domain.settle()
+    domain.tickUntilStable()
     expect(domain.assignment!.groups[0]!.formation).to.be.greaterThan(last)
   })
 })
--- a/packages/dotterelspur/src/__tests__/unit/planningFixture.ts
+++ b/packages/dotterelspur/src/__tests__/unit/planningFixture.ts
@@ -20,11 +20,11 @@
 }
 
 /** A VM that does what it is told at once, and can die, restart, leave and straggle. */
-export interface SimpleVm {
+export interface SimulatedVm {
   readonly vm: VmId
   incarnation: number
   present: boolean
-  known: boolean
+  listed: boolean
   leaving: boolean
   drained: boolean
   straggling: boolean
@@ -33,7 +33,7 @@
 }
 
 /** A fabric domain whose VMs follow the assignment; each `tick` plans, applies the plan and lets the VMs follow. */
-export class PlannedFabricDomain {
+export class SimulatedFabricDomain {
   nowMs = 1_000
   assignment: AssignmentObject | null = null
   memory: PlanningMemory = emptyPlanningMemory
@@ -42,8 +42,8 @@
   drainedGroups: readonly string[] = []
   loadBudget = { loadsPerMinute: 60, burst: 32 }
   /** When false, VMs ignore what is assigned, as if they still loaded. */
-  following = true
-  readonly vms = new Map<VmId, SimpleVm>()
+  followsAssignment = true
+  readonly vms = new Map<VmId, SimulatedVm>()
 
   constructor (vmCount: number, intents: readonly PlannedIntent[] = [createIntent()]) {
     this.intents = intents
@@ -51,7 +51,7 @@
   }
 
   addVm (vm: VmId): void {
-    this.vms.set(vm, { vm, incarnation: 1, present: true, known: true, leaving: false, drained: false, straggling: false, absentSinceMs: null, status: idleStatus(vm, 1) })
+    this.vms.set(vm, { vm, incarnation: 1, present: true, listed: true, leaving: false, drained: false, straggling: false, absentSinceMs: null, status: idleStatus(vm, 1) })
   }
 
   input (): FabricDomainInput {
@@ -62,7 +62,7 @@
       failureDomain: 'perth-1',
       fabricDomain: 'perth-1-a',
       assignment: this.assignment,
-      vms: [...this.vms.values()].filter((vm) => vm.known).map(toHealth),
+      vms: [...this.vms.values()].filter((vm) => vm.listed).map(toHealth),
       drainedGroups: this.drainedGroups,
       intents: this.intents,
       loadBudget: this.loadBudget,
@@ -84,13 +84,13 @@
       highestFormation: plan.highestFormation,
       rollouts: plan.rollouts
     }
-    if (this.following) this.follow()
+    if (this.followsAssignment) this.applyAssignment()
     this.nowMs += stepMs
     return plan
   }
 
   /** Ticks until nothing changes for `quietTicks`, and fails after `limit`. */
-  settle (limit = 200, quietTicks = 5): void {
+  tickUntilStable (limit = 200, quietTicks = 5): void {
     let quiet = 0
     for (let count = 0; count < limit; count++) {
       quiet = this.tick().changed ? 0 : quiet + 1
@@ -106,7 +106,7 @@
   }
 
   /** Back as the process that it was. */
-  comeBack (vm: VmId): void {
+  reconnect (vm: VmId): void {
     const found = this.vms.get(vm)!
     found.present = true
     found.absentSinceMs = null
@@ -116,7 +116,7 @@
     const found = this.vms.get(vm)!
     found.incarnation += 1
     found.status = idleStatus(vm, found.incarnation)
-    this.comeBack(vm)
+    this.reconnect(vm)
   }
 
   serving (): number {
@@ -124,11 +124,11 @@
   }
 
   /** Lets the VMs do what the assignment says, at once. */
-  follow (): void {
-    for (const vm of this.vms.values()) this.followOne(vm)
+  applyAssignment (): void {
+    for (const vm of this.vms.values()) this.applyAssignmentTo(vm)
   }
 
-  private followOne (vm: SimpleVm): void {
+  private applyAssignmentTo (vm: SimulatedVm): void {
     if (!vm.present) return
     const group = this.assignment!.groups.find((one) => [...one.members, ...one.standbys].some((place) => place.vm === vm.vm && place.incarnation === vm.incarnation))
     const joined = group?.members.some((member) => member.vm === vm.vm) === true
@@ -148,7 +148,7 @@
   return { vm, incarnation, state: EngineState.Idle, group: null, formation: 0, model: null, version: null, adapters: [], fencing: 0, load: LOAD }
 }
 
-function toHealth (vm: SimpleVm): VmHealth {
+function toHealth (vm: SimulatedVm): VmHealth {
   return {
     vm: vm.vm,
     incarnation: vm.incarnation,
--- a/packages/dotterelspur/src/version/explain/causes.ts
+++ b/packages/dotterelspur/src/version/explain/causes.ts
@@ -2,7 +2,7 @@
 import type { ExplainCause } from '../ExplainPort.js'
 import { ExplainCauseKind } from '../ExplainPort.js'
 import type { AssignedGroup, AssignedMember } from '../PlatformObjects.js'
-import type { Decision, RejectedWay } from '../planning/Decision.js'
+import type { Decision, RejectedOption } from '../planning/Decision.js'
 import { DecisionKind } from '../planning/Decision.js'
 import type { VmHealth } from '../planning/PlanningInput.js'
 import { VmPresence } from '../planning/PlanningInput.js'
@@ -88,7 +88,7 @@
   return `Decided: ${decision.kind}${score}: ${decision.reason}.`
 }
 
-function describeWay (way: RejectedWay): string {
+function describeWay (way: RejectedOption): string {
   const score = way.score === null ? 'not open' : `score ${way.score.toFixed(4)}`
   return `${way.kind} (${score}): ${way.reason}`
 }
--- a/packages/dotterelspur/src/version/explain/explainIntent.ts
+++ b/packages/dotterelspur/src/version/explain/explainIntent.ts
@@ -33,7 +33,7 @@
 
 function unmetKind (unmet: UnmetIntent): ExplainCauseKind {
   if (unmet.lostTo.length > 0) return ExplainCauseKind.CompetingTeam
-  return unmet.placesAllowed === 0 ? ExplainCauseKind.NoPlace : ExplainCauseKind.TooFewVms
+  return unmet.eligibleFabricDomains === 0 ? ExplainCauseKind.NoPlace : ExplainCauseKind.TooFewVms
 }
 
 function rolloutCauses (input: ExplainInput, team: TeamId, model: ModelId): readonly ExplainCause[] {
--- a/packages/dotterelspur/src/version/planning/Candidates.ts
+++ b/packages/dotterelspur/src/version/planning/Candidates.ts
@@ -34,7 +34,7 @@
 }
 
 function isClaimable (plan: PendingPlan, view: VmView, intent: PlannedIntent): boolean {
-  const group = plan.groupHolding(view.health.vm)
+  const group = plan.groupOfVm(view.health.vm)
   if (group === undefined) return true
   if (!group.standbys.some((standby) => standby.vm === view.health.vm)) return false
   const owner = plan.intentOf(group)
--- a/packages/dotterelspur/src/version/planning/Decision.ts
+++ b/packages/dotterelspur/src/version/planning/Decision.ts
@@ -34,7 +34,7 @@
 }
 
 /** A way that was weighed and not taken. The lower score wins; null when the way wasn't open. */
-export interface RejectedWay {
+export interface RejectedOption {
   readonly kind: DecisionKind
   readonly score: number | null
   readonly reason: string
@@ -49,7 +49,7 @@
   readonly reason: string
   /** Weighted cost that the way taken is expected to have, in weighted hours; null where nothing was weighed. */
   readonly score: number | null
-  readonly rejected: readonly RejectedWay[]
+  readonly rejected: readonly RejectedOption[]
   readonly atWallMs: number
 }
 
--- a/packages/dotterelspur/src/version/planning/DrainedGroups.ts
+++ b/packages/dotterelspur/src/version/planning/DrainedGroups.ts
@@ -6,7 +6,7 @@
 import { fillPlaces, startLoads } from './GroupRepair.js'
 import { findUnwanted } from './GroupShrink.js'
 import type { PendingPlan } from './PendingPlan.js'
-import { describeSituation } from './RepairWays.js'
+import { describeSituation } from './RepairOptions.js'
 import { isMemberPresent } from './VmTable.js'
 
 /**
@@ -17,16 +17,16 @@
 export function finishDrains (plan: PendingPlan): void {
   const unwanted = findUnwanted(plan)
   for (const group of plan.allGroups()) {
-    if (group.state !== GroupState.Draining || !hasFinished(plan, group)) continue
+    if (group.state !== GroupState.Draining || !hasFinishedDraining(plan, group)) continue
     if (unwanted.has(group.group) || isDonated(plan, group)) dissolve(plan, group)
-    else if (!plan.input.drainedGroups.includes(group.group) && plan.formationsLeft > 0) formAgain(plan, group)
+    else if (!plan.input.drainedGroups.includes(group.group) && plan.formationsLeft > 0) reformGroup(plan, group)
   }
 }
 
-function hasFinished (plan: PendingPlan, group: AssignedGroup): boolean {
+function hasFinishedDraining (plan: PendingPlan, group: AssignedGroup): boolean {
   const { nowMs, settings } = plan.input
   const sinceMs = plan.groupMemory(group.group).drainingSinceMs ?? nowMs
-  plan.remember(group.group, { drainingSinceMs: sinceMs })
+  plan.updateGroupMemory(group.group, { drainingSinceMs: sinceMs })
   const drainedForMs = nowMs - sinceMs
   if (drainedForMs < settings.drainSettleMs) return false
   return drainedForMs >= settings.drainMs || group.members.every((member) => isIdle(plan, member))
@@ -52,10 +52,10 @@
 function dissolve (plan: PendingPlan, group: AssignedGroup): void {
   const reason = `drained: ${group.cause}`
   plan.removeGroup(group.group)
-  plan.decide({ kind: DecisionKind.Dissolve, group: group.group, vms: group.members.map((member) => member.vm), reason })
+  plan.recordDecision({ kind: DecisionKind.Dissolve, group: group.group, vms: group.members.map((member) => member.vm), reason })
 }
 
-function formAgain (plan: PendingPlan, group: AssignedGroup): void {
+function reformGroup (plan: PendingPlan, group: AssignedGroup): void {
   const situation = describeSituation(plan, group, plan.intentOf(group)!)
   const lost = lostMembers(plan, group)
   if (situation.candidates.length < lost.length) {
@@ -69,7 +69,7 @@
   const changes = revision.version !== group.version || revision.adapters.join() !== group.adapters.join()
   startLoads(plan, group, substitutes)
   plan.reform(group, members, revision, group.cause)
-  plan.decide({
+  plan.recordDecision({
     kind: changes ? DecisionKind.Rollout : DecisionKind.Swap,
     group: group.group,
     vms: members.map((member) => member.vm),
--- a/packages/dotterelspur/src/version/planning/FabricDomainPlanner.ts
+++ b/packages/dotterelspur/src/version/planning/FabricDomainPlanner.ts
@@ -4,13 +4,13 @@
 import type { FabricDomainPlan } from './Decision.js'
 import { finishDrains } from './DrainedGroups.js'
 import { growGroups } from './GroupGrowth.js'
-import { settleGroupStates } from './GroupObservation.js'
+import { updateGroupStates } from './GroupObservation.js'
 import { repairGroups } from './GroupRepair.js'
 import { shrinkGroups } from './GroupShrink.js'
 import { swapMembers } from './MemberSwap.js'
 import { PendingPlan } from './PendingPlan.js'
 import type { FabricDomainInput } from './PlanningInput.js'
-import { isDarkHeld, observe } from './PlanningObservation.js'
+import { isHeldWhileDark, observe } from './PlanningObservation.js'
 import { changeVersions, nextRollouts } from './RolloutStep.js'
 import { planStandbys, pruneStandbys, reserveStepIns } from './StandbyPlan.js'
 import { readStepIn } from './StepIn.js'
@@ -24,8 +24,8 @@
 export function planFabricDomain (input: FabricDomainInput): FabricDomainPlan {
   const memory = observe(input)
   const plan = new PendingPlan(input, memory)
-  settleGroupStates(plan)
-  if (!isDarkHeld(memory, input)) changeGroups(plan)
+  updateGroupStates(plan)
+  if (!isHeldWhileDark(memory, input)) changeGroups(plan)
   return commit(plan, input)
 }
 
--- a/packages/dotterelspur/src/version/planning/GroupGrowth.ts
+++ b/packages/dotterelspur/src/version/planning/GroupGrowth.ts
@@ -7,7 +7,7 @@
 import type { PendingPlan } from './PendingPlan.js'
 import type { PlannedIntent } from './PlanningInput.js'
 import { canSurge, intentWeights } from './RolloutStep.js'
-import { compareText, memberOf } from './VmTable.js'
+import { compareText, toMember } from './VmTable.js'
 
 /** Intents in the order in which they are served: stated priority, then name. */
 export function orderIntents (intents: readonly PlannedIntent[]): readonly PlannedIntent[] {
@@ -47,7 +47,7 @@
     model: intent.model,
     version: intent.revision.version,
     adapters: intent.revision.adapters,
-    members: candidates.map((candidate) => memberOf(candidate.view)),
+    members: candidates.map((candidate) => toMember(candidate.view)),
     standbys: [],
     cause: reason,
     sinceWallMs: plan.input.wallMs
@@ -56,5 +56,5 @@
   for (const vm of vms) plan.releaseStandby(vm)
   startLoads(plan, group, candidates)
   plan.setGroup(group)
-  plan.decide({ kind: DecisionKind.Form, group: group.group, vms, reason })
+  plan.recordDecision({ kind: DecisionKind.Form, group: group.group, vms, reason })
 }
--- a/packages/dotterelspur/src/version/planning/GroupObservation.ts
+++ b/packages/dotterelspur/src/version/planning/GroupObservation.ts
@@ -8,12 +8,12 @@
 import { isMemberPresent } from './VmTable.js'
 
 /** Brings each group's recorded state in line with what its members say: stepped in, broken, back again, serving. */
-export function settleGroupStates (plan: PendingPlan): void {
+export function updateGroupStates (plan: PendingPlan): void {
   for (const group of plan.allGroups()) {
     if (group.state === GroupState.Draining || adoptStepIn(plan, group)) continue
     const losses = findLosses(plan, group)
     if (losses.length > 0) markBroken(plan, group, losses)
-    else if (group.state === GroupState.Broken) resumeIfWhole(plan, group)
+    else if (group.state === GroupState.Broken) resumeIfComplete(plan, group)
     else if (group.state === GroupState.Forming) serveIfReady(plan, group)
   }
 }
@@ -43,9 +43,9 @@
     const derived = readStepIn(group, formation)
     if (derived === null) continue
     const adopted = groupAtStepIn(group, derived)
-    if (!allAtFormation(plan, adopted)) continue
+    if (!allReadyAtFormation(plan, adopted)) continue
     plan.setGroup({ ...adopted, sinceWallMs: plan.input.wallMs })
-    plan.decide({ kind: DecisionKind.StepIn, group: group.group, vms: adopted.members.map((member) => member.vm), reason: adopted.cause })
+    plan.recordDecision({ kind: DecisionKind.StepIn, group: group.group, vms: adopted.members.map((member) => member.vm), reason: adopted.cause })
     return true
   }
   return false
@@ -74,9 +74,9 @@
 function markBroken (plan: PendingPlan, group: AssignedGroup, losses: readonly Loss[]): void {
   if (group.state === GroupState.Broken) return
   const reason = losses.map((loss) => loss.text).join('; ')
-  plan.remember(group.group, { brokenSinceMs: plan.input.nowMs })
+  plan.updateGroupMemory(group.group, { brokenSinceMs: plan.input.nowMs })
   plan.setState(group, GroupState.Broken, reason)
-  plan.decide({ kind: DecisionKind.Break, group: group.group, vms: losses.map((loss) => loss.vm), reason })
+  plan.recordDecision({ kind: DecisionKind.Break, group: group.group, vms: losses.map((loss) => loss.vm), reason })
 }
 
 function describeLoss (plan: PendingPlan, group: AssignedGroup, member: AssignedMember): string {
@@ -90,24 +90,24 @@
  * A broken group gets no orders. One that broke before its engines had joined would wait for ever for them to
  * report a formation that nobody tells them, with all its members there: it goes back to forming.
  */
-function resumeIfWhole (plan: PendingPlan, group: AssignedGroup): void {
+function resumeIfComplete (plan: PendingPlan, group: AssignedGroup): void {
   if (!group.members.every((member) => isMemberPresent(member, plan.views))) return
-  const joined = allAtFormation(plan, group)
+  const joined = allReadyAtFormation(plan, group)
   const reason = joined ? `all members are back at formation ${group.formation}` : `all members are back and join formation ${group.formation}`
-  plan.remember(group.group, { brokenSinceMs: null })
+  plan.updateGroupMemory(group.group, { brokenSinceMs: null })
   plan.setState(group, joined ? GroupState.Serving : GroupState.Forming, reason)
-  plan.decide({ kind: DecisionKind.Resume, group: group.group, vms: [], reason })
+  plan.recordDecision({ kind: DecisionKind.Resume, group: group.group, vms: [], reason })
 }
 
 function serveIfReady (plan: PendingPlan, group: AssignedGroup): void {
-  if (!allAtFormation(plan, group)) return
+  if (!allReadyAtFormation(plan, group)) return
   const reason = `all ${group.members.length} members are ready at formation ${group.formation}`
   plan.setState(group, GroupState.Serving, reason)
-  plan.decide({ kind: DecisionKind.Serve, group: group.group, vms: [], reason })
+  plan.recordDecision({ kind: DecisionKind.Serve, group: group.group, vms: [], reason })
 }
 
 /** A member that says it leaves has joined and still works: were it not counted, a forming group with one would never serve and so never exchange it. */
-function allAtFormation (plan: PendingPlan, group: AssignedGroup): boolean {
+function allReadyAtFormation (plan: PendingPlan, group: AssignedGroup): boolean {
   return group.members.every((member) => {
     if (!isMemberPresent(member, plan.views)) return false
     const status = plan.views.get(member.vm)!.health.status
--- a/packages/dotterelspur/src/version/planning/GroupRepair.ts
+++ b/packages/dotterelspur/src/version/planning/GroupRepair.ts
@@ -7,10 +7,10 @@
 import { lostMembers } from './GroupObservation.js'
 import { startDrain } from './GroupShrink.js'
 import type { PendingPlan } from './PendingPlan.js'
-import type { RepairWay, Situation } from './RepairWays.js'
-import { describeSituation, findWays, isUnfit } from './RepairWays.js'
+import type { RepairOption, RepairSituation } from './RepairOptions.js'
+import { describeSituation, findRepairOptions, isUnfit } from './RepairOptions.js'
 import { costPerHour } from './RepairCost.js'
-import { memberOf, weightsKey } from './VmTable.js'
+import { toMember, weightsKey } from './VmTable.js'
 
 /** Brings broken groups back, those first whose repair is worth most for each VM that it takes. */
 export function repairGroups (plan: PendingPlan): void {
@@ -32,25 +32,25 @@
 
 function repairGroup (plan: PendingPlan, group: AssignedGroup): void {
   const situation = describeSituation(plan, group, plan.intentOf(group)!)
-  const ways = findWays(plan, situation).slice().sort((left, right) => left.score - right.score)
-  const [best, ...rejected] = ways
-  const way = best!
-  if (!plan.mayLoad(countLoads(way.substitutes))) {
-    const reason = `the weight store's rate is used up; then: ${way.reason}`
-    plan.decide({ kind: DecisionKind.Wait, group: group.group, vms: [], reason, score: way.score, rejected: rejected.map(toRejected) })
+  const options = findRepairOptions(plan, situation).slice().sort((left, right) => left.score - right.score)
+  const [best, ...rejected] = options
+  const option = best!
+  if (!plan.mayLoad(countLoads(option.substitutes))) {
+    const reason = `the weight store's rate is used up; then: ${option.reason}`
+    plan.recordDecision({ kind: DecisionKind.Wait, group: group.group, vms: [], reason, score: option.score, rejected: rejected.map(toRejected) })
     return
   }
-  const vms = APPLY[way.kind]!(plan, situation, way)
-  plan.decide({ kind: way.kind, group: group.group, vms, reason: way.reason, score: way.score, rejected: rejected.map(toRejected) })
+  const vms = APPLY_BY_KIND[option.kind]!(plan, situation, option)
+  plan.recordDecision({ kind: option.kind, group: group.group, vms, reason: option.reason, score: option.score, rejected: rejected.map(toRejected) })
 }
 
-function toRejected ({ kind, score, reason }: RepairWay): Pick<RepairWay, 'kind' | 'score' | 'reason'> {
+function toRejected ({ kind, score, reason }: RepairOption): Pick<RepairOption, 'kind' | 'score' | 'reason'> {
   return { kind, score, reason }
 }
 
-type ApplyWay = (plan: PendingPlan, situation: Situation, way: RepairWay) => readonly VmId[]
+type ApplyOption = (plan: PendingPlan, situation: RepairSituation, option: RepairOption) => readonly VmId[]
 
-const APPLY: Readonly<Partial<Record<DecisionKind, ApplyWay>>> = {
+const APPLY_BY_KIND: Readonly<Partial<Record<DecisionKind, ApplyOption>>> = {
   [DecisionKind.Wait]: () => [],
   [DecisionKind.Rejoin]: applySubstitutes,
   [DecisionKind.Replace]: applySubstitutes,
@@ -59,23 +59,23 @@
   [DecisionKind.Dissolve]: applyDissolve
 }
 
-function applySubstitutes (plan: PendingPlan, { group, places }: Situation, way: RepairWay): readonly VmId[] {
-  const members = fillPlaces(plan, group, way.substitutes, places)
-  startLoads(plan, group, way.substitutes)
-  plan.reform(group, members, nextWeights(plan, group).revision, `${way.kind}: ${way.reason}`)
-  return way.substitutes.map((candidate) => candidate.view.health.vm)
+function applySubstitutes (plan: PendingPlan, { group, places }: RepairSituation, option: RepairOption): readonly VmId[] {
+  const members = fillPlaces(plan, group, option.substitutes, places)
+  startLoads(plan, group, option.substitutes)
+  plan.reform(group, members, nextWeights(plan, group).revision, `${option.kind}: ${option.reason}`)
+  return option.substitutes.map((candidate) => candidate.view.health.vm)
 }
 
 /** Substitutes take the empty places, so that the others keep their rank; a member that restarted takes its own again. */
 export function fillPlaces (plan: PendingPlan, group: AssignedGroup, substitutes: readonly Candidate[], places: number): readonly AssignedMember[] {
   const lost = new Set(lostMembers(plan, group).map((member) => member.vm))
-  const remaining = substitutes.map((candidate) => memberOf(candidate.view))
+  const remaining = substitutes.map((candidate) => toMember(candidate.view))
   const withUnfit = places > lost.size
-  const own = (vm: VmId): AssignedMember => {
+  const takeSubstitute = (vm: VmId): AssignedMember => {
     const same = remaining.findIndex((candidate) => candidate.vm === vm)
     return remaining.splice(Math.max(0, same), 1)[0]!
   }
-  return group.members.map((member) => lost.has(member.vm) || (withUnfit && isUnfit(plan, member.vm)) ? own(member.vm) : member)
+  return group.members.map((member) => lost.has(member.vm) || (withUnfit && isUnfit(plan, member.vm)) ? takeSubstitute(member.vm) : member)
 }
 
 export function startLoads (plan: PendingPlan, group: AssignedGroup, candidates: readonly Candidate[]): void {
@@ -86,20 +86,20 @@
 }
 
 /** The giving group is given up; what is left of it comes free, and it is formed again once there are VMs enough. */
-function applyMerge (plan: PendingPlan, situation: Situation, way: RepairWay): readonly VmId[] {
-  const given = way.other!
+function applyMerge (plan: PendingPlan, situation: RepairSituation, option: RepairOption): readonly VmId[] {
+  const donor = option.other!
   const reason = `gave its VMs to ${situation.group.group}, which was broken too`
-  plan.removeGroup(given.group)
-  plan.decide({ kind: DecisionKind.Dissolve, group: given.group, vms: given.members.map((member) => member.vm), reason })
-  return applySubstitutes(plan, situation, way)
+  plan.removeGroup(donor.group)
+  plan.recordDecision({ kind: DecisionKind.Dissolve, group: donor.group, vms: donor.members.map((member) => member.vm), reason })
+  return applySubstitutes(plan, situation, option)
 }
 
-function applyDonate (plan: PendingPlan, _situation: Situation, way: RepairWay): readonly VmId[] {
-  startDrain(plan, way.other!, way.reason)
+function applyDonate (plan: PendingPlan, _situation: RepairSituation, option: RepairOption): readonly VmId[] {
+  startDrain(plan, option.other!, option.reason)
   return []
 }
 
-function applyDissolve (plan: PendingPlan, { group }: Situation): readonly VmId[] {
+function applyDissolve (plan: PendingPlan, { group }: RepairSituation): readonly VmId[] {
   plan.removeGroup(group.group)
   return group.members.map((member) => member.vm)
 }
--- a/packages/dotterelspur/src/version/planning/GroupShrink.ts
+++ b/packages/dotterelspur/src/version/planning/GroupShrink.ts
@@ -16,7 +16,7 @@
       continue
     }
     const reason = unwanted.get(group.group)
-    if (reason === undefined) plan.remember(group.group, { surplusSinceMs: null })
+    if (reason === undefined) plan.updateGroupMemory(group.group, { surplusSinceMs: null })
     else drainAfterHold(plan, group, reason)
   }
 }
@@ -50,8 +50,8 @@
 function pickSurplus (held: readonly AssignedGroup[], intent: PlannedIntent): AssignedGroup | undefined {
   const inState = (state: GroupState): readonly AssignedGroup[] => held.filter((group) => group.state === state)
   const serving = inState(GroupState.Serving)
-  const out = [...inState(GroupState.Draining), ...inState(GroupState.Broken)]
-  if (out.length > 0) return out[0]
+  const notServing = [...inState(GroupState.Draining), ...inState(GroupState.Broken)]
+  if (notServing.length > 0) return notServing[0]
   if (serving.length > intent.replicas) return youngest(serving, intent)
   const forming = inState(GroupState.Forming)
   const replacing = serving.some((group) => !sameRevision(revisionOf(group), intent.revision))
@@ -72,14 +72,14 @@
 function drainAfterHold (plan: PendingPlan, group: AssignedGroup, reason: string): void {
   const { nowMs, settings } = plan.input
   const sinceMs = plan.groupMemory(group.group).surplusSinceMs ?? nowMs
-  plan.remember(group.group, { surplusSinceMs: sinceMs })
+  plan.updateGroupMemory(group.group, { surplusSinceMs: sinceMs })
   if (nowMs - sinceMs < settings.shrinkHoldMs) return
   startDrain(plan, group, reason)
 }
 
 /** From here on the group takes no new work; `finishDrains` decides what becomes of it once it has finished. */
 export function startDrain (plan: PendingPlan, group: AssignedGroup, reason: string): void {
-  plan.remember(group.group, { drainingSinceMs: plan.input.nowMs, surplusSinceMs: null })
+  plan.updateGroupMemory(group.group, { drainingSinceMs: plan.input.nowMs, surplusSinceMs: null })
   plan.setState(group, GroupState.Draining, reason)
-  plan.decide({ kind: DecisionKind.Drain, group: group.group, vms: [], reason })
+  plan.recordDecision({ kind: DecisionKind.Drain, group: group.group, vms: [], reason })
 }
--- a/packages/dotterelspur/src/version/planning/MemberSwap.ts
+++ b/packages/dotterelspur/src/version/planning/MemberSwap.ts
@@ -3,7 +3,7 @@
 import { claimableVms, nextWeights } from './Candidates.js'
 import { startDrain } from './GroupShrink.js'
 import type { PendingPlan } from './PendingPlan.js'
-import { isUnfit } from './RepairWays.js'
+import { isUnfit } from './RepairOptions.js'
 
 /** Members that are still there and should be exchanged before they are gone. */
 export function unfitMembers (plan: PendingPlan, group: AssignedGroup): readonly string[] {
--- a/packages/dotterelspur/src/version/planning/PendingPlan.ts
+++ b/packages/dotterelspur/src/version/planning/PendingPlan.ts
@@ -2,7 +2,7 @@
 import { invariant } from '../../process/invariant.js'
 import type { AssignedGroup, AssignedMember, ModelRevision } from '../PlatformObjects.js'
 import { GroupState } from '../PlatformObjects.js'
-import type { Decision, DecisionKind, RejectedWay } from './Decision.js'
+import type { Decision, DecisionKind, RejectedOption } from './Decision.js'
 import type { FabricDomainInput, PlannedIntent } from './PlanningInput.js'
 import type { GroupMemory, PlanningMemory, PreloadMemory, VmMemory } from './PlanningMemory.js'
 import { EMPTY_GROUP_MEMORY } from './PlanningMemory.js'
@@ -12,13 +12,13 @@
 const MINUTE_MS = 60_000
 
 /** The parts of a decision that a step states; the plan adds the rest. */
-export interface StatedDecision {
+export interface DecisionDraft {
   readonly kind: DecisionKind
   readonly group: GroupId | null
   readonly vms: readonly VmId[]
   readonly reason: string
   readonly score?: number
-  readonly rejected?: readonly RejectedWay[]
+  readonly rejected?: readonly RejectedOption[]
 }
 
 /**
@@ -40,7 +40,7 @@
     this.views = viewVms(input, memory)
     this.loadTokens = memory.loadTokens
     this.formationsLeft = input.settings.formationsPerTick
-    this.highestFormation = knownFormation(input)
+    this.highestFormation = highestKnownFormation(input)
     for (const group of input.assignment?.groups ?? []) this.setGroup(group)
     for (const [group, kept] of memory.groups) this.groupMemories.set(group, kept)
   }
@@ -57,7 +57,7 @@
     return this.groupMemories.get(id) ?? EMPTY_GROUP_MEMORY
   }
 
-  remember (id: GroupId, change: Partial<GroupMemory>): void {
+  updateGroupMemory (id: GroupId, change: Partial<GroupMemory>): void {
     this.groupMemories.set(id, { ...this.groupMemory(id), ...change })
   }
 
@@ -66,7 +66,7 @@
     return this.places.get(vm)
   }
 
-  groupHolding (vm: VmId): AssignedGroup | undefined {
+  groupOfVm (vm: VmId): AssignedGroup | undefined {
     const id = this.places.get(vm)
     return id === undefined ? undefined : this.groups.get(id)
   }
@@ -117,7 +117,7 @@
 
   /** Takes a standby out of whatever group keeps it. */
   releaseStandby (vm: VmId): void {
-    const group = this.groupHolding(vm)
+    const group = this.groupOfVm(vm)
     if (group === undefined || group.members.some((member) => member.vm === vm)) return
     this.setGroup({ ...group, standbys: group.standbys.filter((standby) => standby.vm !== vm) })
   }
@@ -138,8 +138,8 @@
   reform (group: AssignedGroup, members: readonly AssignedMember[], revision: ModelRevision, cause: string): void {
     const { preload: _preload, stepInBase: _stepInBase, ...kept } = group
     this.formationsLeft -= 1
-    this.remember(group.group, { ...EMPTY_GROUP_MEMORY, reformedAtMs: this.input.nowMs })
-    this.takeOver(group.group, members)
+    this.updateGroupMemory(group.group, { ...EMPTY_GROUP_MEMORY, reformedAtMs: this.input.nowMs })
+    this.releaseStandbyPlaces(group.group, members)
     this.setGroup({
       ...kept,
       standbys: this.groups.get(group.group)!.standbys.filter((standby) => !members.some((member) => member.vm === standby.vm)),
@@ -154,7 +154,7 @@
   }
 
   /** Empties the places that new members have as standbys, and starts the loads that they need. */
-  private takeOver (id: GroupId, members: readonly AssignedMember[]): void {
+  private releaseStandbyPlaces (id: GroupId, members: readonly AssignedMember[]): void {
     for (const { vm } of members) {
       if (this.places.get(vm) !== id) this.releaseStandby(vm)
     }
@@ -164,14 +164,14 @@
     this.setGroup({ ...group, state, cause, sinceWallMs: this.input.wallMs })
   }
 
-  decide (stated: StatedDecision): void {
+  recordDecision (draft: DecisionDraft): void {
     this.decisions.push({
-      kind: stated.kind,
-      group: stated.group,
-      vms: stated.vms,
-      reason: stated.reason,
-      score: stated.score ?? null,
-      rejected: stated.rejected ?? [],
+      kind: draft.kind,
+      group: draft.group,
+      vms: draft.vms,
+      reason: draft.reason,
+      score: draft.score ?? null,
+      rejected: draft.rejected ?? [],
       fabricDomain: this.input.fabricDomain,
       atWallMs: this.input.wallMs
     })
@@ -205,7 +205,7 @@
  * The highest formation that the object or any engine knows. An assignment object that an operator deleted
  * takes its count along; the engines' own word keeps formations rising all the same.
  */
-function knownFormation (input: FabricDomainInput): number {
+function highestKnownFormation (input: FabricDomainInput): number {
   const groups = input.assignment?.groups ?? []
   const reported = input.vms.map((health) => health.status?.formation ?? 0)
   const assigned = groups.map((group) => group.formation)
--- a/packages/dotterelspur/src/version/planning/PlanningObservation.ts
+++ b/packages/dotterelspur/src/version/planning/PlanningObservation.ts
@@ -4,11 +4,11 @@
 import type { PlanningMemory, ReturnSample, VmMemory } from './PlanningMemory.js'
 import { distinctVms } from './VmTable.js'
 
-const KEPT_RETURNS = 64
-const KEPT_ABSENCES = 16
+const MAX_RETURN_SAMPLES = 64
+const MAX_ABSENCES = 16
 const MINUTE_MS = 60_000
 
-const UNSEEN: Omit<VmMemory, 'incarnation'> = { present: false, presentSinceMs: null, absentSinceMs: null, absencesMs: [], preload: null }
+const UNOBSERVED: Omit<VmMemory, 'incarnation'> = { present: false, presentSinceMs: null, absentSinceMs: null, absencesMs: [], preload: null }
 
 /** Takes a tick's readings into the memory: absences, how they ended, darkness, and the load budget that has come free. */
 export function observe (input: FabricDomainInput): PlanningMemory {
@@ -27,7 +27,7 @@
     darkSinceMs: observeDarkness(vms, input),
     loadTokens: refilledTokens(input),
     loadTokensAtMs: input.nowMs,
-    returns: [...input.memory.returns, ...ended].slice(-KEPT_RETURNS)
+    returns: [...input.memory.returns, ...ended].slice(-MAX_RETURN_SAMPLES)
   }
 }
 
@@ -45,14 +45,14 @@
 
 function observePresent (health: VmHealth, before: VmMemory | undefined, absencesMs: readonly number[], input: FabricDomainInput): VmMemory {
   const sameProcess = before !== undefined && before.incarnation === health.incarnation
-  const restartedUnseen = before !== undefined && before.present && !sameProcess
-  const stayed = sameProcess && before.present
+  const missedRestart = before !== undefined && before.present && !sameProcess
+  const wasPresent = sameProcess && before.present
   return {
     incarnation: health.incarnation,
     present: true,
-    presentSinceMs: stayed ? before.presentSinceMs : input.nowMs,
+    presentSinceMs: wasPresent ? before.presentSinceMs : input.nowMs,
     absentSinceMs: null,
-    absencesMs: restartedUnseen ? [...absencesMs, input.nowMs].slice(-KEPT_ABSENCES) : absencesMs,
+    absencesMs: missedRestart ? [...absencesMs, input.nowMs].slice(-MAX_ABSENCES) : absencesMs,
     preload: sameProcess ? before.preload : null
   }
 }
@@ -64,13 +64,13 @@
     present: false,
     presentSinceMs: null,
     absentSinceMs: before?.absentSinceMs ?? health.absentSinceMs ?? input.nowMs,
-    absencesMs: wentAbsent ? [...absencesMs, input.nowMs].slice(-KEPT_ABSENCES) : absencesMs,
+    absencesMs: wentAbsent ? [...absencesMs, input.nowMs].slice(-MAX_ABSENCES) : absencesMs,
     preload: before?.preload ?? null
   }
 }
 
 function observeUnknown (health: VmHealth, before: VmMemory | undefined, absencesMs: readonly number[]): VmMemory {
-  return before === undefined ? { ...UNSEEN, incarnation: health.incarnation } : { ...before, absencesMs }
+  return before === undefined ? { ...UNOBSERVED, incarnation: health.incarnation } : { ...before, absencesMs }
 }
 
 function endedAbsence (before: VmMemory | undefined, after: VmMemory, nowMs: number): ReturnSample | null {
@@ -97,7 +97,7 @@
 }
 
 /** Whether repair and growth wait because the fabric domain has just gone dark. */
-export function isDarkHeld (memory: PlanningMemory, input: FabricDomainInput): boolean {
+export function isHeldWhileDark (memory: PlanningMemory, input: FabricDomainInput): boolean {
   return memory.darkSinceMs !== null && input.nowMs - memory.darkSinceMs < input.settings.darkHoldMs
 }
 
--- a/packages/dotterelspur/src/version/planning/RepairCost.ts
+++ b/packages/dotterelspur/src/version/planning/RepairCost.ts
@@ -23,16 +23,16 @@
 }
 
 /** How long a broken group would wait for its lost members, given that acting instead takes `actMs`. */
-export function forecastGroup (plan: PendingPlan, group: AssignedGroup, actMs: number): WaitForecast {
-  const forecasts = lostMembers(plan, group).map((member) => forecastMember(plan, member, actMs))
-  return forecasts.reduce((worst, one) => one.expectedMs > worst.expectedMs ? one : worst, { expectedMs: 0, pays: false })
+export function forecastGroupWait (plan: PendingPlan, group: AssignedGroup, actMs: number): WaitForecast {
+  const forecasts = lostMembers(plan, group).map((member) => forecastMemberWait(plan, member, actMs))
+  return forecasts.reduce((worst, one) => one.expectedMs > worst.expectedMs ? one : worst, { expectedMs: 0, isWorthwhile: false })
 }
 
-function forecastMember (plan: PendingPlan, member: AssignedMember, actMs: number): WaitForecast {
+function forecastMemberWait (plan: PendingPlan, member: AssignedMember, actMs: number): WaitForecast {
   const { settings } = plan.input
   const view = plan.views.get(member.vm)
   if (view?.present === true) {
-    return { expectedMs: Math.min(actMs, settings.loadMs + settings.joinMs), pays: false }
+    return { expectedMs: Math.min(actMs, settings.loadMs + settings.joinMs), isWorthwhile: false }
   }
   const awayMs = view === undefined ? settings.longestWaitMs : view.absentForMs
   return forecastWait(plan.memory.returns, { awayMs, gone: view?.health.gone === true }, actMs, settings)
--- a/packages/dotterelspur/src/version/planning/RepairWays.ts
+++ b/packages/dotterelspur/src/version/planning/RepairOptions.ts
@@ -3,15 +3,15 @@
 import type { Candidate } from './Candidates.js'
 import { claimableVms, countLoads, joinDelayMs, toCandidate, nextWeights } from './Candidates.js'
 import { DecisionKind } from './Decision.js'
-import type { RejectedWay } from './Decision.js'
+import type { RejectedOption } from './Decision.js'
 import { failedMembers, lostMembers } from './GroupObservation.js'
 import type { PendingPlan } from './PendingPlan.js'
 import type { PlannedIntent } from './PlanningInput.js'
-import { HOUR_MS, costPerHour, forecastGroup, reserveCost } from './RepairCost.js'
+import { HOUR_MS, costPerHour, forecastGroupWait, reserveCost } from './RepairCost.js'
 import { isMemberPresent } from './VmTable.js'
 
 /** A way to treat a broken group, with its expected weighted cost. */
-export interface RepairWay extends RejectedWay {
+export interface RepairOption extends RejectedOption {
   readonly score: number
   /** VMs that take the empty places. */
   readonly substitutes: readonly Candidate[]
@@ -20,7 +20,7 @@
 }
 
 /** A broken group with all that the ways are scored from. */
-export interface Situation {
+export interface RepairSituation {
   readonly group: AssignedGroup
   readonly intent: PlannedIntent
   /** Places to fill: lost members, and present ones that are about to go. */
@@ -31,12 +31,12 @@
 }
 
 /** Doing later what could be done now costs at least a tick. */
-const DELAY_MS = 1_000
+const DEFERRAL_COST_MS = 1_000
 
 /** A loss at a lower stated priority counts this much of one at a higher. */
-const LOWER_PRIORITY_PART = 0.1
+const LOWER_PRIORITY_FACTOR = 0.1
 
-export function describeSituation (plan: PendingPlan, group: AssignedGroup, intent: PlannedIntent): Situation {
+export function describeSituation (plan: PendingPlan, group: AssignedGroup, intent: PlannedIntent): RepairSituation {
   const lost = new Set(lostMembers(plan, group).map((member) => member.vm))
   const restarted = group.members.flatMap((member) => {
     const view = plan.views.get(member.vm)
@@ -56,31 +56,31 @@
 }
 
 /** All ways that are open for a broken group. Waiting is always among them. */
-export function findWays (plan: PendingPlan, situation: Situation): readonly RepairWay[] {
-  const act = actWays(plan, situation)
-  return [waitWay(plan, situation, act), ...act, ...donateWays(plan, situation), ...dissolveWays(plan, situation)]
+export function findRepairOptions (plan: PendingPlan, situation: RepairSituation): readonly RepairOption[] {
+  const actions = actOptions(plan, situation)
+  return [waitOption(plan, situation, actions), ...actions, ...donateOptions(plan, situation), ...dissolveOptions(plan, situation)]
 }
 
-function actWays (plan: PendingPlan, situation: Situation): readonly RepairWay[] {
-  return [...rejoinWays(plan, situation), ...replaceWays(plan, situation), ...mergeWays(plan, situation)]
+function actOptions (plan: PendingPlan, situation: RepairSituation): readonly RepairOption[] {
+  return [...rejoinOptions(plan, situation), ...replaceOptions(plan, situation), ...mergeOptions(plan, situation)]
 }
 
 /**
  * Waiting either pays for its own sake, or it is the best way to act, taken later. In the second case it must
- * score worse than that way, whatever else the way costs: else the group would wait for ever.
+ * score worse than that option, whatever else the way costs: else the group would wait for ever.
  */
-function waitWay (plan: PendingPlan, { group, intent }: Situation, act: readonly RepairWay[]): RepairWay {
-  const quickestMs = act.reduce((least, way) => Math.min(least, joinDelayMs(plan, way.substitutes)), Infinity)
-  const forecast = forecastGroup(plan, group, quickestMs)
+function waitOption (plan: PendingPlan, { group, intent }: RepairSituation, actions: readonly RepairOption[]): RepairOption {
+  const quickestMs = actions.reduce((least, option) => Math.min(least, joinDelayMs(plan, option.substitutes)), Infinity)
+  const forecast = forecastGroupWait(plan, group, quickestMs)
   const rate = costPerHour(intent, group.members.length)
-  const bestAct = act.reduce((least, way) => Math.min(least, way.score), Infinity)
-  const own = forecast.expectedMs / HOUR_MS * rate
-  const score = forecast.pays || act.length === 0 ? own : bestAct + DELAY_MS / HOUR_MS * rate
+  const bestActionScore = actions.reduce((least, option) => Math.min(least, option.score), Infinity)
+  const waitScore = forecast.expectedMs / HOUR_MS * rate
+  const score = forecast.isWorthwhile || actions.length === 0 ? waitScore : bestActionScore + DEFERRAL_COST_MS / HOUR_MS * rate
   const reason = `expected to be back or settled in ${Math.round(forecast.expectedMs / 1000)} s`
   return { kind: DecisionKind.Wait, score, reason, substitutes: [], other: null }
 }
 
-function rejoinWays (plan: PendingPlan, { group, intent, places }: Situation): readonly RepairWay[] {
+function rejoinOptions (plan: PendingPlan, { group, intent, places }: RepairSituation): readonly RepairOption[] {
   const { nowMs, settings } = plan.input
   if (places > 0 || failedMembers(plan, group).length === 0) return []
   const reformedAtMs = plan.groupMemory(group.group).reformedAtMs
@@ -89,7 +89,7 @@
   return [{ kind: DecisionKind.Rejoin, score, reason: 'no VM is lost: the same members join again', substitutes: [], other: null }]
 }
 
-function replaceWays (plan: PendingPlan, situation: Situation): readonly RepairWay[] {
+function replaceOptions (plan: PendingPlan, situation: RepairSituation): readonly RepairOption[] {
   const { group, intent, places, candidates } = situation
   if (places === 0 || candidates.length < places) return []
   const substitutes = candidates.slice(0, places)
@@ -101,23 +101,23 @@
 }
 
 /** Fills the rest of the places from another broken group, which then waits for the members that both have lost. */
-function mergeWays (plan: PendingPlan, situation: Situation): readonly RepairWay[] {
+function mergeOptions (plan: PendingPlan, situation: RepairSituation): readonly RepairOption[] {
   const { group, intent, places, candidates } = situation
   if (places === 0) return []
-  const lacking = places - Math.min(candidates.length, places)
-  if (lacking === 0) return []
-  const ownMs = forecastGroup(plan, group, Infinity).expectedMs
+  const shortfall = places - Math.min(candidates.length, places)
+  if (shortfall === 0) return []
+  const ownMs = forecastGroupWait(plan, group, Infinity).expectedMs
   const others = plan.allGroups().filter((other) => other !== group && other.state === GroupState.Broken)
   return others.flatMap((other) => {
     const owner = plan.intentOf(other)
-    const given = survivorsOf(plan, other, group)
-    if (owner === undefined || owner.priority > intent.priority || given.length < lacking) return []
-    const substitutes = [...candidates.slice(0, places), ...given.slice(0, lacking)]
-    const otherMs = forecastGroup(plan, other, Infinity).expectedMs
+    const donors = survivorsOf(plan, other, group)
+    if (owner === undefined || owner.priority > intent.priority || donors.length < shortfall) return []
+    const substitutes = [...candidates.slice(0, places), ...donors.slice(0, shortfall)]
+    const otherMs = forecastGroupWait(plan, other, Infinity).expectedMs
     const longerMs = Math.max(0, ownMs - otherMs)
     const delayMs = joinDelayMs(plan, substitutes)
     const score = (delayMs * costPerHour(intent, group.members.length) + longerMs * costPerHour(owner, other.members.length)) / HOUR_MS
-    const reason = `${lacking} VMs come from ${other.group}, which is broken too`
+    const reason = `${shortfall} VMs come from ${other.group}, which is broken too`
     return [{ kind: DecisionKind.Merge, score, reason, substitutes, other }]
   })
 }
@@ -130,32 +130,32 @@
 }
 
 /** A serving group of strictly lower stated priority can be drained, so that its VMs come free. */
-function donateWays (plan: PendingPlan, situation: Situation): readonly RepairWay[] {
+function donateOptions (plan: PendingPlan, situation: RepairSituation): readonly RepairOption[] {
   const { group, intent, places, candidates } = situation
   if (places === 0 || candidates.length >= places) return []
   const { drainMs, loadMs, joinMs } = plan.input.settings
-  const ownMs = forecastGroup(plan, group, Infinity).expectedMs
+  const ownMs = forecastGroupWait(plan, group, Infinity).expectedMs
   return plan.allGroups().flatMap((other) => {
     const owner = plan.intentOf(other)
     const serves = other.state === GroupState.Serving
     if (!serves || owner === undefined || owner.priority >= intent.priority || other.members.length < places - candidates.length) return []
     const loads = other.model === group.model && other.version === group.version ? 0 : loadMs
     const ownCost = (drainMs + loads + joinMs) * costPerHour(intent, group.members.length)
-    const otherCost = ownMs * costPerHour(owner, other.members.length) * LOWER_PRIORITY_PART
+    const otherCost = ownMs * costPerHour(owner, other.members.length) * LOWER_PRIORITY_FACTOR
     const reason = `${other.group} of ${other.team} (priority ${owner.priority}) gives its VMs to ${group.team} (priority ${intent.priority})`
     return [{ kind: DecisionKind.Donate, score: (ownCost + otherCost) / HOUR_MS, reason, substitutes: [], other }]
   })
 }
 
 /** After the longest wait the survivors come free, if they complete a group that another intent is missing. */
-function dissolveWays (plan: PendingPlan, { group, intent, survivors, candidates }: Situation): readonly RepairWay[] {
+function dissolveOptions (plan: PendingPlan, { group, intent, survivors, candidates }: RepairSituation): readonly RepairOption[] {
   const { nowMs, settings } = plan.input
   const brokenSinceMs = plan.groupMemory(group.group).brokenSinceMs ?? nowMs
   if (nowMs - brokenSinceMs < settings.longestWaitMs) return []
   const gains = plan.input.intents.filter((other) => other !== intent && other.priority >= intent.priority &&
     plan.groupsOf(other).length < other.replicas && survivors + candidates.length >= other.vmsPerReplica)
   if (gains.length === 0) return []
-  const score = forecastGroup(plan, group, Infinity).expectedMs / HOUR_MS * costPerHour(intent, 0)
+  const score = forecastGroupWait(plan, group, Infinity).expectedMs / HOUR_MS * costPerHour(intent, 0)
   const reason = `its ${survivors} VMs complete a group of ${gains[0]!.model} that is missing`
   return [{ kind: DecisionKind.Dissolve, score, reason, substitutes: [], other: null }]
 }
--- a/packages/dotterelspur/src/version/planning/ReplicaAllocation.ts
+++ b/packages/dotterelspur/src/version/planning/ReplicaAllocation.ts
@@ -53,7 +53,7 @@
   /** Intents of higher rank that hold VMs where this one may be. */
   readonly lostTo: readonly IntentName[]
   /** Fabric domains that its settings allow. */
-  readonly placesAllowed: number
+  readonly eligibleFabricDomains: number
   readonly reason: string
 }
 
--- a/packages/dotterelspur/src/version/planning/ReturnTimes.ts
+++ b/packages/dotterelspur/src/version/planning/ReturnTimes.ts
@@ -3,14 +3,14 @@
 
 const FAILED_VM_MS = 4 * 3_600_000
 const PAUSE_MS = 6_000
-const FEWEST_SAMPLES = 3
+const MIN_SAMPLES = 3
 
 /** What waiting for an absent VM is expected to cost, in milliseconds out of service. */
 export interface WaitForecast {
   /** Under the best plan: wait until `untilAwayMs`, then act. */
   readonly expectedMs: number
   /** False when acting now is best, or would be if it were possible. */
-  readonly pays: boolean
+  readonly isWorthwhile: boolean
 }
 
 export interface Absence {
@@ -27,28 +27,28 @@
  * @param actMs time out of service if something else is done instead, from then; Infinity when nothing can be.
  */
 export function forecastWait (samples: readonly ReturnSample[], { awayMs, gone }: Absence, actMs: number, settings: PlanningSettings): WaitForecast {
-  const likely = withPrior(samples, settings).filter((sample) => sample.awayMs > awayMs && (sample.restarted || !gone))
-  if (likely.length === 0) return { expectedMs: Math.min(actMs, FAILED_VM_MS), pays: false }
-  let best: WaitForecast = { expectedMs: costOfStopping(likely, awayMs, awayMs, actMs, settings), pays: false }
-  for (const { awayMs: stopMs } of likely) {
-    const expectedMs = costOfStopping(likely, awayMs, stopMs, actMs, settings)
-    if (expectedMs < best.expectedMs) best = { expectedMs, pays: true }
+  const possibleReturns = withPrior(samples, settings).filter((sample) => sample.awayMs > awayMs && (sample.restarted || !gone))
+  if (possibleReturns.length === 0) return { expectedMs: Math.min(actMs, FAILED_VM_MS), isWorthwhile: false }
+  let best: WaitForecast = { expectedMs: expectedOutageMs(possibleReturns, awayMs, awayMs, actMs, settings), isWorthwhile: false }
+  for (const { awayMs: stopMs } of possibleReturns) {
+    const expectedMs = expectedOutageMs(possibleReturns, awayMs, stopMs, actMs, settings)
+    if (expectedMs < best.expectedMs) best = { expectedMs, isWorthwhile: true }
   }
   return best
 }
 
-function costOfStopping (likely: readonly ReturnSample[], awayMs: number, stopMs: number, actMs: number, settings: PlanningSettings): number {
-  const sum = likely.reduce((total, sample) => {
+function expectedOutageMs (possibleReturns: readonly ReturnSample[], awayMs: number, stopMs: number, actMs: number, settings: PlanningSettings): number {
+  const sum = possibleReturns.reduce((total, sample) => {
     if (sample.awayMs > stopMs) return total + (stopMs - awayMs) + actMs
     const rejoinMs = sample.restarted ? settings.loadMs + settings.joinMs : 0
     return total + (sample.awayMs - awayMs) + Math.min(rejoinMs, actMs)
   }, 0)
-  return sum / likely.length
+  return sum / possibleReturns.length
 }
 
 /** Stands in until enough absences were seen here: a pause, a restart and a VM that stays away. */
 function withPrior (samples: readonly ReturnSample[], settings: PlanningSettings): readonly ReturnSample[] {
-  if (samples.length >= FEWEST_SAMPLES) return [...samples, { awayMs: FAILED_VM_MS, restarted: true }]
+  if (samples.length >= MIN_SAMPLES) return [...samples, { awayMs: FAILED_VM_MS, restarted: true }]
   return [
     ...samples,
     { awayMs: PAUSE_MS, restarted: false },
--- a/packages/dotterelspur/src/version/planning/RolloutStep.ts
+++ b/packages/dotterelspur/src/version/planning/RolloutStep.ts
@@ -42,24 +42,24 @@
 
 function startPreload (plan: PendingPlan, group: AssignedGroup, revision: ModelRevision): void {
   const key = weightsKey({ model: group.model, revision })
-  const lacking = group.members.filter((member) => !holds(plan, member.vm, { model: group.model, revision }))
-  if (!plan.mayLoad(lacking.length)) return
-  for (const member of lacking) plan.startLoad(member.vm, key)
-  plan.remember(group.group, { preloadSinceMs: plan.input.nowMs })
+  const membersToLoad = group.members.filter((member) => !vmHoldsWeights(plan, member.vm, { model: group.model, revision }))
+  if (!plan.mayLoad(membersToLoad.length)) return
+  for (const member of membersToLoad) plan.startLoad(member.vm, key)
+  plan.updateGroupMemory(group.group, { preloadSinceMs: plan.input.nowMs })
   plan.setGroup({ ...group, preload: revision })
   const reason = `its members load ${revision.version} while they serve ${group.version}`
-  plan.decide({ kind: DecisionKind.Rollout, group: group.group, vms: lacking.map((member) => member.vm), reason })
+  plan.recordDecision({ kind: DecisionKind.Rollout, group: group.group, vms: membersToLoad.map((member) => member.vm), reason })
 }
 
 function hasPreloaded (plan: PendingPlan, group: AssignedGroup, weights: Weights): boolean {
   const { nowMs, settings } = plan.input
   const sinceMs = plan.groupMemory(group.group).preloadSinceMs ?? nowMs
-  plan.remember(group.group, { preloadSinceMs: sinceMs })
+  plan.updateGroupMemory(group.group, { preloadSinceMs: sinceMs })
   const overdue = nowMs - sinceMs >= 2 * settings.loadMs
-  return overdue || group.members.every((member) => holds(plan, member.vm, weights))
+  return overdue || group.members.every((member) => vmHoldsWeights(plan, member.vm, weights))
 }
 
-function holds (plan: PendingPlan, vm: string, weights: Weights): boolean {
+function vmHoldsWeights (plan: PendingPlan, vm: string, weights: Weights): boolean {
   const view = plan.views.get(vm)
   return view !== undefined && holdsWeights(view, weights, plan.input)
 }
--- a/packages/dotterelspur/src/version/planning/StandbyPlan.ts
+++ b/packages/dotterelspur/src/version/planning/StandbyPlan.ts
@@ -8,20 +8,20 @@
 import type { PlannedIntent } from './PlanningInput.js'
 import { countStepIns } from './StepIn.js'
 import type { VmView } from './VmTable.js'
-import { compareText, holdsWeights, memberOf, revisionOf, sameMembers, weightsKey } from './VmTable.js'
+import { compareText, holdsWeights, toMember, revisionOf, sameMembers, weightsKey } from './VmTable.js'
 
 /** Takes VMs out of the standby places that they can't fill any more. */
 export function pruneStandbys (plan: PendingPlan): void {
   for (const group of plan.allGroups()) {
-    const kept = group.standbys.filter((standby) => isFit(plan, standby))
+    const kept = group.standbys.filter((standby) => canStandBy(plan, standby))
     if (kept.length === group.standbys.length) continue
     const gone = group.standbys.filter((standby) => !kept.includes(standby)).map((standby) => standby.vm)
     plan.setGroup({ ...group, standbys: kept })
-    plan.decide({ kind: DecisionKind.Standby, group: group.group, vms: gone, reason: `${gone.join(', ')} can no longer stand by` })
+    plan.recordDecision({ kind: DecisionKind.Standby, group: group.group, vms: gone, reason: `${gone.join(', ')} can no longer stand by` })
   }
 }
 
-function isFit (plan: PendingPlan, standby: AssignedMember): boolean {
+function canStandBy (plan: PendingPlan, standby: AssignedMember): boolean {
   const view = plan.views.get(standby.vm)
   if (view === undefined || view.health.incarnation > standby.incarnation) return false
   if (view.present) return view.usable
@@ -42,29 +42,29 @@
 
 function addStandbys (plan: PendingPlan, intent: PlannedIntent, wanted: number): void {
   for (let count = countStandbys(plan, intent); count < wanted; count++) {
-    const group = neediestGroup(plan, intent)
+    const group = groupLackingStandbys(plan, intent)
     const view = group === undefined ? undefined : bestFreeVm(plan, group)
     if (group === undefined || view === undefined) return
     const weights = { model: group.model, revision: revisionOf(group) }
     const loaded = holdsWeights(view, weights, plan.input)
     if (!loaded && !plan.mayLoad(1)) return
     if (!loaded) plan.startLoad(view.health.vm, weightsKey(weights))
-    plan.setGroup({ ...group, standbys: [...group.standbys, memberOf(view)] })
-    plan.decide({ kind: DecisionKind.Standby, group: group.group, vms: [view.health.vm], reason: `${view.health.vm} stands by for ${group.group}` })
+    plan.setGroup({ ...group, standbys: [...group.standbys, toMember(view)] })
+    plan.recordDecision({ kind: DecisionKind.Standby, group: group.group, vms: [view.health.vm], reason: `${view.health.vm} stands by for ${group.group}` })
   }
 }
 
 /** Groups whose members are about to go first, then those with the fewest standbys. */
-function neediestGroup (plan: PendingPlan, intent: PlannedIntent): AssignedGroup | undefined {
+function groupLackingStandbys (plan: PendingPlan, intent: PlannedIntent): AssignedGroup | undefined {
   return plan.groupsOf(intent)
     .filter((group) => group.state !== GroupState.Draining)
     .sort((left, right) =>
-      lackOf(plan, right) - lackOf(plan, left) ||
+      countMissingStandbys(plan, right) - countMissingStandbys(plan, left) ||
       left.standbys.length - right.standbys.length ||
       left.formation - right.formation)[0]
 }
 
-function lackOf (plan: PendingPlan, group: AssignedGroup): number {
+function countMissingStandbys (plan: PendingPlan, group: AssignedGroup): number {
   return Math.max(0, unfitMembers(plan, group).length - group.standbys.length)
 }
 
--- a/packages/dotterelspur/src/version/planning/StepIn.ts
+++ b/packages/dotterelspur/src/version/planning/StepIn.ts
@@ -28,21 +28,21 @@
 }
 
 /** At most this many lost members are stepped in for without a new agreement. */
-export const MOST_STEP_INS = 2
+export const MAX_STEP_INS = 2
 
 /**
  * How many formation numbers a group with this many members and standbys has to set aside: one for each set of
  * lost ranks. One member must stay: formations without a common VM could both be complete.
  */
 export function countStepIns (members: number, standbys: number): number {
-  const most = Math.min(MOST_STEP_INS, standbys, members - 1)
-  if (most <= 0) return 0
-  return most === 1 ? members : members + members * (members - 1) / 2
+  const maxLost = Math.min(MAX_STEP_INS, standbys, members - 1)
+  if (maxLost <= 0) return 0
+  return maxLost === 1 ? members : members + members * (members - 1) / 2
 }
 
 /** The place of a set of lost ranks among the numbers set aside: single ranks first, then pairs; -1 when there is none. */
 function indexOfRanks (lostRanks: readonly number[], members: number, standbys: number): number {
-  if (lostRanks.length > Math.min(MOST_STEP_INS, standbys, members - 1)) return -1
+  if (lostRanks.length > Math.min(MAX_STEP_INS, standbys, members - 1)) return -1
   const [first, second] = lostRanks
   if (first === undefined) return -1
   if (second === undefined) return first
@@ -53,11 +53,11 @@
 function ranksAt (index: number, members: number, standbys: number): readonly number[] | undefined {
   if (index < 0 || index >= countStepIns(members, standbys)) return undefined
   if (index < members) return [index]
-  let left = index - members
+  let remaining = index - members
   for (let first = 0; first < members; first++) {
     const pairs = members - first - 1
-    if (left < pairs) return [first, first + 1 + left]
-    left -= pairs
+    if (remaining < pairs) return [first, first + 1 + remaining]
+    remaining -= pairs
   }
   return undefined
 }
@@ -93,8 +93,8 @@
 
 function derivedAt (group: AssignedGroup, formation: number, lostRanks: readonly number[]): DerivedFormation {
   const members = group.members.map((member, rank) => {
-    const order = lostRanks.indexOf(rank)
-    return order === -1 ? member : group.standbys[order]!
+    const standbyIndex = lostRanks.indexOf(rank)
+    return standbyIndex === -1 ? member : group.standbys[standbyIndex]!
   })
   return { formation, members, lostRanks }
 }
--- a/packages/dotterelspur/src/version/planning/VmTable.ts
+++ b/packages/dotterelspur/src/version/planning/VmTable.ts
@@ -120,7 +120,7 @@
     revision.adapters.every((adapter) => loaded.adapters.includes(adapter))
 }
 
-export function memberOf (view: VmView): AssignedMember {
+export function toMember (view: VmView): AssignedMember {
   return { vm: view.health.vm, incarnation: view.health.incarnation, address: view.health.address }
 }
 
--- a/packages/dotterelspur/src/version/planning/allocateReplicas.ts
+++ b/packages/dotterelspur/src/version/planning/allocateReplicas.ts
@@ -6,7 +6,7 @@
 
 const NOTHING_HELD = { serving: 0, forming: 0, lost: 0 }
 /** A move pays only when it evens out at least this difference between two failure domains. */
-const MOVE_DIFFERENCE = 2
+const MIN_REBALANCE_DIFFERENCE = 2
 
 interface Slot {
   readonly domain: FabricDomainCapacity
@@ -18,7 +18,7 @@
  * VM that is away for a restart drops out of the list while its group waits for it: what is held counts as there.
  */
 class CapacityLedger {
-  private readonly left = new Map<FabricDomainId, number>()
+  private readonly remaining = new Map<FabricDomainId, number>()
   private readonly heldByLower = new Map<FabricDomainId, number>()
 
   constructor (domains: readonly FabricDomainCapacity[], intents: readonly RankedIntent[]) {
@@ -27,12 +27,12 @@
       const held = domain.held.reduce((sum, groups) =>
         sum + (groups.serving + groups.forming) * (sizes.get(intentKey(groups.team, groups.model)) ?? 0), 0)
       this.heldByLower.set(domain.fabricDomain, held)
-      this.left.set(domain.fabricDomain, Math.max(domain.vms, held))
+      this.remaining.set(domain.fabricDomain, Math.max(domain.vms, held))
     }
   }
 
   take (domain: FabricDomainId, vms: number): void {
-    this.left.set(domain, this.left.get(domain)! - vms)
+    this.remaining.set(domain, this.remaining.get(domain)! - vms)
   }
 
   /** The intent's own groups are no longer held by a lower rank once it is its turn. */
@@ -41,11 +41,11 @@
   }
 
   fits (domain: FabricDomainId, vms: number): boolean {
-    return this.left.get(domain)! >= vms
+    return this.remaining.get(domain)! >= vms
   }
 
   fitsWithoutDisplacing (domain: FabricDomainId, vms: number): boolean {
-    return this.left.get(domain)! - this.heldByLower.get(domain)! >= vms
+    return this.remaining.get(domain)! - this.heldByLower.get(domain)! >= vms
   }
 }
 
@@ -62,15 +62,15 @@
   const ledger = new CapacityLedger(domains, intents)
   const shares: ReplicaShare[] = []
   const unmet: UnmetIntent[] = []
-  const settled: RankedIntent[] = []
+  const higherRanked: RankedIntent[] = []
   for (const ranked of rankIntents(intents)) {
     const slots = allocateIntent(ranked, domains, ledger)
     const allocated = slots.reduce((sum, slot) => sum + slot.replicas, 0)
     for (const slot of slots) {
       if (slot.replicas > 0) shares.push({ team: ranked.team, model: ranked.intent.model, fabricDomain: slot.domain.fabricDomain, replicas: slot.replicas })
     }
-    if (allocated < ranked.intent.replicas) unmet.push(describeUnmet(ranked, allocated, slots, settled.filter((other) => holdsAny(other, slots, shares))))
-    settled.push(ranked)
+    if (allocated < ranked.intent.replicas) unmet.push(describeUnmet(ranked, allocated, slots, higherRanked.filter((other) => holdsAny(other, slots, shares))))
+    higherRanked.push(ranked)
   }
   return { shares, unmet }
 }
@@ -88,10 +88,10 @@
     .filter((domain) => isEligible(intent, domain))
     .sort((left, right) => compareText(left.fabricDomain, right.fabricDomain))
     .map((domain): Slot => ({ domain, replicas: 0 }))
-  keepHeld(ranked, slots, ledger)
-  giveUpSurplus(ranked, slots, ledger)
-  placeMissing(ranked, slots, ledger)
-  startOneMove(ranked, slots, ledger)
+  keepHeldReplicas(ranked, slots, ledger)
+  removeSurplus(ranked, slots, ledger)
+  placeMissingReplicas(ranked, slots, ledger)
+  startRebalance(ranked, slots, ledger)
   return slots
 }
 
@@ -107,7 +107,7 @@
   return domain.held.find((held) => held.team === ranked.team && held.model === ranked.intent.model) ?? NOTHING_HELD
 }
 
-function keepHeld (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
+function keepHeldReplicas (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
   const size = ranked.intent.vmsPerReplica
   for (const slot of slots) {
     const { serving, forming } = heldOf(ranked, slot.domain)
@@ -130,7 +130,7 @@
  * One replica above the wanted count stays until more serve than are wanted: it may be the new end of a move,
  * or what another controller has just formed. All above that go, from the most crowded failure domain first.
  */
-function giveUpSurplus (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
+function removeSurplus (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
   const wanted = ranked.intent.replicas
   let serving = slots.reduce((sum, slot) => sum + Math.min(slot.replicas, heldOf(ranked, slot.domain).serving), 0)
   while (total(slots) > wanted) {
@@ -149,7 +149,7 @@
     .sort((left, right) =>
       inFailureDomain(slots, right) - inFailureDomain(slots, left) ||
       right.replicas - left.replicas ||
-      placeHash(ranked, left) - placeHash(ranked, right))[0]
+      tieBreakHash(ranked, left) - tieBreakHash(ranked, right))[0]
 }
 
 function inFailureDomain (slots: readonly Slot[], slot: Slot): number {
@@ -160,11 +160,11 @@
   return total(slots.filter((other) => other.domain.region === slot.domain.region))
 }
 
-function placeHash (ranked: RankedIntent, slot: Slot): number {
+function tieBreakHash (ranked: RankedIntent, slot: Slot): number {
   return hashText(`${ranked.team}/${ranked.intent.model}/${slot.domain.fabricDomain}`)
 }
 
-function placeMissing (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
+function placeMissingReplicas (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
   while (total(slots) < ranked.intent.replicas) {
     const slot = leastCrowded(ranked, slots, ledger)
     if (slot === undefined) return
@@ -175,16 +175,16 @@
 /** Free VMs go before those of lower intents; then the fewest replicas in the region, failure domain and fabric domain. */
 function leastCrowded (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): Slot | undefined {
   const size = ranked.intent.vmsPerReplica
-  const open = slots.filter((slot) => ledger.fits(slot.domain.fabricDomain, size))
+  const candidates = slots.filter((slot) => ledger.fits(slot.domain.fabricDomain, size))
   const displaces = (slot: Slot): number => ledger.fitsWithoutDisplacing(slot.domain.fabricDomain, size) ? 0 : 1
   const lost = (slot: Slot): number => heldOf(ranked, slot.domain).lost
-  return open.sort((left, right) =>
+  return candidates.sort((left, right) =>
     lost(left) - lost(right) ||
     displaces(left) - displaces(right) ||
     inRegion(slots, left) - inRegion(slots, right) ||
     inFailureDomain(slots, left) - inFailureDomain(slots, right) ||
     left.replicas - right.replicas ||
-    placeHash(ranked, left) - placeHash(ranked, right))[0]
+    tieBreakHash(ranked, left) - tieBreakHash(ranked, right))[0]
 }
 
 /**
@@ -192,16 +192,16 @@
  * than its part. One replica at a time is formed in the emptier failure domain; `giveUpSurplus` lets go of one
  * in the fuller once the new one serves.
  */
-function startOneMove (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
+function startRebalance (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
   const wanted = ranked.intent.replicas
   const serving = slots.reduce((sum, slot) => sum + heldOf(ranked, slot.domain).serving, 0)
   if (total(slots) !== wanted || serving !== wanted) return
   const size = ranked.intent.vmsPerReplica
   const free = slots.filter((slot) => ledger.fitsWithoutDisplacing(slot.domain.fabricDomain, size) && heldOf(ranked, slot.domain).lost === 0)
-  const target = free.sort((left, right) => inFailureDomain(slots, left) - inFailureDomain(slots, right) || placeHash(ranked, left) - placeHash(ranked, right))[0]
+  const target = free.sort((left, right) => inFailureDomain(slots, left) - inFailureDomain(slots, right) || tieBreakHash(ranked, left) - tieBreakHash(ranked, right))[0]
   const source = mostCrowded(ranked, slots, true)
   if (target === undefined || source === undefined) return
-  if (inFailureDomain(slots, source) - inFailureDomain(slots, target) < MOVE_DIFFERENCE) return
+  if (inFailureDomain(slots, source) - inFailureDomain(slots, target) < MIN_REBALANCE_DIFFERENCE) return
   addReplica(target, size, ledger)
 }
 
@@ -224,7 +224,7 @@
     wanted: intent.replicas,
     allocated,
     lostTo: rivals.map((other) => ({ team: other.team, model: other.intent.model })),
-    placesAllowed: slots.length,
+    eligibleFabricDomains: slots.length,
     reason: cause + lostTo
   }
 }
--- a/packages/dotterelspur/src/version/planning/planRollout.ts
+++ b/packages/dotterelspur/src/version/planning/planRollout.ts
@@ -38,7 +38,7 @@
   readonly surgeOnly: boolean
   readonly rollout: RolloutRecord | null
   /** Why nothing more changes now; null when something may, or nothing has to. */
-  readonly held: string | null
+  readonly holdReason: string | null
 }
 
 /**
@@ -51,21 +51,21 @@
 export function planRollout (input: RolloutInput): RolloutPlan {
   const record = input.records.find((one) => sameRevision(one.target, input.wanted) && one.phase === RolloutPhase.Halted) ??
     input.records.find((one) => sameRevision(one.target, input.wanted))
-  if (record?.phase === RolloutPhase.Halted) return goBack(input, record)
+  if (record?.phase === RolloutPhase.Halted) return rollBack(input, record)
   const changed = input.groups.filter((group) => sameRevision(group.revision, input.wanted))
   const waiting = input.groups.filter((group) => !sameRevision(group.revision, input.wanted))
-  if (waiting.length === 0) return { revision: input.wanted, changing: [], surgeOnly: false, rollout: null, held: null }
-  const previous = record?.previous ?? commonRevision(waiting)
+  if (waiting.length === 0) return { revision: input.wanted, changing: [], surgeOnly: false, rollout: null, holdReason: null }
+  const previous = record?.previous ?? mostCommonRevision(waiting)
   const failure = findFailure(input, changed)
   if (failure !== null) {
-    const halted: RolloutRecord = { ...describe(input, previous), phase: RolloutPhase.Halted, cause: failure }
-    return goBack(input, halted)
+    const halted: RolloutRecord = { ...createRecord(input, previous), phase: RolloutPhase.Halted, cause: failure }
+    return rollBack(input, halted)
   }
-  const rollout = record ?? describe(input, previous)
-  return step(input, input.wanted, waiting, unhealthy(input, changed), rollout)
+  const rollout = record ?? createRecord(input, previous)
+  return planStep(input, input.wanted, waiting, unhealthyGroups(input, changed), rollout)
 }
 
-function describe (input: RolloutInput, previous: ModelRevision | null): RolloutRecord {
+function createRecord (input: RolloutInput, previous: ModelRevision | null): RolloutRecord {
   return {
     team: input.team,
     model: input.model,
@@ -78,7 +78,7 @@
 }
 
 /** The revision that most of the groups have; of equals the first by name. */
-function commonRevision (groups: readonly RolloutGroup[]): ModelRevision | null {
+function mostCommonRevision (groups: readonly RolloutGroup[]): ModelRevision | null {
   const counted = groups.map((group) => ({ revision: group.revision, count: groups.filter((other) => sameRevision(other.revision, group.revision)).length }))
   const sorted = counted.sort((left, right) => right.count - left.count || compareText(left.revision.version, right.revision.version))
   return sorted[0]?.revision ?? null
@@ -97,30 +97,30 @@
   return null
 }
 
-function unhealthy (input: RolloutInput, changed: readonly RolloutGroup[]): readonly RolloutGroup[] {
+function unhealthyGroups (input: RolloutInput, changed: readonly RolloutGroup[]): readonly RolloutGroup[] {
   return changed.filter((group) => group.state !== GroupState.Serving || group.healthyForMs < input.settings.healthyForMs)
 }
 
-function goBack (input: RolloutInput, record: RolloutRecord): RolloutPlan {
+function rollBack (input: RolloutInput, record: RolloutRecord): RolloutPlan {
   const revision = record.previous ?? input.wanted
   const waiting = input.groups.filter((group) => !sameRevision(group.revision, revision))
-  const plan = step(input, revision, waiting, [], record)
-  return { ...plan, held: `halted: ${record.cause}` }
+  const plan = planStep(input, revision, waiting, [], record)
+  return { ...plan, holdReason: `halted: ${record.cause}` }
 }
 
 /**
  * Groups that are out anyway change at once; of the serving ones as many as may be out together, less those that
  * already are. `maxUnavailable` of 0 allows one at a time, and only behind a group formed for it.
  */
-function step (input: RolloutInput, revision: ModelRevision, waiting: readonly RolloutGroup[], pending: readonly RolloutGroup[], rollout: RolloutRecord): RolloutPlan {
+function planStep (input: RolloutInput, revision: ModelRevision, waiting: readonly RolloutGroup[], pending: readonly RolloutGroup[], rollout: RolloutRecord): RolloutPlan {
   const ordered = waiting.slice().sort((left, right) => compareText(left.group, right.group))
   const out = ordered.filter((group) => group.state !== GroupState.Serving)
   const serving = ordered.filter((group) => group.state === GroupState.Serving)
   const surgeOnly = input.settings.maxUnavailable === 0
   const allowed = Math.max(0, Math.max(1, input.settings.maxUnavailable) - out.length - pending.length)
   const next = serving.slice(0, allowed)
-  const held = waiting.length > 0 && allowed === 0 ? describeHold(input, out, pending) : null
-  return { revision, changing: [...out, ...next].map((group) => group.group), surgeOnly, rollout, held }
+  const holdReason = waiting.length > 0 && allowed === 0 ? describeHold(input, out, pending) : null
+  return { revision, changing: [...out, ...next].map((group) => group.group), surgeOnly, rollout, holdReason }
 }
 
 function describeHold (input: RolloutInput, out: readonly RolloutGroup[], pending: readonly RolloutGroup[]): string {
--- a/packages/dotterelspur/src/version/planning/shareLoadBudget.ts
+++ b/packages/dotterelspur/src/version/planning/shareLoadBudget.ts
@@ -17,7 +17,7 @@
 }
 
 /** Half of the rate follows size, half follows need. */
-const SHARE_BY_SIZE = 0.5
+const SIZE_WEIGHT = 0.5
 
 /**
  * One fabric domain's share of the weight store's rate, computed by every controller for itself from the same
@@ -36,6 +36,6 @@
   const waiting = demands.reduce((sum, demand) => sum + demand.waiting, 0)
   const sizePart = own.vms / vms
   const needPart = waiting === 0 ? sizePart : own.waiting / waiting
-  const part = SHARE_BY_SIZE * sizePart + (1 - SHARE_BY_SIZE) * needPart
-  return { loadsPerMinute: rate.loadsPerMinute * part, burst: Math.max(1, rate.burst * part) }
+  const share = SIZE_WEIGHT * sizePart + (1 - SIZE_WEIGHT) * needPart
+  return { loadsPerMinute: rate.loadsPerMinute * share, burst: Math.max(1, rate.burst * share) }
 }
