--- a/packages/dotterelspur/src/__tests__/unit/FabricDomainPlanner.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/FabricDomainPlanner.test.ts
@@ -3,7 +3,7 @@
 import { SimulatedFabricDomain, createIntent } from './planningFixture.js'
 
 describe('planFabricDomain', () => {
-  it('forms groups of the exact size and serves once all members are ready', () => {
+  it('forms groups of the exact size, which serve once all members are ready', () => {
     const domain = new SimulatedFabricDomain(5, [createIntent({ replicas: 3 })])
     domain.tick()
     expect(domain.assignment!.groups.map((group) => group.members.length)).to.deep.equal([2, 2])
@@ -12,10 +12,9 @@
     expect(domain.serving()).to.equal(2)
   })
 
-  // Symptom: requests go to a group whose member is gone.
-  // Sequence: a member of a serving group dies; nothing can take its place.
-  // Cause: the group stayed in a state in which entries may dispatch to it.
-  it('breaks a group whose member is gone, and says which', () => {
+  // Guards against dispatching requests to a group that has lost a member: a member of a serving group dies, no VM can replace
+  // it, and the group stayed in a state in which entries may dispatch to it.
+  it('marks a group broken when it loses a member, and names the member', () => {
     const domain = new SimulatedFabricDomain(2)
     domain.tickUntilStable()
     domain.kill('vm-01')
@@ -25,10 +24,9 @@
     expect(group.cause).to.contain('vm-01').and.to.contain('absent')
   })
 
-  // Symptom: a group waits for evidence that never comes, or serves with a member that lost its state.
-  // Sequence: a member restarts between two probes and answers under its next incarnation.
-  // Cause: the name alone was taken for the member.
-  it('forms anew with a member that restarted', () => {
+  // Guards against a group that waits forever for evidence, or serves with a member that has lost its state: a member restarts
+  // between two probes and responds under its next incarnation, but members were identified by name only.
+  it('starts a new formation with a member that restarted', () => {
     const domain = new SimulatedFabricDomain(2)
     domain.tickUntilStable()
     const before = domain.assignment!.groups[0]!
--- a/packages/dotterelspur/src/__tests__/unit/GroupRepair.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/GroupRepair.test.ts
@@ -22,13 +22,13 @@
 }
 
 const CASES: readonly RepairCase[] = [
-  { name: 'a standby takes a lost member\'s place', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => domain.kill(memberOf(domain, 0, 1)), ticks: 10, expectedDecision: DecisionKind.Replace, serving: 2 },
-  { name: 'a member that was silent for a moment resumes without a new formation', vms: 2, intents: [createIntent()], injectFault: (domain) => { domain.kill('vm-00'); domain.tick(5_000); domain.tick(); domain.reconnect('vm-00') }, ticks: 4, expectedDecision: DecisionKind.Resume, serving: 1 },
-  { name: 'without a free VM it waits', vms: 2, intents: [createIntent()], injectFault: (domain) => domain.kill('vm-00'), ticks: 10, expectedDecision: DecisionKind.Wait, serving: 0 },
-  { name: 'two broken groups make one', vms: 4, intents: [PAIR], injectFault: (domain) => { domain.kill(memberOf(domain, 0, 0)); domain.kill(memberOf(domain, 1, 0)) }, ticks: 12, expectedDecision: DecisionKind.Merge, serving: 1 },
-  { name: 'a group of lower priority gives its VMs after a long wait only', vms: 4, intents: [HIGH, LOW], injectFault: (domain) => { domain.kill(memberOf(domain, 0, 0)) }, ticks: 12, expectedDecision: DecisionKind.Donate, serving: 1 },
-  { name: 'a leaving member is exchanged while it still serves', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => { domain.vms.get(memberOf(domain, 0, 0))!.leaving = true }, ticks: 12, expectedDecision: DecisionKind.Swap, serving: 2 },
-  { name: 'a straggler is exchanged', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => { domain.vms.get(memberOf(domain, 0, 0))!.straggling = true }, ticks: 12, expectedDecision: DecisionKind.Swap, serving: 2 }
+  { name: 'a standby replaces a lost member', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => domain.kill(memberOf(domain, 0, 1)), ticks: 10, expectedDecision: DecisionKind.Replace, serving: 2 },
+  { name: 'a group resumes without a new formation after a short absence of a member', vms: 2, intents: [createIntent()], injectFault: (domain) => { domain.kill('vm-00'); domain.tick(5_000); domain.tick(); domain.reconnect('vm-00') }, ticks: 4, expectedDecision: DecisionKind.Resume, serving: 1 },
+  { name: 'a group waits if there is no free VM', vms: 2, intents: [createIntent()], injectFault: (domain) => domain.kill('vm-00'), ticks: 10, expectedDecision: DecisionKind.Wait, serving: 0 },
+  { name: 'two broken groups are merged', vms: 4, intents: [PAIR], injectFault: (domain) => { domain.kill(memberOf(domain, 0, 0)); domain.kill(memberOf(domain, 1, 0)) }, ticks: 12, expectedDecision: DecisionKind.Merge, serving: 1 },
+  { name: 'a group of lower priority gives its VMs to one of higher priority', vms: 4, intents: [HIGH, LOW], injectFault: (domain) => { domain.kill(memberOf(domain, 0, 0)) }, ticks: 12, expectedDecision: DecisionKind.Donate, serving: 1 },
+  { name: 'a leaving member is replaced while it still serves', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => { domain.vms.get(memberOf(domain, 0, 0))!.leaving = true }, ticks: 12, expectedDecision: DecisionKind.Swap, serving: 2 },
+  { name: 'a straggling member is replaced', vms: 5, intents: [{ ...PAIR, standbys: 1 }], injectFault: (domain) => { domain.vms.get(memberOf(domain, 0, 0))!.straggling = true }, ticks: 12, expectedDecision: DecisionKind.Swap, serving: 2 }
 ]
 
 describe('repair', () => {
@@ -44,7 +44,7 @@
     })
   }
 
-  it('records the ways that it rejected, with their scores', () => {
+  it('records the rejected options with their scores', () => {
     const domain = new SimulatedFabricDomain(3, [createIntent({ standbys: 1 })])
     domain.tickUntilStable()
     domain.kill('vm-00')
@@ -55,10 +55,9 @@
     expect(decision.rejected.every((way) => way.score !== null && way.score >= decision.score!)).to.equal(true)
   })
 
-  // Symptom: a group that restarted members stays broken for ever.
-  // Sequence: two members restart at once; both could join again at once.
-  // Cause: waiting was scored by its time alone, acting also by the reserve that it uses up.
-  it('does not wait for what waiting cannot bring', () => {
+  // Guards against a group that stays broken forever after two members restarted at once, although both could join again
+  // immediately: the score of waiting contained only its time, that of acting also the cost of the loaded VMs that it uses.
+  it('does not wait for members that have already restarted', () => {
     const domain = new SimulatedFabricDomain(14, [createIntent({ vmsPerReplica: 4, replicas: 2, weights: { groupDowntime: 1, strandedAccelerators: 4 } }), { ...LOW, replicas: 2 }])
     domain.tickUntilStable()
     domain.restart('vm-00')
@@ -67,10 +66,9 @@
     expect(domain.serving()).to.equal(4)
   })
 
-  // Symptom: a group never forms although all its members are there.
-  // Sequence: it is formed; before its engines join, all go silent; they come back.
-  // Cause: a broken group gets no orders, so its engines never heard of the formation.
-  it('lets a group join that broke before it had joined', () => {
+  // Guards against a group that never forms although all its members are present: a member goes absent before the engines
+  // have joined, and comes back. A broken group gets no orders, so its engines never received the formation.
+  it('returns a group to forming if it broke before its engines had joined', () => {
     const domain = new SimulatedFabricDomain(2)
     domain.followsAssignment = false
     domain.tick()
@@ -85,13 +83,13 @@
   })
 })
 
-describe('weights', () => {
+describe('cost weights', () => {
   const cases = [
-    { name: 'downtime weighs more: the small group, which takes one VM', weights: { groupDowntime: 10, strandedAccelerators: 1 }, serving: ['drafting'] },
-    { name: 'stranded accelerators weigh more: the large group, which takes three', weights: { groupDowntime: 1, strandedAccelerators: 4 }, serving: ['logbook'] }
+    { name: 'with a higher downtime weight, the small group, which needs one VM', weights: { groupDowntime: 10, strandedAccelerators: 1 }, serving: ['drafting'] },
+    { name: 'with a higher weight for stranded accelerators, the large group, which needs three', weights: { groupDowntime: 1, strandedAccelerators: 4 }, serving: ['logbook'] }
   ]
   for (const { name, weights, serving } of cases) {
-    it(`decide which of two broken groups gets the VMs: ${name}`, () => {
+    it(`decide which of two broken groups is repaired: ${name}`, () => {
       const large = createIntent({ vmsPerReplica: 16, standbys: 3, weights })
       const domain = new SimulatedFabricDomain(21, [large, { ...LOW, priority: large.priority, weights }])
       domain.tickUntilStable()
@@ -106,10 +104,9 @@
 })
 
 describe('flapping', () => {
-  // Symptom: a group is formed again and again with the same VM, which goes silent each time.
-  // Sequence: a VM comes and goes; each time that it is there it is the first by name.
-  // Cause: the VM was chosen as if nothing had happened.
-  it('puts a VM that comes and goes behind one that stays', () => {
+  // Guards against forming a group repeatedly with the same VM, which goes absent each time: whenever it is present, it is the
+  // first by name, and its earlier absences were not taken into account.
+  it('prefers a VM that stays present to one that was absent repeatedly', () => {
     const domain = new SimulatedFabricDomain(4, [createIntent({ standbys: 0 })])
     domain.tickUntilStable()
     const idle = [...domain.vms.keys()].filter((vm) => !domain.assignment!.groups[0]!.members.some((member) => member.vm === vm))
@@ -127,10 +124,9 @@
 })
 
 describe('a dark fabric domain', () => {
-  // Symptom: when a rack comes back, groups are formed, fall apart and are formed again.
-  // Sequence: all VMs go silent together and come back one by one.
-  // Cause: each return was treated as the last.
-  it('changes nothing while the darkness is young, and resumes groups as they were', () => {
+  // Guards against forming groups repeatedly while a rack comes back: all VMs go absent together and come back one by one,
+  // and after each return the planner acted as if no other VM would come back.
+  it('changes nothing for `darkHoldMs`, and resumes the groups at their formations', () => {
     const domain = new SimulatedFabricDomain(8, [createIntent({ vmsPerReplica: 4, replicas: 2 })])
     domain.tickUntilStable()
     const formations = domain.assignment!.groups.map((group) => group.formation)
@@ -175,12 +171,12 @@
     { fabricDomain: 'c', vms: 40, waiting: 16 }
   ]
 
-  it('gives away the whole rate when all see the same', () => {
+  it('distributes the whole rate when all controllers have the same documents', () => {
     const sum = demands.reduce((total, demand) => total + shareLoadBudget(rate, demands, demand.fabricDomain).loadsPerMinute, 0)
     expect(sum).to.be.closeTo(rate.loadsPerMinute, 1e-9)
   })
 
-  it('stays within the stated bound when each sees only its own need', () => {
+  it('stays within the documented bound when each controller sees only its own waiting VMs', () => {
     const sum = demands.reduce((total, own) => {
       const seen = demands.map((demand) => demand === own ? { ...demand, waiting: 4 } : { ...demand, waiting: 0 })
       return total + shareLoadBudget(rate, seen, own.fabricDomain).loadsPerMinute
--- a/packages/dotterelspur/src/__tests__/unit/PlannerSchedules.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/PlannerSchedules.test.ts
@@ -61,14 +61,14 @@
 function checkTick (domain: SimulatedFabricDomain, before: readonly AssignedGroup[], highestBefore: number): void {
   const groups = domain.assignment!.groups
   const places = groups.flatMap((group) => [...group.members, ...group.standbys].map((place) => place.vm))
-  expect(new Set(places).size, 'a VM has two places').to.equal(places.length)
+  expect(new Set(places).size, 'a VM is assigned twice').to.equal(places.length)
   const formed = groups.filter((group) => group.state === GroupState.Forming && before.every((other) => other.formation !== group.formation))
   expect(formed.length, 'too many formations in one tick').to.be.at.most(domain.settings.formationsPerTick)
   for (const group of groups) {
-    expect(group.members.length, 'inexact size').to.equal(group.model === 'drafting' ? 4 : 2)
+    expect(group.members.length, 'wrong group size').to.equal(group.model === 'drafting' ? 4 : 2)
     const known = before.find((other) => other.group === group.group)
-    if (known === undefined) expect(group.formation, 'formation used twice').to.be.greaterThan(highestBefore)
-    else expect(group.formation, 'formation fell').to.be.at.least(known.formation)
+    if (known === undefined) expect(group.formation, 'formation number reused').to.be.greaterThan(highestBefore)
+    else expect(group.formation, 'formation number decreased').to.be.at.least(known.formation)
     if (group.state === GroupState.Serving) checkServing(domain, group)
   }
 }
@@ -113,11 +113,11 @@
 describe(`planFabricDomain over random schedules (seed ${SEED})`, function () {
   this.timeout(60_000)
 
-  it('never gives a VM two places, keeps sizes exact, only raises formations, and marks no group serving that lost a member', () => {
+  it('assigns no VM twice, keeps group sizes exact, only increases formation numbers, and marks no group with a restarted member as serving', () => {
     fc.assert(fc.property(fc.array(event, { maxLength: 30 }), (events) => { run(events) }), { seed: SEED, numRuns: 300 })
   })
 
-  it('comes to rest with everything wanted serving once the faults end', () => {
+  it('converges to all wanted groups serving once the faults end', () => {
     fc.assert(fc.property(fc.array(event, { maxLength: 20 }), (events) => {
       const domain = run(events)
       endFaults(domain)
@@ -129,7 +129,7 @@
     }), { seed: SEED, numRuns: 200 })
   })
 
-  it('gives the same plan for the same input and leaves the input as it was', () => {
+  it('returns the same plan for the same input and does not modify the input', () => {
     fc.assert(fc.property(fc.array(event, { maxLength: 15 }), (events) => {
       const domain = run(events)
       const input = domain.input()
--- a/packages/dotterelspur/src/__tests__/unit/ReplicaAllocation.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/ReplicaAllocation.test.ts
@@ -39,19 +39,19 @@
 }
 
 describe('allocateReplicas', () => {
-  it('spreads over failure domains, whole groups only', () => {
+  it('spreads replicas over failure domains, in whole groups only', () => {
     expect(sharesOf(allocateReplicas([createRankedIntent()], createDomains([15, 15, 15])))).to.deep.equal({ 'f0-a': 1, 'f1-a': 1, 'f2-a': 1 })
     const tight = allocateReplicas([createRankedIntent()], createDomains([3, 7, 3]))
     expect(sharesOf(tight)).to.deep.equal({ 'f1-a': 1 })
     expect(tight.unmet[0]).to.deep.include({ wanted: 3, allocated: 1, lostTo: [] })
   })
 
-  it('keeps what is held where it is', () => {
+  it('keeps existing groups where they are', () => {
     const domains = createDomains([15, 15, 15], [{ serving: 2 }, { serving: 1 }])
     expect(sharesOf(allocateReplicas([createRankedIntent()], domains))).to.include({ 'f0-a': 2, 'f1-a': 1 })
   })
 
-  it('evens out after a failure domain has come back, one replica at a time, and lets go of the old only when the new serves', () => {
+  it('rebalances one replica at a time after a failure domain has come back, and removes the old one only when the new one serves', () => {
     const wanted = createRankedIntent({ replicas: 4 })
     const started = allocateReplicas([wanted], createDomains([15, 15, 15], [{ serving: 2 }, { serving: 2 }]))
     expect(sharesOf(started)).to.deep.equal({ 'f0-a': 2, 'f1-a': 2, 'f2-a': 1 })
@@ -62,7 +62,7 @@
     expect(sharesOf(served)['f2-a']).to.equal(1)
   })
 
-  it('settles competing teams by stated priority and names to whom it was lost', () => {
+  it('allocates competing teams by priority and names the intent that took the VMs', () => {
     const high = createRankedIntent({ replicas: 2 }, 'tradeline', 80)
     const low = createRankedIntent({ model: 'drafting', replicas: 2 }, 'piedmont', 20)
     const allocation = allocateReplicas([low, high], createDomains([4, 8]))
@@ -73,15 +73,14 @@
     expect(allocation.unmet[0]!.reason).to.contain('priority 80')
   })
 
-  // Symptom: a group that waits for a restarting VM is given up, and another is formed from cold VMs.
-  // Sequence: a VM restarts and drops out of the platform's list for some minutes.
-  // Cause: the list's count was taken for the capacity.
-  it('holds on to groups while a VM is missing from the list', () => {
+  // Guards against giving up a group that waits for a restarting VM and forming another from VMs without the weights: the VM
+  // is missing from the platform's list for some minutes, and the number of listed VMs was taken for the capacity.
+  it('keeps groups while a VM is missing from the list', () => {
     const domains = createDomains([7, 15, 15], [{ serving: 1, forming: 1 }, { serving: 1 }])
     expect(sharesOf(allocateReplicas([createRankedIntent()], domains))).to.include({ 'f0-a': 2, 'f1-a': 1 })
   })
 
-  it(`never exceeds capacity or the count wanted by more than one, whatever the order of its input (seed ${SEED})`, () => {
+  it(`never exceeds the capacity, nor the wanted count by more than one, and does not depend on the order of its input (seed ${SEED})`, () => {
     const domains = fc.array(fc.nat(30), { minLength: 1, maxLength: 6 }).map((vms) => createDomains(vms))
     const intents = fc.tuple(fc.nat(6), fc.nat(6), fc.integer({ min: 1, max: 5 }), fc.integer({ min: 1, max: 5 }))
     fc.assert(fc.property(domains, intents, (capacities, [first, second, firstSize, secondSize]) => {
--- a/packages/dotterelspur/src/__tests__/unit/StepIn.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/StepIn.test.ts
@@ -31,11 +31,11 @@
   const cases = [
     { name: 'one lost member', members: 4, standbys: 1, lost: ['member-2'], taken: ['member-0', 'member-1', 'standby-0', 'member-3'] },
     { name: 'two lost members, two standbys', members: 4, standbys: 2, lost: ['member-3', 'member-0'], taken: ['standby-0', 'member-1', 'member-2', 'standby-1'] },
-    { name: 'more lost than standbys', members: 4, standbys: 1, lost: ['member-0', 'member-1'], taken: null },
-    { name: 'more lost than was agreed', members: 8, standbys: 3, lost: ['member-0', 'member-1', 'member-2'], taken: null },
-    { name: 'no member would stay', members: 1, standbys: 1, lost: ['member-0'], taken: null },
+    { name: 'more lost members than standbys', members: 4, standbys: 1, lost: ['member-0', 'member-1'], taken: null },
+    { name: 'more lost members than have reserved formations', members: 8, standbys: 3, lost: ['member-0', 'member-1', 'member-2'], taken: null },
+    { name: 'no member would remain', members: 1, standbys: 1, lost: ['member-0'], taken: null },
     { name: 'nothing lost', members: 4, standbys: 1, lost: [], taken: null },
-    { name: 'a VM that is no member', members: 4, standbys: 1, lost: ['other'], taken: null }
+    { name: 'a VM that is not a member', members: 4, standbys: 1, lost: ['other'], taken: null }
   ]
   for (const { name, members, standbys, lost, taken } of cases) {
     it(name, () => {
@@ -44,7 +44,7 @@
     })
   }
 
-  it(`gives each loss a number of its own that reads back to the same members (seed ${SEED})`, () => {
+  it(`gives each set of lost ranks its own number, from which the same members are derived (seed ${SEED})`, () => {
     fc.assert(fc.property(fc.integer({ min: 2, max: 16 }), fc.integer({ min: 1, max: 3 }), (members, standbys) => {
       const group = createGroup(members, standbys)
       const numbers = countStepIns(members, standbys)
@@ -61,10 +61,9 @@
     }), { seed: SEED })
   })
 
-  // Symptom: two complete formations of one group serve at once.
-  // Sequence: the store is out, and two controllers hold different members for dead; each has its standby step in.
-  // Cause: two formations without a common VM can both have all their members.
-  it('shares a VM between any two formations of a group, so that only one can be complete', () => {
+  // Guards against two complete formations of one group serving at once: the store is unavailable, and two controllers
+  // consider different members dead and order the standby to step in. Two formations without a common VM can both be complete.
+  it('has a common VM in any two formations of a group, so that only one can be complete', () => {
     for (const [members, standbys] of [[2, 1], [2, 3], [3, 2], [4, 2], [16, 3]] as const) {
       const group = createGroup(members, standbys)
       const formations = [group.members, ...Array.from({ length: countStepIns(members, standbys) }, (_, index) => readStepIn(group, 100 + index)!.members)]
@@ -77,11 +76,10 @@
   })
 })
 
-describe('standbys agreed in advance', () => {
-  // Symptom: after a store outage a group that serves is broken and formed again.
-  // Sequence: the store goes out; a member dies; its standby steps in and the group serves; the store is back.
-  // Cause: the planner knew only the formation that was written before the outage.
-  it('are taken over as they stand when the store is back', () => {
+describe('reserved formations', () => {
+  // Guards against breaking and reforming a serving group after a store outage: during the outage a member dies and its standby
+  // steps in, so that the group serves, but the planner recognised only the formation written before the outage.
+  it('are adopted unchanged when the store is back', () => {
     const domain = new SimulatedFabricDomain(5, [createIntent({ vmsPerReplica: 4, standbys: 1 })])
     domain.tickUntilStable()
     const before = domain.assignment!.groups[0]!
--- a/packages/dotterelspur/src/__tests__/unit/planningFixture.ts
+++ b/packages/dotterelspur/src/__tests__/unit/planningFixture.ts
@@ -19,7 +19,7 @@
   }
 }
 
-/** A VM that does what it is told at once, and can die, restart, leave and straggle. */
+/** A simulated VM, which carries out assignments at once and can die, restart, leave and straggle. */
 export interface SimulatedVm {
   readonly vm: VmId
   incarnation: number
@@ -32,7 +32,7 @@
   status: VmStatus
 }
 
-/** A fabric domain whose VMs follow the assignment; each `tick` plans, applies the plan and lets the VMs follow. */
+/** A simulated fabric domain. Each `tick` runs the planner, stores the new assignment and lets the VMs carry it out. */
 export class SimulatedFabricDomain {
   nowMs = 1_000
   assignment: AssignmentObject | null = null
@@ -41,7 +41,7 @@
   settings = DEFAULT_PLANNING_SETTINGS
   drainedGroups: readonly string[] = []
   loadBudget = { loadsPerMinute: 60, burst: 32 }
-  /** When false, VMs ignore what is assigned, as if they still loaded. */
+  /** When false, VMs do not carry out the assignment, as if they were still loading. */
   followsAssignment = true
   readonly vms = new Map<VmId, SimulatedVm>()
 
@@ -89,14 +89,14 @@
     return plan
   }
 
-  /** Ticks until nothing changes for `quietTicks`, and fails after `limit`. */
+  /** Ticks until the assignment has not changed for `quietTicks` ticks; throws after `limit` ticks. */
   tickUntilStable (limit = 200, quietTicks = 5): void {
     let quiet = 0
     for (let count = 0; count < limit; count++) {
       quiet = this.tick().changed ? 0 : quiet + 1
       if (quiet >= quietTicks) return
     }
-    throw new Error(`the planner did not settle within ${limit} ticks`)
+    throw new Error(`the assignment still changed after ${limit} ticks`)
   }
 
   kill (vm: VmId): void {
@@ -105,7 +105,7 @@
     found.absentSinceMs = this.nowMs
   }
 
-  /** Back as the process that it was. */
+  /** Makes an absent VM present again in the same incarnation. */
   reconnect (vm: VmId): void {
     const found = this.vms.get(vm)!
     found.present = true
@@ -123,7 +123,7 @@
     return (this.assignment?.groups ?? []).filter((group) => group.state === GroupState.Serving).length
   }
 
-  /** Lets the VMs do what the assignment says, at once. */
+  /** Lets all VMs carry out the assignment at once. */
   applyAssignment (): void {
     for (const vm of this.vms.values()) this.applyAssignmentTo(vm)
   }
--- a/packages/dotterelspur/src/version/planning/Candidates.ts
+++ b/packages/dotterelspur/src/version/planning/Candidates.ts
@@ -5,14 +5,14 @@
 import type { VmView, Weights } from './VmTable.js'
 import { compareText, holdsWeights, revisionOf } from './VmTable.js'
 
-/** A VM that could be given a place now. */
+/** A VM that could be assigned to a group now. */
 export interface Candidate {
   readonly view: VmView
-  /** Holds the weights: joining needs no load. */
+  /** Whether it holds the weights, so that joining needs no load. */
   readonly loaded: boolean
 }
 
-/** Usable VMs without a place, and standbys that the intent may claim; the best first: undamped, loaded, least often absent, free. */
+/** Usable VMs without a place, and standbys that the intent may claim. Best first: not damped, loaded, fewest absences, not a standby. */
 export function claimableVms (plan: PendingPlan, intent: PlannedIntent, weights: Weights): readonly Candidate[] {
   return [...plan.views.values()]
     .filter((view) => view.usable && isClaimable(plan, view, intent))
@@ -45,19 +45,19 @@
   return plan.groupsOf(intent).reduce((sum, group) => sum + group.standbys.length, 0)
 }
 
-/** The weights that a group's next formation takes: those of its rollout once the group is out for it, else what it has. */
+/** The weights for a group's next formation: those of a rollout if the group may change now and is not serving, else its current ones. */
 export function nextWeights (plan: PendingPlan, group: AssignedGroup): Weights {
   const intent = plan.intentOf(group)
   const changes = intent !== undefined && group.state !== GroupState.Serving && intent.changing.includes(group.group)
   return { model: group.model, revision: changes ? intent.revision : revisionOf(group) }
 }
 
-/** Loads that the candidates need before they can join. */
+/** Number of loads that the candidates need before they can join. */
 export function countLoads (candidates: readonly Candidate[]): number {
   return candidates.filter((candidate) => !candidate.loaded).length
 }
 
-/** Time until all of the candidates have joined: the slowest load, its turn at the weight store, and the join. */
+/** Time until all candidates have joined: the wait for the load budget, the load, and the join. */
 export function joinDelayMs (plan: PendingPlan, candidates: readonly Candidate[]): number {
   const loads = countLoads(candidates)
   const { loadMs, joinMs } = plan.input.settings
--- a/packages/dotterelspur/src/version/planning/Decision.ts
+++ b/packages/dotterelspur/src/version/planning/Decision.ts
@@ -3,27 +3,27 @@
 import type { PlanningMemory } from './PlanningMemory.js'
 
 export enum DecisionKind {
-  /** A new group, or one whose members were all chosen anew. */
+  /** A new group. */
   Form = 'form',
-  /** All members are ready at the formation. */
+  /** All members are ready in the formation. */
   Serve = 'serve',
   /** A member is lost. */
   Break = 'break',
-  /** A broken group's members came back at the same formation. */
+  /** All members of a broken group are back, at the same formation. */
   Resume = 'resume',
-  /** Nothing is done yet: waiting scores better, or a limit holds. */
+  /** No repair yet: waiting scores better, or the load budget is used up. */
   Wait = 'wait',
   /** A standby or idle VM takes the place of a lost member. */
   Replace = 'replace',
   /** Members of another broken group take the place of lost ones. */
   Merge = 'merge',
-  /** A standby agreed in advance had taken a lost member's place without a new agreement; it is taken over as it stands. */
+  /** A standby replaced a lost member in a formation that the assignment reserved in advance; the assignment adopts that formation. */
   StepIn = 'step-in',
-  /** The same members at a new formation: an engine failed, and no VM is lost. */
+  /** The same members in a new formation: an engine failed, but no VM is lost. */
   Rejoin = 'rejoin',
-  /** A group gives its VMs to one of higher priority. */
+  /** A group is drained to give its VMs to a broken group of higher priority. */
   Donate = 'donate',
-  /** A present member that leaves or straggles is exchanged. */
+  /** A present member that is leaving, drained or straggling is replaced. */
   Swap = 'swap',
   Drain = 'drain',
   Dissolve = 'dissolve',
@@ -33,35 +33,35 @@
   Rollout = 'rollout'
 }
 
-/** A way that was weighed and not taken. The lower score wins; null when the way wasn't open. */
+/** A repair option that was considered and rejected. The lowest score wins; null if the option was not available. */
 export interface RejectedOption {
   readonly kind: DecisionKind
   readonly score: number | null
   readonly reason: string
 }
 
-/** One thing the planner decided in a tick, with why. Only those that change the assignment go into the audit trail. */
+/** One decision of a planner tick, with its reason. Only decisions that change the assignment are written to the audit log. */
 export interface Decision {
   readonly kind: DecisionKind
   readonly fabricDomain: FabricDomainId
   readonly group: GroupId | null
   readonly vms: readonly VmId[]
   readonly reason: string
-  /** Weighted cost that the way taken is expected to have, in weighted hours; null where nothing was weighed. */
+  /** Expected cost of the chosen option, in weighted hours; null if no options were compared. */
   readonly score: number | null
   readonly rejected: readonly RejectedOption[]
   readonly atWallMs: number
 }
 
 export interface FabricDomainPlan {
-  /** False when the assignment object stands as it is and nothing has to be written. */
+  /** False if the assignment object is unchanged and need not be written. */
   readonly changed: boolean
   readonly groups: readonly AssignedGroup[]
   readonly highestFormation: number
   readonly rollouts: readonly RolloutRecord[]
   readonly decisions: readonly Decision[]
-  /** For the next tick, if the write succeeded or `changed` is false. */
+  /** Memory for the next tick if the write succeeded or `changed` is false. */
   readonly memory: PlanningMemory
-  /** For the next tick if the write failed: what was seen, without what was decided. */
+  /** Memory for the next tick if the write failed: this tick's observations without its decisions. */
   readonly observed: PlanningMemory
 }
--- a/packages/dotterelspur/src/version/planning/DrainedGroups.ts
+++ b/packages/dotterelspur/src/version/planning/DrainedGroups.ts
@@ -10,9 +10,9 @@
 import { isMemberPresent } from './VmTable.js'
 
 /**
- * Decides what becomes of groups that have finished draining: dissolved when nobody wants them here, else
- * formed again with what the drain was for (other members, another version). Nothing but the assignment and
- * the intents is needed to tell which, so that a new lease holder goes on where the last one stopped.
+ * Dissolves or reforms groups that have finished draining: dissolves those that no intent wants here or whose VMs a broken
+ * group of higher priority needs, and reforms the others with the members or version for which they were drained. The
+ * choice depends only on the assignment and the intents, so a new lease holder continues where the last one stopped.
  */
 export function finishDrains (plan: PendingPlan): void {
   const unwanted = findUnwanted(plan)
@@ -38,7 +38,7 @@
   return load === undefined || load.running + load.waiting === 0
 }
 
-/** A broken group of higher priority that lacks VMs gets those of this one. */
+/** Whether a broken group of higher priority lacks VMs that this group can provide. */
 function isDonated (plan: PendingPlan, group: AssignedGroup): boolean {
   const owner = plan.intentOf(group)
   return plan.allGroups().some((other) => {
--- a/packages/dotterelspur/src/version/planning/FabricDomainPlanner.ts
+++ b/packages/dotterelspur/src/version/planning/FabricDomainPlanner.ts
@@ -17,9 +17,9 @@
 import { compareText, revisionOf, sameMembers, sameRevision } from './VmTable.js'
 
 /**
- * One tick of a fabric domain's controller: compares what is wanted with what is assigned and what is there,
- * and says what the assignment object should hold next, with the reason of each change. Pure: the same input
- * gives the same plan.
+ * One tick of a fabric domain's controller: compares the intents with the current assignment and the observed VMs, and
+ * returns the next content of the assignment object with a reason for each change. Pure: the same input gives the same
+ * plan.
  */
 export function planFabricDomain (input: FabricDomainInput): FabricDomainPlan {
   const memory = observe(input)
@@ -29,7 +29,7 @@
   return commit(plan, input)
 }
 
-/** The steps in order of value: what serves least well goes first for VMs and for the load budget. */
+/** The order of the steps is their priority for VMs and for the load budget: repairs before changes, growth and standbys. */
 function changeGroups (plan: PendingPlan): void {
   pruneStandbys(plan)
   finishDrains(plan)
@@ -60,8 +60,8 @@
 }
 
 /**
- * What must hold of every assignment, checked before anyone can act on it: a fault of a step stops the tick
- * instead of giving a VM to two groups.
+ * Checks the invariants of an assignment before it is written, so that a fault in a planning step aborts the tick instead
+ * of, for example, assigning a VM to two groups.
  */
 function checkGroups (input: FabricDomainInput, before: readonly AssignedGroup[], groups: readonly AssignedGroup[]): void {
   const places = new Set<string>()
@@ -87,7 +87,7 @@
   return left.model === right.model && sameRevision(revisionOf(left), revisionOf(right)) && sameMembers(left.members, right.members)
 }
 
-/** Both lists are in order of id. */
+/** Both lists must be sorted by id. */
 function sameGroups (left: readonly AssignedGroup[], right: readonly AssignedGroup[]): boolean {
   return left.length === right.length && left.every((group, index) => sameGroup(group, right[index]!))
 }
--- a/packages/dotterelspur/src/version/planning/GroupGrowth.ts
+++ b/packages/dotterelspur/src/version/planning/GroupGrowth.ts
@@ -9,7 +9,7 @@
 import { canSurge, intentWeights } from './RolloutStep.js'
 import { compareText, toMember } from './VmTable.js'
 
-/** Intents in the order in which they are served: stated priority, then name. */
+/** Intents in planning order: by priority, then by name. */
 export function orderIntents (intents: readonly PlannedIntent[]): readonly PlannedIntent[] {
   return intents.slice().sort((left, right) =>
     right.priority - left.priority ||
@@ -17,7 +17,7 @@
     compareText(left.model, right.model))
 }
 
-/** Forms the groups that are wanted and missing, as far as VMs and the load budget reach. */
+/** Forms missing groups as far as free VMs and the load budget permit. */
 export function growGroups (plan: PendingPlan): void {
   for (const intent of orderIntents(plan.input.intents)) {
     for (let missing = missingGroups(plan, intent); missing > 0 && plan.formationsLeft > 0; missing--) {
@@ -28,7 +28,7 @@
   }
 }
 
-/** Groups that drain count as there: they are formed again, or become surplus when others serve in their place. */
+/** Draining groups count as existing: they are formed again, or become surplus once others serve in their place. */
 function missingGroups (plan: PendingPlan, intent: PlannedIntent): number {
   const held = plan.groupsOf(intent).length
   const surge = held === intent.replicas && canSurge(plan, intent) ? 1 : 0
--- a/packages/dotterelspur/src/version/planning/GroupObservation.ts
+++ b/packages/dotterelspur/src/version/planning/GroupObservation.ts
@@ -7,7 +7,7 @@
 import { groupAtStepIn, readStepIn } from './StepIn.js'
 import { isMemberPresent } from './VmTable.js'
 
-/** Brings each group's recorded state in line with what its members say: stepped in, broken, back again, serving. */
+/** Updates each group's state from its members' status: a standby stepped in, a member was lost or is back, or all are ready. */
 export function updateGroupStates (plan: PendingPlan): void {
   for (const group of plan.allGroups()) {
     if (group.state === GroupState.Draining || adoptStepIn(plan, group)) continue
@@ -18,7 +18,7 @@
   }
 }
 
-/** Members whose place is empty: another incarnation, gone, or absent for longer than the grace. */
+/** Members that are lost: restarted as another incarnation, terminated, or absent for at least `absenceGraceMs`. */
 export function lostMembers (plan: PendingPlan, group: AssignedGroup): readonly AssignedMember[] {
   return group.members.filter((member) => {
     const view = plan.views.get(member.vm)
@@ -28,7 +28,7 @@
   })
 }
 
-/** Members that are there and whose engine gave up at this formation, as engines do when they lose one of theirs. */
+/** Present members whose engine failed in this formation, as engines do when they lose another member. */
 export function failedMembers (plan: PendingPlan, group: AssignedGroup): readonly AssignedMember[] {
   return group.members.filter((member) => {
     if (!isMemberPresent(member, plan.views)) return false
@@ -37,7 +37,7 @@
   })
 }
 
-/** While the store was out, a standby took a lost member's place as agreed in advance: it serves, so it stands. */
+/** Adopts a reserved formation in which a standby replaced a lost member during a store outage, if all its members are ready in it. */
 function adoptStepIn (plan: PendingPlan, group: AssignedGroup): boolean {
   for (const formation of reportedFormations(plan, group)) {
     const derived = readStepIn(group, formation)
@@ -87,8 +87,8 @@
 }
 
 /**
- * A broken group gets no orders. One that broke before its engines had joined would wait for ever for them to
- * report a formation that nobody tells them, with all its members there: it goes back to forming.
+ * A broken group gets no orders. If a group broke before its engines had joined, and all its members are back, it returns
+ * to forming; otherwise it would wait forever for its engines to report a formation that no order names.
  */
 function resumeIfComplete (plan: PendingPlan, group: AssignedGroup): void {
   if (!group.members.every((member) => isMemberPresent(member, plan.views))) return
@@ -106,7 +106,7 @@
   plan.recordDecision({ kind: DecisionKind.Serve, group: group.group, vms: [], reason })
 }
 
-/** A member that says it leaves has joined and still works: were it not counted, a forming group with one would never serve and so never exchange it. */
+/** A leaving member counts as ready, since it has joined and still works. Otherwise a forming group with a leaving member would never serve, and the member would never be swapped. */
 function allReadyAtFormation (plan: PendingPlan, group: AssignedGroup): boolean {
   return group.members.every((member) => {
     if (!isMemberPresent(member, plan.views)) return false
--- a/packages/dotterelspur/src/version/planning/GroupRepair.ts
+++ b/packages/dotterelspur/src/version/planning/GroupRepair.ts
@@ -12,7 +12,7 @@
 import { costPerHour } from './RepairCost.js'
 import { toMember, weightsKey } from './VmTable.js'
 
-/** Brings broken groups back, those first whose repair is worth most for each VM that it takes. */
+/** Repairs broken groups in order of priority, then of the downtime cost that a repair saves per VM. */
 export function repairGroups (plan: PendingPlan): void {
   const broken = plan.allGroups().filter((group) => group.state === GroupState.Broken)
   const ranked = broken.flatMap((group) => {
@@ -36,7 +36,7 @@
   const [best, ...rejected] = options
   const option = best!
   if (!plan.mayLoad(countLoads(option.substitutes))) {
-    const reason = `the weight store's rate is used up; then: ${option.reason}`
+    const reason = `the load budget is used up; chosen for later: ${option.reason}`
     plan.recordDecision({ kind: DecisionKind.Wait, group: group.group, vms: [], reason, score: option.score, rejected: rejected.map(toRejected) })
     return
   }
@@ -66,7 +66,7 @@
   return option.substitutes.map((candidate) => candidate.view.health.vm)
 }
 
-/** Substitutes take the empty places, so that the others keep their rank; a member that restarted takes its own again. */
+/** Fills the empty places with substitutes, so that the other members keep their rank. A member that restarted gets its own place again. */
 export function fillPlaces (plan: PendingPlan, group: AssignedGroup, substitutes: readonly Candidate[], places: number): readonly AssignedMember[] {
   const lost = new Set(lostMembers(plan, group).map((member) => member.vm))
   const remaining = substitutes.map((candidate) => toMember(candidate.view))
@@ -85,7 +85,7 @@
   }
 }
 
-/** The giving group is given up; what is left of it comes free, and it is formed again once there are VMs enough. */
+/** Dissolves the donor group. Its remaining VMs become free, and a new group is formed once there are enough VMs. */
 function applyMerge (plan: PendingPlan, situation: RepairSituation, option: RepairOption): readonly VmId[] {
   const donor = option.other!
   const reason = `gave its VMs to ${situation.group.group}, which was broken too`
--- a/packages/dotterelspur/src/version/planning/GroupShrink.ts
+++ b/packages/dotterelspur/src/version/planning/GroupShrink.ts
@@ -6,7 +6,7 @@
 import type { PlannedIntent } from './PlanningInput.js'
 import { revisionOf, sameRevision } from './VmTable.js'
 
-/** Drains the groups that nobody wants here, once that has lasted, and those that an operator drains. */
+/** Drains groups that no intent has wanted for `shrinkHoldMs`, and groups under an operator's drain. */
 export function shrinkGroups (plan: PendingPlan): void {
   const unwanted = findUnwanted(plan)
   for (const group of plan.allGroups()) {
@@ -21,7 +21,7 @@
   }
 }
 
-/** The groups that this fabric domain should give up, each with the reason. */
+/** Groups that this fabric domain should not keep, each with the reason. */
 export function findUnwanted (plan: PendingPlan): ReadonlyMap<GroupId, string> {
   const unwanted = new Map<GroupId, string>()
   for (const group of plan.allGroups()) {
@@ -44,8 +44,9 @@
 }
 
 /**
- * What goes first: a group that doesn't serve anyway, then one of another version, then the youngest. A serving
- * group goes only while more serve than are wanted, so that what is formed in its place is there before.
+ * Picks the next surplus group: first one that is draining or broken, then one at another revision, then the one with the
+ * highest formation number. A serving group is picked only while more groups serve than are wanted, so that its replacement
+ * serves before it goes.
  */
 function pickSurplus (held: readonly AssignedGroup[], intent: PlannedIntent): AssignedGroup | undefined {
   const inState = (state: GroupState): readonly AssignedGroup[] => held.filter((group) => group.state === state)
@@ -59,7 +60,7 @@
   return mayDropForming ? youngest(forming, intent) : undefined
 }
 
-/** Of groups at another version those that may change now go first: the others wait for their turn, and serve until then. */
+/** Groups that the rollout may change now come first, then other groups at an old revision, which serve until their turn. */
 function youngest (groups: readonly AssignedGroup[], intent: PlannedIntent): AssignedGroup | undefined {
   const rank = (group: AssignedGroup): number => {
     if (intent.changing.includes(group.group)) return 0
@@ -68,7 +69,7 @@
   return groups.slice().sort((left, right) => rank(left) - rank(right) || right.formation - left.formation)[0]
 }
 
-/** Views of the wanted count may differ for a while after a change: giving up a group waits until the lower count has lasted. */
+/** After a change, controllers may disagree on the wanted count for a while, so a group is drained only after it has been surplus for `shrinkHoldMs`. */
 function drainAfterHold (plan: PendingPlan, group: AssignedGroup, reason: string): void {
   const { nowMs, settings } = plan.input
   const sinceMs = plan.groupMemory(group.group).surplusSinceMs ?? nowMs
@@ -77,7 +78,7 @@
   startDrain(plan, group, reason)
 }
 
-/** From here on the group takes no new work; `finishDrains` decides what becomes of it once it has finished. */
+/** Starts a drain: the group gets no new work. `finishDrains` dissolves or reforms it after its requests have completed. */
 export function startDrain (plan: PendingPlan, group: AssignedGroup, reason: string): void {
   plan.updateGroupMemory(group.group, { drainingSinceMs: plan.input.nowMs, surplusSinceMs: null })
   plan.setState(group, GroupState.Draining, reason)
--- a/packages/dotterelspur/src/version/planning/MemberSwap.ts
+++ b/packages/dotterelspur/src/version/planning/MemberSwap.ts
@@ -5,14 +5,14 @@
 import type { PendingPlan } from './PendingPlan.js'
 import { isUnfit } from './RepairOptions.js'
 
-/** Members that are still there and should be exchanged before they are gone. */
+/** Members that are leaving, drained or straggling and should be replaced. */
 export function unfitMembers (plan: PendingPlan, group: AssignedGroup): readonly string[] {
   return group.members.map((member) => member.vm).filter((vm) => isUnfit(plan, vm))
 }
 
 /**
- * Exchanges members that leave, straggle or are drained. The load comes first (`StandbyPlan` sees to it that
- * the group has standbys enough); only when loaded VMs are at hand does the group stop, and only for a join.
+ * Replaces members that are leaving, straggling or drained. The replacements load first, as standbys (see `planStandbys`);
+ * the group is drained only when enough loaded VMs are available, so that it is out of service only for a join.
  */
 export function swapMembers (plan: PendingPlan): void {
   for (const group of plan.allGroups()) {
--- a/packages/dotterelspur/src/version/planning/PendingPlan.ts
+++ b/packages/dotterelspur/src/version/planning/PendingPlan.ts
@@ -11,7 +11,7 @@
 
 const MINUTE_MS = 60_000
 
-/** The parts of a decision that a step states; the plan adds the rest. */
+/** The parts of a decision that a planning step provides; `PendingPlan` adds the rest. */
 export interface DecisionDraft {
   readonly kind: DecisionKind
   readonly group: GroupId | null
@@ -22,8 +22,8 @@
 }
 
 /**
- * The copy of a fabric domain's assignment that one tick changes. Steps work on it in turn; `commit` checks
- * what must hold of the result and freezes it.
+ * Working copy of a fabric domain's assignment, which the steps of one planner tick change in turn. `commit` returns the
+ * result.
  */
 export class PendingPlan {
   readonly views: ReadonlyMap<VmId, VmView>
@@ -61,7 +61,7 @@
     this.groupMemories.set(id, { ...this.groupMemory(id), ...change })
   }
 
-  /** The group in which the VM has a place, as member or standby. */
+  /** The group of which the VM is a member or standby. */
   placeOf (vm: VmId): GroupId | undefined {
     return this.places.get(vm)
   }
@@ -79,7 +79,7 @@
     return this.input.intents.find((intent) => intent.team === group.team && intent.model === group.model)
   }
 
-  /** Puts a group in, in place of what its id held. Every VM that it names must be without another place. */
+  /** Adds or replaces a group. None of its VMs may be a member or standby of another group. */
   setGroup (group: AssignedGroup): void {
     this.removeGroup(group.group)
     for (const { vm } of [...group.members, ...group.standbys]) {
@@ -96,18 +96,18 @@
     this.groups.delete(id)
   }
 
-  /** Notes that a VM is told to load, and takes it from the load budget. */
+  /** Records that a VM is ordered to load weights, and takes the load from the budget. */
   startLoad (vm: VmId, key: string): void {
     this.preloads.set(vm, { key, sinceMs: this.input.nowMs })
     this.loadTokens -= 1
   }
 
-  /** Whether the load budget has room for `loads` more. A full budget admits any number, else a large group could never start. */
+  /** Whether the load budget permits `loads` more. A full budget permits any number; otherwise a group that needs more loads than the burst could never start. */
   mayLoad (loads: number): boolean {
     return loads === 0 || this.loadTokens >= Math.min(loads, this.input.loadBudget.burst)
   }
 
-  /** How long until the budget has room for `loads`. */
+  /** Time until the budget permits `loads` more. */
   loadDelayMs (loads: number): number {
     if (this.mayLoad(loads)) return 0
     const { loadsPerMinute, burst } = this.input.loadBudget
@@ -115,7 +115,7 @@
     return loadsPerMinute > 0 ? missing * MINUTE_MS / loadsPerMinute : Infinity
   }
 
-  /** Takes a standby out of whatever group keeps it. */
+  /** Removes a VM from the standbys of its group, if it is one. */
   releaseStandby (vm: VmId): void {
     const group = this.groupOfVm(vm)
     if (group === undefined || group.members.some((member) => member.vm === vm)) return
@@ -127,14 +127,14 @@
     return this.highestFormation
   }
 
-  /** Sets formation numbers aside, and returns the first of them. */
+  /** Reserves formation numbers and returns the first of them. */
   reserveFormations (count: number): number {
     const first = this.highestFormation + 1
     this.highestFormation += count
     return first
   }
 
-  /** Puts a group at a new formation with these members; it serves once they all report it. */
+  /** Starts a new formation of a group with these members; the group serves once all of them report that they are ready in it. */
   reform (group: AssignedGroup, members: readonly AssignedMember[], revision: ModelRevision, cause: string): void {
     const { preload: _preload, stepInBase: _stepInBase, ...kept } = group
     this.formationsLeft -= 1
@@ -153,7 +153,7 @@
     })
   }
 
-  /** Empties the places that new members have as standbys, and starts the loads that they need. */
+  /** Removes new members from the standbys of other groups. */
   private releaseStandbyPlaces (id: GroupId, members: readonly AssignedMember[]): void {
     for (const { vm } of members) {
       if (this.places.get(vm) !== id) this.releaseStandby(vm)
@@ -196,14 +196,14 @@
 }
 
 export interface CommittedPlan {
-  /** In order of id. */
+  /** Sorted by id. */
   readonly groups: readonly AssignedGroup[]
   readonly memory: PlanningMemory
 }
 
 /**
- * The highest formation that the object or any engine knows. An assignment object that an operator deleted
- * takes its count along; the engines' own word keeps formations rising all the same.
+ * The highest formation number in the assignment object or in any engine's status. If an operator deletes the object, its
+ * counter is lost; the numbers that engines report still keep formation numbers rising.
  */
 function highestKnownFormation (input: FabricDomainInput): number {
   const groups = input.assignment?.groups ?? []
--- a/packages/dotterelspur/src/version/planning/PlanningInput.ts
+++ b/packages/dotterelspur/src/version/planning/PlanningInput.ts
@@ -6,55 +6,55 @@
 import type { PlanningSettings } from './PlanningSettings.js'
 
 export enum VmPresence {
-  /** Unexpired evidence says that it answers. */
+  /** There is unexpired evidence that the VM responds. */
   Present = 'present',
-  /** Probed, and no unexpired evidence. */
+  /** The VM has been probed, and there is no unexpired evidence that it responds. */
   Absent = 'absent',
-  /** This observer hasn't probed for long enough to say; nothing is decided against it or with it. */
+  /** This observer has not probed the VM for long enough to tell; the planner neither uses the VM nor counts it as lost. */
   Unknown = 'unknown'
 }
 
-/** What is known of one VM of the fabric domain when a tick begins. */
+/** Observed state of one VM of the fabric domain at the start of a tick. */
 export interface VmHealth {
   readonly vm: VmId
-  /** The highest known, from the list or from the VM's own word. */
+  /** The highest incarnation in the list or in the VM's own status. */
   readonly incarnation: number
   readonly address: string
   readonly fabricDomain: FabricDomainId
   readonly presence: VmPresence
-  /** On the observer's monotonic clock; null unless absent. */
+  /** By the observer's monotonic clock; null unless absent. */
   readonly absentSinceMs: number | null
-  /** Absent, and nothing listens where it was: this incarnation won't come back, so there is no pause to wait out. */
+  /** Absent, and nothing listens at its address: this incarnation has terminated, so waiting for the end of a pause is pointless. */
   readonly gone?: boolean
-  /** Its last unexpired word; null unless present. */
+  /** Its last unexpired status; null unless present. */
   readonly status: VmStatus | null
-  /** The platform will take it away, or it says so itself. */
+  /** The platform or the VM itself has announced its termination. */
   readonly leaving: boolean
-  /** An operator asked that it takes no new work. */
+  /** Under an operator's drain: it must get no new work. */
   readonly drained: boolean
-  /** It slows its group down, by the measure of whoever observes it. */
+  /** It slows its group down, according to the observer's measurements. */
   readonly straggling: boolean
 }
 
-/** One team's model, with what this fabric domain should hold of it. */
+/** One team's intent for a model, with this fabric domain's share of it. */
 export interface PlannedIntent {
   readonly team: TeamId
-  /** 0 to 100; the higher goes first. */
+  /** 0 to 100; higher values are planned first. */
   readonly priority: number
   readonly weights: CostWeights
   readonly model: ModelId
-  /** What a group formed now should run. */
+  /** Revision that new groups run. */
   readonly revision: ModelRevision
   readonly vmsPerReplica: number
   /** Groups wanted in this fabric domain, from `allocateReplicas`. */
   readonly replicas: number
   /** Loaded standbys wanted in this fabric domain. */
   readonly standbys: number
-  /** Groups that may change to `revision` now, from `planRollout`. */
+  /** Groups that may change to `revision` now; from `planRollout`. */
   readonly changing: readonly GroupId[]
-  /** A group may be changed only after another has been formed for it; from `planRollout`. */
+  /** Whether a group may change only after its replacement has been formed; from `planRollout`. */
   readonly surgeOnly?: boolean
-  /** The change of version under way, from `planRollout`; kept in the assignment object. */
+  /** The rollout in progress, from `planRollout`; stored in the assignment object. */
   readonly rollout?: RolloutRecord | null
 }
 
@@ -67,19 +67,19 @@
 export interface FabricDomainInput {
   /** The controller's monotonic clock. */
   readonly nowMs: number
-  /** For causes that people read; decides nothing. */
+  /** For timestamps in records; no decision depends on it. */
   readonly wallMs: number
   readonly region: RegionId
   readonly failureDomain: FailureDomainId
   readonly fabricDomain: FabricDomainId
   readonly assignment: AssignmentObject | null
-  /** May list a VM twice or name one of another fabric domain: the planner takes the highest incarnation, and only its own. */
+  /** May contain a VM twice, or VMs of other fabric domains: the planner uses the highest incarnation and ignores other domains. */
   readonly vms: readonly VmHealth[]
   /** Groups under an operator's drain. */
   readonly drainedGroups: readonly GroupId[]
   readonly intents: readonly PlannedIntent[]
   readonly loadBudget: LoadBudget
   readonly settings: PlanningSettings
-  /** From the tick before, or `emptyPlanningMemory`. */
+  /** From the previous tick, or `emptyPlanningMemory`. */
   readonly memory: PlanningMemory
 }
--- a/packages/dotterelspur/src/version/planning/PlanningMemory.ts
+++ b/packages/dotterelspur/src/version/planning/PlanningMemory.ts
@@ -1,29 +1,29 @@
 import type { GroupId, VmId } from '../../process/ids.js'
 
 /**
- * What the planner carries from tick to tick. Losing it (a takeover of the lease, a restart) costs only
- * patience: waits begin anew and damping is forgotten, while everything agreed stands in the assignment object.
+ * State that the planner keeps from tick to tick. Losing it, by a takeover of the lease or a restart, only restarts the
+ * waits and ends the damping; the assignment object holds everything that was decided.
  */
 export interface PlanningMemory {
   readonly vms: ReadonlyMap<VmId, VmMemory>
   readonly groups: ReadonlyMap<GroupId, GroupMemory>
-  /** Since when the fabric domain is dark; null when it isn't. */
+  /** Time at which the fabric domain went dark; null if it is not dark. */
   readonly darkSinceMs: number | null
-  /** Loads that may start now, and when that was reckoned. */
+  /** Loads that may start now, as of `loadTokensAtMs`. */
   readonly loadTokens: number
   readonly loadTokensAtMs: number | null
-  /** Absences that have ended, newest last, bounded. */
+  /** Latest absences that have ended, newest last. */
   readonly returns: readonly ReturnSample[]
 }
 
-/** How one absence ended. */
+/** Duration and end of one absence. */
 export interface ReturnSample {
   readonly awayMs: number
-  /** Back as another process, without its weights; or not back at all. */
+  /** The VM came back as another process, without its weights, or did not come back. */
   readonly restarted: boolean
 }
 
-/** Weights that a VM was told to load, and when. */
+/** Weights that a VM was ordered to load, and when. */
 export interface PreloadMemory {
   readonly key: string
   readonly sinceMs: number
@@ -34,7 +34,7 @@
   readonly present: boolean
   readonly presentSinceMs: number | null
   readonly absentSinceMs: number | null
-  /** When it went absent, newest last, within the flap window. */
+  /** Times within the flap window at which it went absent, newest last. */
   readonly absencesMs: readonly number[]
   readonly preload: PreloadMemory | null
 }
--- a/packages/dotterelspur/src/version/planning/PlanningObservation.ts
+++ b/packages/dotterelspur/src/version/planning/PlanningObservation.ts
@@ -10,7 +10,7 @@
 
 const UNOBSERVED: Omit<VmMemory, 'incarnation'> = { present: false, presentSinceMs: null, absentSinceMs: null, absencesMs: [], preload: null }
 
-/** Takes a tick's readings into the memory: absences, how they ended, darkness, and the load budget that has come free. */
+/** Updates the planning memory with a tick's observations: absences, how they ended, a dark fabric domain, and the refilled load budget. */
 export function observe (input: FabricDomainInput): PlanningMemory {
   const vms = new Map<VmId, VmMemory>()
   const ended: ReturnSample[] = []
@@ -85,8 +85,8 @@
 }
 
 /**
- * A fabric domain of which a large share went absent together has lost its switch or its power, not its VMs.
- * Repairing one by one while the rest is still dropping out, or coming back, would form groups that fall apart.
+ * Detects a dark fabric domain: when a large share of its VMs is absent at once, its switch or power has failed rather than
+ * the VMs. Repairs while further VMs are still going absent or coming back would form groups that break again.
  */
 function observeDarkness (vms: ReadonlyMap<VmId, VmMemory>, input: FabricDomainInput): number | null {
   const known = [...vms.values()]
@@ -96,7 +96,7 @@
   return input.memory.darkSinceMs ?? input.nowMs
 }
 
-/** Whether repair and growth wait because the fabric domain has just gone dark. */
+/** Whether changes of groups are held because the fabric domain went dark less than `darkHoldMs` ago. */
 export function isHeldWhileDark (memory: PlanningMemory, input: FabricDomainInput): boolean {
   return memory.darkSinceMs !== null && input.nowMs - memory.darkSinceMs < input.settings.darkHoldMs
 }
--- a/packages/dotterelspur/src/version/planning/PlanningSettings.ts
+++ b/packages/dotterelspur/src/version/planning/PlanningSettings.ts
@@ -1,32 +1,32 @@
-/** Times and limits of the planner. Each is a setting of the node; the figures in the defaults are justified in docs/notes/repair.md. */
+/** Times and limits of the planner. Each is a setting of the node; docs/notes/repair.md gives the reasons for the defaults. */
 export interface PlanningSettings {
-  /** A member absent for less than this changes nothing: its group takes no requests meanwhile, and resumes without a new formation. */
+  /** A member that is absent for less than this is not lost: its group gets no requests meanwhile and resumes without a new formation. */
   readonly absenceGraceMs: number
-  /** The longest wait for a member that is expected to come back. */
+  /** Time after which a broken group may be dissolved for another one; also the assumed absence of an unlisted member. */
   readonly longestWaitMs: number
   /** Expected time to load a model's weights on one VM. */
   readonly loadMs: number
-  /** Expected time for loaded members to join a formation. */
+  /** Expected time for members that hold the weights to join a formation. */
   readonly joinMs: number
-  /** Expected time from a VM's restart to its first answer, where nothing was measured yet. */
+  /** Expected time from a VM's restart to its first response, until absences have been observed. */
   readonly restartMs: number
-  /** A VM that went absent this often within `flapWindowMs` is damped until it was present for `flapHoldMs`: it is taken last. */
+  /** A VM that went absent this often within `flapWindowMs` is damped, that is, chosen last, until it has been present for `flapHoldMs`. */
   readonly flapCount: number
   readonly flapWindowMs: number
   readonly flapHoldMs: number
-  /** At or above this share of the fabric domain's VMs, and this many, absent at once, it is dark: nothing is repaired for `darkHoldMs`. */
+  /** A fabric domain is dark if at least this share of its VMs, and at least `darkCount`, are absent at once; no group is changed for `darkHoldMs`. */
   readonly darkShare: number
   readonly darkCount: number
   readonly darkHoldMs: number
-  /** Changes of formation that one tick may start. */
+  /** Number of formations that one tick may start. */
   readonly formationsPerTick: number
-  /** A draining group that still runs requests is dissolved after this long all the same. */
+  /** A drain ends after this time even if the group still runs requests. */
   readonly drainMs: number
-  /** A group drains for at least this long: entries hear of it, and the last requests sent to it arrive. */
+  /** Minimum duration of a drain, so that entries receive the new state and requests already sent to the group arrive. */
   readonly drainSettleMs: number
-  /** Idle VMs that stand by, loaded, beyond what the intents ask for. */
+  /** Loaded standbys per intent beyond the number that the intent asks for, if VMs are idle. */
   readonly idleStandbys: number
-  /** A wanted count must be seen lower for this long before a group is given up. */
+  /** A group must be unwanted for this long before it is drained. */
   readonly shrinkHoldMs: number
 }
 
--- a/packages/dotterelspur/src/version/planning/RepairCost.ts
+++ b/packages/dotterelspur/src/version/planning/RepairCost.ts
@@ -9,20 +9,20 @@
 
 export const HOUR_MS = 3_600_000
 
-/** A team's weights scaled to sum to 1: only their ratio is meant, and teams must not outbid each other by scale. */
+/** Scales a team's weights to a sum of 1: only their ratio counts, so that a team gains no advantage from larger weights. */
 export function scaleWeights (weights: CostWeights): CostWeights {
   const sum = weights.groupDowntime + weights.strandedAccelerators
   if (sum <= 0) return { groupDowntime: 0.5, strandedAccelerators: 0.5 }
   return { groupDowntime: weights.groupDowntime / sum, strandedAccelerators: weights.strandedAccelerators / sum }
 }
 
-/** Weighted cost of one hour in which a group doesn't serve and this many of its VMs stand idle. */
+/** Weighted cost of one hour in which a group does not serve and this many of its VMs are idle. */
 export function costPerHour (intent: PlannedIntent, strandedVms: number): number {
   const { groupDowntime, strandedAccelerators } = scaleWeights(intent.weights)
   return groupDowntime + strandedAccelerators * strandedVms
 }
 
-/** How long a broken group would wait for its lost members, given that acting instead takes `actMs`. */
+/** Forecasts the wait for a broken group's lost members: that of the member with the longest. Acting instead takes `actMs`. */
 export function forecastGroupWait (plan: PendingPlan, group: AssignedGroup, actMs: number): WaitForecast {
   const forecasts = lostMembers(plan, group).map((member) => forecastMemberWait(plan, member, actMs))
   return forecasts.reduce((worst, one) => one.expectedMs > worst.expectedMs ? one : worst, { expectedMs: 0, isWorthwhile: false })
@@ -39,8 +39,8 @@
 }
 
 /**
- * What it costs to use up loaded VMs now: another member may be lost before a new one has loaded, and that
- * group would then be out for a load instead of a join.
+ * Cost of using the last loaded VM: if another member is lost before a new standby has loaded, that member's group is out
+ * of service for a load instead of a join.
  */
 export function reserveCost (plan: PendingPlan, intent: PlannedIntent, used: readonly Candidate[], loadedLeft: number): number {
   if (loadedLeft > 0 || !used.some((candidate) => candidate.loaded)) return 0
@@ -48,7 +48,7 @@
   return lossesPerHour(plan) * loadHours * loadHours * costPerHour(intent, intent.vmsPerReplica)
 }
 
-/** Losses of a VM an hour in this fabric domain, by what the window shows; at least one a window. */
+/** VM losses per hour in this fabric domain, from the absences within the flap window plus one. */
 function lossesPerHour (plan: PendingPlan): number {
   const seen = [...plan.memory.vms.values()].reduce((sum, vm) => sum + vm.absencesMs.length, 0)
   return (seen + 1) * HOUR_MS / plan.input.settings.flapWindowMs
--- a/packages/dotterelspur/src/version/planning/RepairOptions.ts
+++ b/packages/dotterelspur/src/version/planning/RepairOptions.ts
@@ -10,30 +10,30 @@
 import { HOUR_MS, costPerHour, forecastGroupWait, reserveCost } from './RepairCost.js'
 import { isMemberPresent } from './VmTable.js'
 
-/** A way to treat a broken group, with its expected weighted cost. */
+/** A repair option for a broken group, with its expected weighted cost. */
 export interface RepairOption extends RejectedOption {
   readonly score: number
-  /** VMs that take the empty places. */
+  /** VMs for the places to fill. */
   readonly substitutes: readonly Candidate[]
-  /** The group that gives VMs or is given up. */
+  /** The group that gives its VMs. */
   readonly other: AssignedGroup | null
 }
 
-/** A broken group with all that the ways are scored from. */
+/** A broken group with the values from which its repair options are scored. */
 export interface RepairSituation {
   readonly group: AssignedGroup
   readonly intent: PlannedIntent
-  /** Places to fill: lost members, and present ones that are about to go. */
+  /** Number of places to fill: those of lost members and, if there are enough candidates, of unfit ones. */
   readonly places: number
   readonly survivors: number
   /** Best first; includes the group's own members that restarted. */
   readonly candidates: readonly Candidate[]
 }
 
-/** Doing later what could be done now costs at least a tick. */
+/** Minimum delay of an action that is deferred: one tick. */
 const DEFERRAL_COST_MS = 1_000
 
-/** A loss at a lower stated priority counts this much of one at a higher. */
+/** Factor on the cost of an outage of a lower-priority group when it is weighed against a higher-priority one. */
 const LOWER_PRIORITY_FACTOR = 0.1
 
 export function describeSituation (plan: PendingPlan, group: AssignedGroup, intent: PlannedIntent): RepairSituation {
@@ -49,13 +49,13 @@
   return { group, intent, places, survivors: group.members.length - lost.size, candidates }
 }
 
-/** A member that is there but shouldn't be taken into a new formation if another can be had. */
+/** Whether a VM is leaving, drained or straggling, so that it should not be in a new formation if another VM is available. */
 export function isUnfit (plan: PendingPlan, vm: string): boolean {
   const view = plan.views.get(vm)
   return view !== undefined && (view.health.leaving || view.health.drained || view.health.straggling)
 }
 
-/** All ways that are open for a broken group. Waiting is always among them. */
+/** All options available for a broken group. Waiting is always one of them. */
 export function findRepairOptions (plan: PendingPlan, situation: RepairSituation): readonly RepairOption[] {
   const actions = actOptions(plan, situation)
   return [waitOption(plan, situation, actions), ...actions, ...donateOptions(plan, situation), ...dissolveOptions(plan, situation)]
@@ -66,8 +66,9 @@
 }
 
 /**
- * Waiting either pays for its own sake, or it is the best way to act, taken later. In the second case it must
- * score worse than that option, whatever else the way costs: else the group would wait for ever.
+ * Scores waiting. If waiting is worthwhile by itself, or no action is possible, its score is its own expected cost.
+ * Otherwise waiting only defers the best action and must score worse than it, whatever else that action costs; if it did
+ * not, the group would wait forever.
  */
 function waitOption (plan: PendingPlan, { group, intent }: RepairSituation, actions: readonly RepairOption[]): RepairOption {
   const quickestMs = actions.reduce((least, option) => Math.min(least, joinDelayMs(plan, option.substitutes)), Infinity)
@@ -76,7 +77,7 @@
   const bestActionScore = actions.reduce((least, option) => Math.min(least, option.score), Infinity)
   const waitScore = forecast.expectedMs / HOUR_MS * rate
   const score = forecast.isWorthwhile || actions.length === 0 ? waitScore : bestActionScore + DEFERRAL_COST_MS / HOUR_MS * rate
-  const reason = `expected to be back or settled in ${Math.round(forecast.expectedMs / 1000)} s`
+  const reason = `expected to be out of service for another ${Math.round(forecast.expectedMs / 1000)} s`
   return { kind: DecisionKind.Wait, score, reason, substitutes: [], other: null }
 }
 
@@ -100,7 +101,7 @@
   return [{ kind: DecisionKind.Replace, score, reason, substitutes, other: null }]
 }
 
-/** Fills the rest of the places from another broken group, which then waits for the members that both have lost. */
+/** Fills the remaining places with members of another broken group, which is given up. */
 function mergeOptions (plan: PendingPlan, situation: RepairSituation): readonly RepairOption[] {
   const { group, intent, places, candidates } = situation
   if (places === 0) return []
@@ -129,7 +130,7 @@
     .sort((left, right) => Number(right.loaded) - Number(left.loaded))
 }
 
-/** A serving group of strictly lower stated priority can be drained, so that its VMs come free. */
+/** Drains a serving group of strictly lower priority, so that its VMs become free. */
 function donateOptions (plan: PendingPlan, situation: RepairSituation): readonly RepairOption[] {
   const { group, intent, places, candidates } = situation
   if (places === 0 || candidates.length >= places) return []
@@ -147,7 +148,7 @@
   })
 }
 
-/** After the longest wait the survivors come free, if they complete a group that another intent is missing. */
+/** After `longestWaitMs`, frees the survivors if they complete a missing group of another intent with at least the same priority. */
 function dissolveOptions (plan: PendingPlan, { group, intent, survivors, candidates }: RepairSituation): readonly RepairOption[] {
   const { nowMs, settings } = plan.input
   const brokenSinceMs = plan.groupMemory(group.group).brokenSinceMs ?? nowMs
--- a/packages/dotterelspur/src/version/planning/ReplicaAllocation.ts
+++ b/packages/dotterelspur/src/version/planning/ReplicaAllocation.ts
@@ -1,15 +1,15 @@
 import type { FabricDomainId, FailureDomainId, ModelId, RegionId, TeamId } from '../../process/ids.js'
 import type { ModelIntent } from '../TeamSettings.js'
 
-/** A model intent with what its team states about competition. */
+/** A model intent with its team's priority. */
 export interface RankedIntent {
   readonly team: TeamId
-  /** 0 to 100; the higher goes first. */
+  /** 0 to 100; higher values are allocated first. */
   readonly priority: number
   readonly intent: ModelIntent
 }
 
-/** What all controllers know of a fabric domain: from the platform's list and the assignment documents. */
+/** A fabric domain's capacity and groups, which all controllers read from the platform's list and the assignment documents. */
 export interface FabricDomainCapacity {
   readonly region: RegionId
   readonly failureDomain: FailureDomainId
@@ -19,19 +19,19 @@
   readonly held: readonly HeldGroups[]
 }
 
-/** The groups that a fabric domain's assignment holds for one intent, without those that drain. */
+/** Groups of one intent in a fabric domain's assignment, without draining ones. */
 export interface HeldGroups {
   readonly team: TeamId
   readonly model: ModelId
   /** Serving groups. */
   readonly serving: number
-  /** Groups that form, or that broke so recently that repair is still likely. */
+  /** Groups that are forming, or that broke so recently that a repair is still likely. */
   readonly forming: number
-  /** Groups broken for longer than that, on the observer's clock. */
+  /** Groups that have been broken for longer than that, by the observer's clock. */
   readonly lost: number
 }
 
-/** How many replicas of an intent one fabric domain should hold. */
+/** Number of replicas of an intent that one fabric domain should hold. */
 export interface ReplicaShare {
   readonly team: TeamId
   readonly model: ModelId
@@ -44,21 +44,21 @@
   readonly model: ModelId
 }
 
-/** An intent that isn't met, with whom it lost to. */
+/** An intent that is not fully allocated, and the intents that took its VMs. */
 export interface UnmetIntent {
   readonly team: TeamId
   readonly model: ModelId
   readonly wanted: number
   readonly allocated: number
-  /** Intents of higher rank that hold VMs where this one may be. */
+  /** Intents of higher rank that hold VMs in fabric domains for which this one is eligible. */
   readonly lostTo: readonly IntentName[]
-  /** Fabric domains that its settings allow. */
+  /** Number of fabric domains that its settings allow. */
   readonly eligibleFabricDomains: number
   readonly reason: string
 }
 
 export interface ReplicaAllocation {
-  /** Only shares above zero. */
+  /** Shares of zero are left out. */
   readonly shares: readonly ReplicaShare[]
   readonly unmet: readonly UnmetIntent[]
 }
--- a/packages/dotterelspur/src/version/planning/ReturnTimes.ts
+++ b/packages/dotterelspur/src/version/planning/ReturnTimes.ts
@@ -5,26 +5,26 @@
 const PAUSE_MS = 6_000
 const MIN_SAMPLES = 3
 
-/** What waiting for an absent VM is expected to cost, in milliseconds out of service. */
+/** Expected time out of service when waiting for an absent VM. */
 export interface WaitForecast {
-  /** Under the best plan: wait until `untilAwayMs`, then act. */
+  /** Expected time out of service with the best time at which to stop waiting and act. */
   readonly expectedMs: number
-  /** False when acting now is best, or would be if it were possible. */
+  /** Whether waiting is better than acting now. */
   readonly isWorthwhile: boolean
 }
 
 export interface Absence {
   readonly awayMs: number
-  /** Its process has ended: it can only come back as another incarnation. */
+  /** Its process has terminated, so it can only come back as another incarnation. */
   readonly gone: boolean
 }
 
 /**
- * The best moment to stop waiting for a VM that has been away for `awayMs`, by how earlier absences ended. A
- * mean would not do: most absences are seconds long and a few last hours, so the mean says "hours" while the
- * next seconds are well worth waiting for.
+ * Forecasts the wait for a VM that has been absent for `awayMs`, with the best time to stop waiting according to earlier
+ * absences. The mean absence would be misleading: most absences last seconds and a few last hours, so the mean is hours
+ * even when waiting for the next few seconds is worthwhile.
  *
- * @param actMs time out of service if something else is done instead, from then; Infinity when nothing can be.
+ * @param actMs time out of service once the planner acts instead of waiting; Infinity if no action is possible.
  */
 export function forecastWait (samples: readonly ReturnSample[], { awayMs, gone }: Absence, actMs: number, settings: PlanningSettings): WaitForecast {
   const possibleReturns = withPrior(samples, settings).filter((sample) => sample.awayMs > awayMs && (sample.restarted || !gone))
@@ -46,7 +46,7 @@
   return sum / possibleReturns.length
 }
 
-/** Stands in until enough absences were seen here: a pause, a restart and a VM that stays away. */
+/** Adds prior samples until enough absences have been observed: a pause, a restart, and a VM that fails for hours. The last one is always added. */
 function withPrior (samples: readonly ReturnSample[], settings: PlanningSettings): readonly ReturnSample[] {
   if (samples.length >= MIN_SAMPLES) return [...samples, { awayMs: FAILED_VM_MS, restarted: true }]
   return [
--- a/packages/dotterelspur/src/version/planning/RolloutStep.ts
+++ b/packages/dotterelspur/src/version/planning/RolloutStep.ts
@@ -9,8 +9,8 @@
 import { holdsWeights, revisionOf, sameRevision, weightsKey } from './VmTable.js'
 
 /**
- * Takes the groups that may change version now through it. Where VMs allow, `growGroups` forms another group
- * first; else the members load the new version beside the old one and the group stops only to join again.
+ * Changes the version of the groups that may change now. If there are enough VMs, `growGroups` forms a replacement first.
+ * Otherwise the members load the new version while they serve the old one, and the group is drained only to join again.
  */
 export function changeVersions (plan: PendingPlan): void {
   for (const intent of plan.input.intents) {
@@ -19,7 +19,7 @@
   }
 }
 
-/** Serving groups that may change now and haven't yet. */
+/** Serving groups that may change now and have not changed yet. */
 export function changingGroups (plan: PendingPlan, intent: PlannedIntent): readonly AssignedGroup[] {
   return plan.groupsOf(intent).filter((group) =>
     group.state === GroupState.Serving &&
@@ -27,7 +27,7 @@
     !sameRevision(revisionOf(group), intent.revision))
 }
 
-/** Whether another group can be formed at the new version before one of the old goes, or is being formed. */
+/** Whether a replacement at the new version can be formed before an old group is removed, or already exists. */
 export function canSurge (plan: PendingPlan, intent: PlannedIntent): boolean {
   if (changingGroups(plan, intent).length === 0) return false
   if (plan.groupsOf(intent).length > intent.replicas) return true
@@ -64,12 +64,12 @@
   return view !== undefined && holdsWeights(view, weights, plan.input)
 }
 
-/** Keeps the records of changes under way; those of intents that are no longer here go. */
+/** Records of the rollouts in progress; those of intents that are no longer planned here are dropped. */
 export function nextRollouts (plan: PendingPlan): readonly NonNullable<PlannedIntent['rollout']>[] {
   return plan.input.intents.flatMap((intent) => intent.rollout == null ? [] : [intent.rollout])
 }
 
-/** What groups of the intent that are formed now should hold. */
+/** Weights for new groups of the intent. */
 export function intentWeights (intent: PlannedIntent): Weights {
   return { model: intent.model, revision: intent.revision }
 }
--- a/packages/dotterelspur/src/version/planning/StandbyPlan.ts
+++ b/packages/dotterelspur/src/version/planning/StandbyPlan.ts
@@ -10,7 +10,7 @@
 import type { VmView } from './VmTable.js'
 import { compareText, holdsWeights, toMember, revisionOf, sameMembers, weightsKey } from './VmTable.js'
 
-/** Takes VMs out of the standby places that they can't fill any more. */
+/** Removes standbys that restarted, are no longer usable, or have been absent for `absenceGraceMs`. */
 export function pruneStandbys (plan: PendingPlan): void {
   for (const group of plan.allGroups()) {
     const kept = group.standbys.filter((standby) => canStandBy(plan, standby))
@@ -29,8 +29,8 @@
 }
 
 /**
- * Gives idle VMs to groups as standbys, loaded with their weights: first those that the intents ask for and
- * those that a swap needs, then, since an idle VM costs the same either way, a few beyond.
+ * Assigns idle VMs to groups as standbys and starts the loads that they need: first as many as the intents ask for and
+ * member swaps need, then up to `idleStandbys` more per intent, since an idle VM costs the same either way.
  */
 export function planStandbys (plan: PendingPlan): void {
   for (const intent of orderIntents(plan.input.intents)) {
@@ -54,7 +54,7 @@
   }
 }
 
-/** Groups whose members are about to go first, then those with the fewest standbys. */
+/** The group with the most unfit members not covered by its standbys, then the one with the fewest standbys. */
 function groupLackingStandbys (plan: PendingPlan, intent: PlannedIntent): AssignedGroup | undefined {
   return plan.groupsOf(intent)
     .filter((group) => group.state !== GroupState.Draining)
@@ -80,7 +80,7 @@
       compareText(left.health.vm, right.health.vm))[0]
 }
 
-/** Sets formation numbers aside for standbys that may step in; new ones whenever members or standbys have changed. */
+/** Reserves formation numbers for standbys that may step in; reserves new ones whenever members or standbys have changed. */
 export function reserveStepIns (plan: PendingPlan): void {
   const before = new Map((plan.input.assignment?.groups ?? []).map((group) => [group.group, group]))
   for (const group of plan.allGroups()) {
--- a/packages/dotterelspur/src/version/planning/StepIn.ts
+++ b/packages/dotterelspur/src/version/planning/StepIn.ts
@@ -3,36 +3,36 @@
 import { GroupState } from '../PlatformObjects.js'
 
 /**
- * Standbys that step in without a new agreement.
+ * A formation in which standbys replace lost members without a write to the store.
  *
- * What goes wrong: while the platform's store is out no lease can be renewed and no assignment written, so a
- * group that loses a member stays broken until the store is back, with a loaded standby beside it.
+ * While the platform's store is unavailable, no lease can be renewed and no assignment written. Without such formations, a
+ * group that loses a member would stay broken until the store is back, although it has a loaded standby.
  *
- * Why this is safe without a lease: the assignment object itself agrees, before the outage, on every formation
- * that may follow. Each set of lost ranks has a formation number of its own, set aside when the standbys were
- * agreed, and the members at that number follow from the object alone. So
- * - every observer derives the same members for the same number, whoever ordered it;
- * - only VMs that the object gives to this group take part: no VM can come to be in two groups;
- * - any two formations of the group share a VM (a member that stays, or the first standby), an engine is at one
- *   formation at a time, and a group serves only while all members say the same number: at most one of them
- *   can be complete, even when two controllers hold different members for dead;
- * - numbers set aside count as given: the next agreed formation is higher than all of them, and an order of
- *   an outage that arrives late is an order of an older formation.
+ * This is safe without a lease because the assignment object determines every formation that may follow, before the
+ * outage. Each set of lost ranks has its own formation number, reserved when the standbys were assigned, and the members of
+ * that formation follow from the object alone. Therefore
+ * - every observer derives the same members for the same number, whichever node ordered it;
+ * - only VMs that the object assigns to this group take part, so no VM can get into two groups;
+ * - any two formations of the group share a VM (a remaining member, or the first standby), an engine is in one formation at
+ *   a time, and a group serves only while all members report the same number: at most one of the formations can be
+ *   complete, even if two controllers consider different members dead;
+ * - reserved numbers count as used: the next assigned formation is higher than all of them, so an order from the outage
+ *   that arrives late is an order for an older formation.
  */
 export interface DerivedFormation {
   readonly formation: number
-  /** In rank order: lost ranks are taken by standbys, in their order. */
+  /** In rank order; the standbys replace the lost ranks in their own order. */
   readonly members: readonly AssignedMember[]
   /** Ranks whose members were lost. */
   readonly lostRanks: readonly number[]
 }
 
-/** At most this many lost members are stepped in for without a new agreement. */
+/** Number of lost members that standbys may replace without a write to the store. */
 export const MAX_STEP_INS = 2
 
 /**
- * How many formation numbers a group with this many members and standbys has to set aside: one for each set of
- * lost ranks. One member must stay: formations without a common VM could both be complete.
+ * Number of formation numbers that a group with this many members and standbys reserves: one per set of lost ranks. At
+ * least one member must remain, because two formations without a common VM could both be complete.
  */
 export function countStepIns (members: number, standbys: number): number {
   const maxLost = Math.min(MAX_STEP_INS, standbys, members - 1)
@@ -40,7 +40,7 @@
   return maxLost === 1 ? members : members + members * (members - 1) / 2
 }
 
-/** The place of a set of lost ranks among the numbers set aside: single ranks first, then pairs; -1 when there is none. */
+/** Index of a set of lost ranks among the reserved numbers, single ranks first, then pairs; -1 if it has none. */
 function indexOfRanks (lostRanks: readonly number[], members: number, standbys: number): number {
   if (lostRanks.length > Math.min(MAX_STEP_INS, standbys, members - 1)) return -1
   const [first, second] = lostRanks
@@ -49,7 +49,7 @@
   return members + first * members - first * (first + 1) / 2 + (second - first - 1)
 }
 
-/** The set of lost ranks at a place; undefined when it is beyond the numbers set aside. */
+/** The set of lost ranks at an index; undefined if the index is beyond the reserved numbers. */
 function ranksAt (index: number, members: number, standbys: number): readonly number[] | undefined {
   if (index < 0 || index >= countStepIns(members, standbys)) return undefined
   if (index < members) return [index]
@@ -62,7 +62,7 @@
   return undefined
 }
 
-/** The formation that follows when exactly these members are lost; null when none was agreed. */
+/** The reserved formation for the case that exactly these members are lost; null if there is none. */
 export function deriveStepIn (group: AssignedGroup, lost: readonly VmId[]): DerivedFormation | null {
   const lostRanks = group.members.flatMap((member, rank) => lost.includes(member.vm) ? [rank] : [])
   if (group.stepInBase === undefined || lostRanks.length === 0 || lostRanks.length !== lost.length) return null
@@ -70,14 +70,14 @@
   return index === -1 ? null : derivedAt(group, group.stepInBase + index, lostRanks)
 }
 
-/** What a formation number that was set aside stands for; null when it isn't one of this group's. */
+/** The formation that a reserved number denotes; null if the group has not reserved this number. */
 export function readStepIn (group: AssignedGroup, formation: number): DerivedFormation | null {
   if (group.stepInBase === undefined) return null
   const lostRanks = ranksAt(formation - group.stepInBase, group.members.length, group.standbys.length)
   return lostRanks === undefined ? null : derivedAt(group, formation, lostRanks)
 }
 
-/** The group as it stands at a derived formation, for orders and for judging its presence. */
+/** The group in a derived formation, for orders to its members and for assessing its presence. */
 export function groupAtStepIn (group: AssignedGroup, derived: DerivedFormation): AssignedGroup {
   const { stepInBase: _stepInBase, ...kept } = group
   const names = derived.lostRanks.map((rank) => group.members[rank]!.vm).join(', ')
@@ -87,7 +87,7 @@
     state: GroupState.Serving,
     members: derived.members,
     standbys: group.standbys.slice(derived.lostRanks.length),
-    cause: `standbys agreed in advance stepped in for ${names}`
+    cause: `standbys stepped in, by reserved formation, for ${names}`
   }
 }
 
--- a/packages/dotterelspur/src/version/planning/VmTable.ts
+++ b/packages/dotterelspur/src/version/planning/VmTable.ts
@@ -7,22 +7,22 @@
 import type { PlanningMemory, VmMemory } from './PlanningMemory.js'
 import type { PlanningSettings } from './PlanningSettings.js'
 
-/** A VM as the steps of one tick see it. */
+/** A VM's health and memory, prepared for the steps of one tick. */
 export interface VmView {
   readonly health: VmHealth
   readonly memory: VmMemory
   readonly present: boolean
-  /** Present, not leaving, not drained, not straggling: it may be given a place. */
+  /** Present, and not leaving, drained, straggling or failed: it may be assigned to a group. */
   readonly usable: boolean
-  /** Came and went too often lately: it is taken only where no other VM can be had. */
+  /** It went absent too often lately, so it is chosen only if no other VM is available. */
   readonly damped: boolean
   /** 0 when present. */
   readonly absentForMs: number
 }
 
 /**
- * The VMs of this fabric domain, each once, under its highest incarnation: the list may name a VM twice. A VM
- * that is assigned and not named at all counts as absent from now on, since the list also leaves out live ones.
+ * The VMs of this fabric domain, each once with its highest incarnation, since the list may name a VM twice. An assigned VM
+ * that is not listed counts as absent from now on rather than as lost, since the list may also omit running VMs.
  */
 export function distinctVms (input: FabricDomainInput): readonly VmHealth[] {
   const highest = new Map<VmId, VmHealth>()
@@ -59,7 +59,7 @@
   return left < right ? -1 : 1
 }
 
-/** Joins health with memory. */
+/** Combines the health and the memory of each VM. */
 export function viewVms (input: FabricDomainInput, memory: PlanningMemory): ReadonlyMap<VmId, VmView> {
   const views = new Map<VmId, VmView>()
   for (const health of distinctVms(input)) views.set(health.vm, viewVm(health, memory.vms.get(health.vm)!, input))
@@ -80,7 +80,7 @@
   return memory.presentSinceMs === null || nowMs - memory.presentSinceMs < settings.flapHoldMs
 }
 
-/** A model at a revision: what a VM must hold to join without a load. */
+/** A model revision that a VM must hold in order to join without a load. */
 export interface Weights {
   readonly model: ModelId
   readonly revision: ModelRevision
@@ -101,8 +101,8 @@
 }
 
 /**
- * Whether the VM holds the weights, so that joining a formation needs no load. Where an engine doesn't say what
- * it holds, it is taken to hold what it serves, and what it was told to load long enough ago.
+ * Whether the VM holds the weights, so that joining a formation needs no load. An engine that does not report its loaded
+ * models is assumed to hold the one that it serves, and the one that it was ordered to load at least `loadMs` ago.
  */
 export function holdsWeights (view: VmView, weights: Weights, input: FabricDomainInput): boolean {
   const status = view.health.status
@@ -124,7 +124,7 @@
   return { vm: view.health.vm, incarnation: view.health.incarnation, address: view.health.address }
 }
 
-/** Whether an assigned member is there as the process that was assigned. */
+/** Whether an assigned member is present in the assigned incarnation. */
 export function isMemberPresent (member: AssignedMember, views: ReadonlyMap<VmId, VmView>): boolean {
   const view = views.get(member.vm)
   return view !== undefined && view.present && view.health.incarnation === member.incarnation
--- a/packages/dotterelspur/src/version/planning/allocateReplicas.ts
+++ b/packages/dotterelspur/src/version/planning/allocateReplicas.ts
@@ -5,7 +5,7 @@
 import { compareText } from './VmTable.js'
 
 const NOTHING_HELD = { serving: 0, forming: 0, lost: 0 }
-/** A move pays only when it evens out at least this difference between two failure domains. */
+/** Least difference in replicas between two failure domains that justifies moving one. */
 const MIN_REBALANCE_DIFFERENCE = 2
 
 interface Slot {
@@ -14,8 +14,8 @@
 }
 
 /**
- * VMs of each fabric domain that no intent of higher rank has taken, and those that lower ranks hold of them. A
- * VM that is away for a restart drops out of the list while its group waits for it: what is held counts as there.
+ * VMs per fabric domain that no intent of higher rank has taken, and how many of them intents of lower rank hold. A
+ * restarting VM drops out of the platform's list while its group waits for it, so VMs of held groups count as existing.
  */
 class CapacityLedger {
   private readonly remaining = new Map<FabricDomainId, number>()
@@ -35,7 +35,7 @@
     this.remaining.set(domain, this.remaining.get(domain)! - vms)
   }
 
-  /** The intent's own groups are no longer held by a lower rank once it is its turn. */
+  /** Called when an intent is allocated: its own groups no longer count as held by a lower rank. */
   startIntent (domain: FabricDomainCapacity, vms: number): void {
     this.heldByLower.set(domain.fabricDomain, Math.max(0, this.heldByLower.get(domain.fabricDomain)! - vms))
   }
@@ -50,13 +50,12 @@
 }
 
 /**
- * Says which fabric domain holds how many replicas of each intent. A pure function of the settings, the
- * platform's list and the assignments, which every controller reads: controllers of different failure domains
- * come to the same answer without talking, and while their views differ they err towards one replica too many,
- * never towards giving up one that serves.
+ * Allocates the replicas of each intent to fabric domains. A pure function of the settings, the platform's list and the
+ * assignments, which every controller reads. Controllers of different failure domains therefore come to the same result
+ * without communicating; while their views differ, they may form one replica too many but do not drop one that serves.
  *
- * Intents go by stated priority, then by name. What is held stays where it is; new replicas go to the failure
- * domain that has the fewest of the intent.
+ * Intents are allocated by priority, then by name. Existing groups stay where they are; new replicas go to the failure
+ * domain with the fewest replicas of the intent.
  */
 export function allocateReplicas (intents: readonly RankedIntent[], domains: readonly FabricDomainCapacity[]): ReplicaAllocation {
   const ledger = new CapacityLedger(domains, intents)
@@ -127,8 +126,9 @@
 }
 
 /**
- * One replica above the wanted count stays until more serve than are wanted: it may be the new end of a move,
- * or what another controller has just formed. All above that go, from the most crowded failure domain first.
+ * Removes surplus replicas, from the failure domain with the most replicas first. One replica above the wanted count stays
+ * until more replicas serve than are wanted: it may be the target of a rebalance, or another controller may just have
+ * formed it.
  */
 function removeSurplus (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
   const wanted = ranked.intent.replicas
@@ -172,7 +172,7 @@
   }
 }
 
-/** Free VMs go before those of lower intents; then the fewest replicas in the region, failure domain and fabric domain. */
+/** Prefers free VMs to VMs held by intents of lower rank, then the fewest replicas in the region, failure domain and fabric domain. */
 function leastCrowded (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): Slot | undefined {
   const size = ranked.intent.vmsPerReplica
   const candidates = slots.filter((slot) => ledger.fits(slot.domain.fabricDomain, size))
@@ -188,9 +188,9 @@
 }
 
 /**
- * After a failure domain has come back, its share of the intent sits elsewhere and the next failure takes more
- * than its part. One replica at a time is formed in the emptier failure domain; `giveUpSurplus` lets go of one
- * in the fuller once the new one serves.
+ * Rebalances replicas after a failure domain has come back: its replicas have been formed elsewhere, so that the loss of
+ * another failure domain would take out too many. One replica at a time is added in the failure domain with the fewest;
+ * once it serves, `removeSurplus` removes one from the failure domain with the most.
  */
 function startRebalance (ranked: RankedIntent, slots: readonly Slot[], ledger: CapacityLedger): void {
   const wanted = ranked.intent.replicas
@@ -205,7 +205,7 @@
   addReplica(target, size, ledger)
 }
 
-/** Whether an intent of higher rank holds VMs in one of the places. */
+/** Whether the other intent has replicas in one of the slots' fabric domains. */
 function holdsAny (other: RankedIntent, slots: readonly Slot[], shares: readonly ReplicaShare[]): boolean {
   return shares.some((share) => share.team === other.team && share.model === other.intent.model &&
     slots.some((slot) => slot.domain.fabricDomain === share.fabricDomain))
@@ -217,7 +217,7 @@
   const cause = slots.length === 0
     ? 'no fabric domain is allowed by its regions, failure domains and fabric domains'
     : `no fabric domain has ${intent.vmsPerReplica} more VMs to give`
-  const lostTo = names.length === 0 ? '' : `; before it (priority ${ranked.priority}) go ${names.join(', ')}`
+  const lostTo = names.length === 0 ? '' : `; intents that rank higher (this one has priority ${ranked.priority}): ${names.join(', ')}`
   return {
     team,
     model: intent.model,
--- a/packages/dotterelspur/src/version/planning/planRollout.ts
+++ b/packages/dotterelspur/src/version/planning/planRollout.ts
@@ -4,16 +4,16 @@
 import type { RolloutSettings } from '../TeamSettings.js'
 import { compareText, sameRevision } from './VmTable.js'
 
-/** A group of the model, in whichever fabric domain, as the assignment documents and evidence show it. */
+/** A group of the model in any fabric domain, from the assignment documents and the presence evidence. */
 export interface RolloutGroup {
   readonly group: GroupId
   readonly state: GroupState
   readonly revision: ModelRevision
-  /** For how long its evidence has been complete at this formation, on the observer's clock; 0 when it isn't. */
+  /** Time for which its evidence has been complete at this formation, by the observer's clock; 0 if it is not. */
   readonly healthyForMs: number
-  /** For how long it has been forming at this formation; 0 when it isn't. */
+  /** Time for which it has been forming at this formation; 0 if it is not. */
   readonly formingForMs: number
-  /** Failed requests of 100 at this formation, null when too few ran to tell. */
+  /** Percentage of failed requests at this formation; null if too few requests ran. */
   readonly errorPercent: number | null
 }
 
@@ -21,32 +21,32 @@
   readonly wallMs: number
   readonly team: TeamId
   readonly model: ModelId
-  /** What the settings want. */
+  /** Revision that the settings specify. */
   readonly wanted: ModelRevision
   readonly settings: RolloutSettings
-  /** A group at the new version that takes longer than this to become ready counts as failed. */
+  /** A group at the new version that takes longer than this to become ready fails the rollout. */
   readonly formTimeoutMs: number
   readonly groups: readonly RolloutGroup[]
   /** The records for this team and model in all assignment documents. */
   readonly records: readonly RolloutRecord[]
 }
 
-/** What one controller does about a change of version now; goes into `PlannedIntent`. */
+/** The current step of a rollout; its fields go into `PlannedIntent`. */
 export interface RolloutPlan {
   readonly revision: ModelRevision
   readonly changing: readonly GroupId[]
   readonly surgeOnly: boolean
   readonly rollout: RolloutRecord | null
-  /** Why nothing more changes now; null when something may, or nothing has to. */
+  /** Why no further group changes now; null if one may change or none has to. */
   readonly holdReason: string | null
 }
 
 /**
- * One step of a change of version or adapters, computed by each controller from the documents that all of them
- * read. The groups change in one fixed order, and the next one may start only when those before it are healthy:
- * a controller with an older view sees less progress and so starts less, never more.
+ * Plans one step of a change of version or adapters. Each controller computes it from the documents that all of them read.
+ * The groups change in a fixed order, and the next one may start only when those before it are healthy. A controller with
+ * an older view sees less progress and therefore starts fewer changes, never more.
  *
- * A halt is remembered in the assignment objects: whoever reads one takes its groups back to the version before.
+ * A halt is recorded in the assignment objects; every controller that reads the record rolls its groups back.
  */
 export function planRollout (input: RolloutInput): RolloutPlan {
   const record = input.records.find((one) => sameRevision(one.target, input.wanted) && one.phase === RolloutPhase.Halted) ??
@@ -77,14 +77,14 @@
   }
 }
 
-/** The revision that most of the groups have; of equals the first by name. */
+/** The revision of most groups; ties are broken by version name. */
 function mostCommonRevision (groups: readonly RolloutGroup[]): ModelRevision | null {
   const counted = groups.map((group) => ({ revision: group.revision, count: groups.filter((other) => sameRevision(other.revision, group.revision)).length }))
   const sorted = counted.sort((left, right) => right.count - left.count || compareText(left.revision.version, right.revision.version))
   return sorted[0]?.revision ?? null
 }
 
-/** Why the new version must not go further: it fails requests, or its groups don't get ready. */
+/** Why the rollout must halt: the new version fails requests, or a group does not become ready in time. Null if neither holds. */
 function findFailure (input: RolloutInput, changed: readonly RolloutGroup[]): string | null {
   for (const group of changed) {
     if (group.errorPercent !== null && group.errorPercent > input.settings.maxErrorPercent) {
@@ -109,8 +109,8 @@
 }
 
 /**
- * Groups that are out anyway change at once; of the serving ones as many as may be out together, less those that
- * already are. `maxUnavailable` of 0 allows one at a time, and only behind a group formed for it.
+ * Groups that do not serve change at once. Of the serving ones, as many change as `maxUnavailable` permits, less those that
+ * are already out of service or not yet healthy. A value of 0 permits one at a time, after its replacement has been formed.
  */
 function planStep (input: RolloutInput, revision: ModelRevision, waiting: readonly RolloutGroup[], pending: readonly RolloutGroup[], rollout: RolloutRecord): RolloutPlan {
   const ordered = waiting.slice().sort((left, right) => compareText(left.group, right.group))
--- a/packages/dotterelspur/src/version/planning/shareLoadBudget.ts
+++ b/packages/dotterelspur/src/version/planning/shareLoadBudget.ts
@@ -1,33 +1,32 @@
 import type { FabricDomainId } from '../../process/ids.js'
 import type { LoadBudget } from './PlanningInput.js'
 
-/** The weight store's whole rate, as settings state it. */
+/** The weight store's total load rate, from the settings. */
 export interface WeightStoreRate {
   readonly loadsPerMinute: number
-  /** Loads that may start at once after a quiet time. */
+  /** Loads that may start at once after an idle period. */
   readonly burst: number
 }
 
-/** How much of the rate a fabric domain may need: its VMs, and those that need weights now. */
+/** A fabric domain's demand for loads: the number of its VMs, and of those that need weights now. */
 export interface LoadDemand {
   readonly fabricDomain: FabricDomainId
   readonly vms: number
-  /** VMs assigned to groups that are not serving, by the assignment documents. */
+  /** VMs that the assignment documents assign to groups that are not serving. */
   readonly waiting: number
 }
 
-/** Half of the rate follows size, half follows need. */
+/** Share of the rate that is divided by number of VMs; the rest is divided by number of waiting VMs. */
 const SIZE_WEIGHT = 0.5
 
 /**
- * One fabric domain's share of the weight store's rate, computed by every controller for itself from the same
- * shared facts: there is no central counter to ask or to lose.
+ * One fabric domain's share of the weight store's rate. Every controller computes its share itself from the shared
+ * documents, so there is no central counter that could be unavailable or lost.
  *
- * The shares of all fabric domains sum to the whole rate when all controllers see the same documents. Where
- * they don't, each fabric domain's share is at most `SHARE_BY_SIZE × size part + (1 - SHARE_BY_SIZE)` of the
- * rate, so that with `d` controllers that each see only their own need the sum is at most
- * `SHARE_BY_SIZE + d × (1 - SHARE_BY_SIZE)` of it, for as long as documents take to spread (seconds); the store's
- * own refusal is the last word.
+ * The shares of all fabric domains sum to the total rate if all controllers have the same documents. If they do not, each
+ * share is at most `SIZE_WEIGHT × size part + (1 - SIZE_WEIGHT)` of the rate. With `d` controllers that each see only their
+ * own waiting VMs, the sum is at most `SIZE_WEIGHT + d × (1 - SIZE_WEIGHT)` of the rate, for the seconds that documents
+ * take to spread. The weight store itself may still reject a load.
  */
 export function shareLoadBudget (rate: WeightStoreRate, demands: readonly LoadDemand[], fabricDomain: FabricDomainId): LoadBudget {
   const own = demands.find((demand) => demand.fabricDomain === fabricDomain)
