--- a/packages/dotterelspur-fleet/src/process/Watcher.ts
+++ b/packages/dotterelspur-fleet/src/process/Watcher.ts
@@ -1,5 +1,5 @@
 import {
-  ASSIGNMENT_PREFIX, DRAIN_PREFIX, groupAtStepIn, GroupState, isWorse, judgeGroup, mergeTeardowns, readStepIn, VM_LIST_PREFIX, type AssignedGroup, type AssignedMember, type AssignmentObject, type GroupId, type GroupPresence, type MemberLack, type Teardown, type VmId,
+  ASSIGNMENT_PREFIX, DRAIN_PREFIX, groupAtStepIn, GroupState, isDegraded, assessGroup, mergeTeardowns, readStepIn, VM_LIST_PREFIX, type AssignedGroup, type AssignedMember, type AssignmentObject, type GroupId, type GroupPresence, type MemberNotReadyReason, type Teardown, type VmId,
   type VmRecord
 } from 'dotterelspur'
 import { assignmentDocuments, drainTargets, vmListDocuments } from '../version/FleetDocuments.js'
@@ -17,7 +17,7 @@
 /** What lacks in a group that this node watches, for `explain`. */
 export interface GroupEvidence {
   readonly presence: GroupPresence
-  readonly lack: { readonly vm: VmId, readonly lack: MemberLack } | null
+  readonly notReady: { readonly vm: VmId, readonly reason: MemberNotReadyReason } | null
 }
 
 /** Probes what rendezvous hashing gives this node and publishes the presence of each group and service worker. */
@@ -72,7 +72,7 @@
     const after = this.judge(watched)
     this.judged.set(watched.group.group, after)
     const isBetter = before?.complete !== true && after.presence.complete
-    if (isBetter || isWorse(before, after.presence)) this.publish()
+    if (isBetter || isDegraded(before, after.presence)) this.publish()
   }
 
   private tick (): void {
@@ -133,7 +133,7 @@
   }
 
   private judgeAs (assignment: AssignmentObject, group: AssignedGroup): GroupEvidence {
-    return judgeGroup(assignment, group, this.prober.observations, this.leaving, this.options.clock.nowMs(), this.timing.evidenceTtlMs)
+    return assessGroup(assignment, group, this.prober.observations, this.leaving, this.options.clock.nowMs(), this.timing.evidenceTtlMs)
   }
 
   /** Standbys may have stepped in, as agreed in advance, at a formation that was set aside: it counts only when it is whole. */
--- a/packages/dotterelspur/src/__tests__/unit/Assignment.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Assignment.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import {
-  AssignmentFault, checkAssignment, checkAssignmentChange, deriveOrders, EngineState, GroupState, judgeGroup, MemberLack, NO_OBSERVATION, OrderKind, type AssignedGroup,
+  AssignmentFault, checkAssignment, checkAssignmentChange, deriveOrders, EngineState, GroupState, assessGroup, MemberNotReadyReason, NO_OBSERVATION, OrderKind, type AssignedGroup,
   type AssignmentObject, type VmObservation, type VmStatus
 } from '../../index.js'
 
@@ -53,34 +53,34 @@
 }
 
 describe('judgeGroup', () => {
-  const cases: ReadonlyArray<{ title: string, observation: VmObservation, lack: MemberLack | null, ageMs?: number, leaving?: boolean }> = [
-    { title: 'present', observation: makeObservation(makeStatus('b'), 400), lack: null, ageMs: 400 },
-    { title: 'leaving', observation: makeObservation(makeStatus('b', { state: EngineState.Leaving })), lack: null, leaving: true },
-    { title: 'never seen', observation: NO_OBSERVATION, lack: MemberLack.Silent },
-    { title: 'just expired', observation: makeObservation(makeStatus('b'), TTL_MS), lack: MemberLack.Silent },
-    { title: 'refused after its last answer', observation: { ...makeObservation(makeStatus('b')), absentSinceMs: NOW_MS }, lack: MemberLack.Refused },
-    { title: 'another incarnation', observation: makeObservation(makeStatus('b', { incarnation: 2 })), lack: MemberLack.OtherIncarnation },
-    { title: 'another VM at its address', observation: makeObservation(makeStatus('c')), lack: MemberLack.OtherIncarnation },
-    { title: 'in another group', observation: makeObservation(makeStatus('b', { group: 'g2' })), lack: MemberLack.OtherGroup },
-    { title: 'in no group', observation: makeObservation(makeStatus('b', { group: null, formation: 0 })), lack: MemberLack.OtherGroup },
-    { title: 'at an older formation', observation: makeObservation(makeStatus('b', { formation: 2 })), lack: MemberLack.OtherFormation },
-    { title: 'at a newer formation', observation: makeObservation(makeStatus('b', { formation: 4 })), lack: MemberLack.OtherFormation },
-    { title: 'loading', observation: makeObservation(makeStatus('b', { state: EngineState.Loading })), lack: MemberLack.Loading },
-    { title: 'failed', observation: makeObservation(makeStatus('b', { state: EngineState.Failed })), lack: MemberLack.Failed }
+  const cases: ReadonlyArray<{ title: string, observation: VmObservation, reason: MemberNotReadyReason | null, ageMs?: number, leaving?: boolean }> = [
+    { title: 'present', observation: makeObservation(makeStatus('b'), 400), reason: null, ageMs: 400 },
+    { title: 'leaving', observation: makeObservation(makeStatus('b', { state: EngineState.Leaving })), reason: null, leaving: true },
+    { title: 'never seen', observation: NO_OBSERVATION, reason: MemberNotReadyReason.Silent },
+    { title: 'just expired', observation: makeObservation(makeStatus('b'), TTL_MS), reason: MemberNotReadyReason.Silent },
+    { title: 'refused after its last answer', observation: { ...makeObservation(makeStatus('b')), absentSinceMs: NOW_MS }, reason: MemberNotReadyReason.Refused },
+    { title: 'another incarnation', observation: makeObservation(makeStatus('b', { incarnation: 2 })), reason: MemberNotReadyReason.OtherIncarnation },
+    { title: 'another VM at its address', observation: makeObservation(makeStatus('c')), reason: MemberNotReadyReason.OtherIncarnation },
+    { title: 'in another group', observation: makeObservation(makeStatus('b', { group: 'g2' })), reason: MemberNotReadyReason.OtherGroup },
+    { title: 'in no group', observation: makeObservation(makeStatus('b', { group: null, formation: 0 })), reason: MemberNotReadyReason.OtherGroup },
+    { title: 'at an older formation', observation: makeObservation(makeStatus('b', { formation: 2 })), reason: MemberNotReadyReason.OtherFormation },
+    { title: 'at a newer formation', observation: makeObservation(makeStatus('b', { formation: 4 })), reason: MemberNotReadyReason.OtherFormation },
+    { title: 'loading', observation: makeObservation(makeStatus('b', { state: EngineState.Loading })), reason: MemberNotReadyReason.Loading },
+    { title: 'failed', observation: makeObservation(makeStatus('b', { state: EngineState.Failed })), reason: MemberNotReadyReason.Failed }
   ]
-  for (const { title, observation, lack, ageMs, leaving } of cases) {
-    it(`a group with a member that is ${title} is ${lack === null ? 'complete' : 'not complete'}`, () => {
+  for (const { title, observation, reason, ageMs, leaving } of cases) {
+    it(`a group with a member that is ${title} is ${reason === null ? 'complete' : 'not complete'}`, () => {
       const observations = new Map([['a', makeObservation(makeStatus('a'), 50)], ['b', observation]])
-      const { presence, lack: found } = judgeGroup(makeAssignment(), makeGroup(), observations, new Set(), NOW_MS, TTL_MS)
-      expect(presence.complete).to.equal(lack === null)
-      expect(found?.lack ?? null).to.equal(lack)
+      const { presence, notReady: found } = assessGroup(makeAssignment(), makeGroup(), observations, new Set(), NOW_MS, TTL_MS)
+      expect(presence.complete).to.equal(reason === null)
+      expect(found?.reason ?? null).to.equal(reason)
       expect(presence.leaving).to.equal(leaving ?? false)
       if (ageMs !== undefined) expect(presence.ageMs).to.equal(ageMs)
     })
   }
 
   it('a group without members is not complete', () => {
-    expect(judgeGroup(makeAssignment(), makeGroup({ members: [] }), new Map(), new Set(), NOW_MS, TTL_MS).presence.complete).to.equal(false)
+    expect(assessGroup(makeAssignment(), makeGroup({ members: [] }), new Map(), new Set(), NOW_MS, TTL_MS).presence.complete).to.equal(false)
   })
 })
 
--- a/packages/dotterelspur/src/__tests__/unit/Explain.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Explain.test.ts
@@ -3,22 +3,22 @@
 import type { Decision, ExplainInput, GroupPresence } from '../../index.js'
 import { SimulatedFabricDomain, createIntent } from './planningFixture.js'
 
-interface Recorded {
+interface RecordedRun {
   readonly domain: SimulatedFabricDomain
   readonly decisions: Decision[]
 }
 
-function record (vms: number, replicas = 1): Recorded {
-  const recorded: Recorded = { domain: new SimulatedFabricDomain(vms, [createIntent({ replicas })]), decisions: [] }
+function recordRun (vms: number, replicas = 1): RecordedRun {
+  const recorded: RecordedRun = { domain: new SimulatedFabricDomain(vms, [createIntent({ replicas })]), decisions: [] }
   run(recorded, 8)
   return recorded
 }
 
-function run ({ domain, decisions }: Recorded, ticks: number): void {
+function run ({ domain, decisions }: RecordedRun, ticks: number): void {
   for (let count = 0; count < ticks; count++) decisions.push(...domain.tick().decisions)
 }
 
-function createInput ({ domain, decisions }: Recorded, change: Partial<ExplainInput> = {}): ExplainInput {
+function createInput ({ domain, decisions }: RecordedRun, change: Partial<ExplainInput> = {}): ExplainInput {
   const { nowMs, wallMs, vms } = domain.input()
   const presence = domain.assignment!.groups.map((group): GroupPresence => ({
     group: group.group,
@@ -53,13 +53,13 @@
 
 describe('explainGroup', () => {
   it('says that a group serves', () => {
-    const recorded = record(2)
+    const recorded = recordRun(2)
     const group = recorded.domain.assignment!.groups[0]!.group
     expect(explainGroup(createInput(recorded), group)).to.deep.include({ satisfied: true, causes: [] })
   })
 
   it('names the absent member with its formation and for how long, and the ways that were weighed', () => {
-    const recorded = record(2)
+    const recorded = recordRun(2)
     const { group, formation } = recorded.domain.assignment!.groups[0]!
     recorded.domain.kill('vm-01')
     run(recorded, 12)
@@ -70,15 +70,15 @@
   })
 
   const cases = [
-    { name: 'a restart', strike: (domain: SimulatedFabricDomain) => domain.restart('vm-01'), change: {}, kind: ExplainCauseKind.MemberRestarted },
-    { name: 'evidence that expired', strike: () => {}, change: { evidenceTtlMs: 100 }, kind: ExplainCauseKind.EvidenceExpired },
-    { name: 'no evidence', strike: () => {}, change: { presence: [] }, kind: ExplainCauseKind.EvidenceMissing },
-    { name: 'a store outage beside it', strike: (domain: SimulatedFabricDomain) => domain.kill('vm-01'), change: { storeContactAgeMs: 60_000 }, kind: ExplainCauseKind.StoreUnavailable }
+    { name: 'a restart', injectFault: (domain: SimulatedFabricDomain) => domain.restart('vm-01'), change: {}, kind: ExplainCauseKind.MemberRestarted },
+    { name: 'evidence that expired', injectFault: () => {}, change: { evidenceTtlMs: 100 }, kind: ExplainCauseKind.EvidenceExpired },
+    { name: 'no evidence', injectFault: () => {}, change: { presence: [] }, kind: ExplainCauseKind.EvidenceMissing },
+    { name: 'a store outage beside it', injectFault: (domain: SimulatedFabricDomain) => domain.kill('vm-01'), change: { storeContactAgeMs: 60_000 }, kind: ExplainCauseKind.StoreUnavailable }
   ]
-  for (const { name, strike, change, kind } of cases) {
+  for (const { name, injectFault, change, kind } of cases) {
     it(`names ${name}`, () => {
-      const recorded = record(2)
-      strike(recorded.domain)
+      const recorded = recordRun(2)
+      injectFault(recorded.domain)
       const explanation = explainGroup(createInput(recorded, change), recorded.domain.assignment!.groups[0]!.group)!
       expect(explanation.satisfied).to.equal(false)
       expect(explanation.causes.map((cause) => cause.kind)).to.include(kind)
@@ -86,23 +86,23 @@
   }
 
   it('knows nothing of a group that no assignment names', () => {
-    expect(explainGroup(createInput(record(2)), 'other')).to.equal(undefined)
+    expect(explainGroup(createInput(recordRun(2)), 'other')).to.equal(undefined)
   })
 })
 
 describe('explainVm', () => {
   it('says where a VM has its place', () => {
-    const explanation = explainVm(createInput(record(2)), 'vm-00')!
+    const explanation = explainVm(createInput(recordRun(2)), 'vm-00')!
     expect(explanation.satisfied).to.equal(true)
     expect(explanation.causes[0]!.kind).to.equal(ExplainCauseKind.VmAssigned)
   })
 
   it('says that a VM stands by', () => {
-    expect(explainVm(createInput(record(3)), 'vm-02')!.causes[0]!.kind).to.equal(ExplainCauseKind.VmStandby)
+    expect(explainVm(createInput(recordRun(3)), 'vm-02')!.causes[0]!.kind).to.equal(ExplainCauseKind.VmStandby)
   })
 
   it('says that too few stand beside it', () => {
-    const recorded = record(2, 2)
+    const recorded = recordRun(2, 2)
     recorded.domain.addVm('vm-02')
     const explanation = explainVm(createInput(recorded), 'vm-02')!
     expect(explanation.causes[0]).to.deep.include({ kind: ExplainCauseKind.VmTooFewBeside, subject: 'perth-1-a' })
@@ -111,7 +111,7 @@
 
 describe('explainIntent', () => {
   it('counts what serves, and names the team that it lost VMs to', () => {
-    const recorded = record(2, 2)
+    const recorded = recordRun(2, 2)
     const unmet = [{ team: 'tradeline', model: 'logbook', wanted: 2, allocated: 1, lostTo: [{ team: 'piedmont', model: 'drafting' }], eligibleFabricDomains: 1, reason: 'piedmont/drafting goes before it' }]
     const explanation = explainIntent(createInput(recorded, { unmet }), 'tradeline', 'logbook')!
     expect(explanation.summary).to.contain('1 of 2 replicas')
@@ -119,7 +119,7 @@
   })
 
   it('names a halted rollout with its cause', () => {
-    const recorded = record(2)
+    const recorded = recordRun(2)
     const halted = { team: 'tradeline', model: 'logbook', target: { version: 'v2', adapters: [] }, previous: null, phase: RolloutPhase.Halted, cause: 'g1 fails 9.0%', sinceWallMs: 1 }
     const assignments = [{ ...recorded.domain.assignment!, rollouts: [halted] }]
     const explanation = explainIntent(createInput(recorded, { assignments }), 'tradeline', 'logbook')!
--- a/packages/dotterelspur/src/request/lifecycle/settleClaim.ts
+++ b/packages/dotterelspur/src/request/lifecycle/settleClaim.ts
@@ -3,10 +3,10 @@
 import { StoreErrorKind } from '../../process/ObjectStore.js'
 import { perform, type Effect, type Procedure } from '../../process/Procedure.js'
 import type { Result } from '../../process/Result.js'
-import type { Written } from '../../version/PlatformObjects.js'
+import type { WithWriteToken } from '../../version/PlatformObjects.js'
 
 /** `claims/<bucket>/<hash of team and key>`: which request id, and so which home, a caller's own key stands for. */
-export interface ClaimObject extends Written {
+export interface ClaimObject extends WithWriteToken {
   readonly team: TeamId
   readonly key: string
   readonly requestId: RequestId
--- a/packages/dotterelspur/src/version/PlatformObjects.ts
+++ b/packages/dotterelspur/src/version/PlatformObjects.ts
@@ -5,7 +5,7 @@
  * The bodies of the objects that the system keeps in the platform. Every write carries a `writeToken` that no
  * other write has, so that a write whose answer was lost can be recognised when it is read back.
  */
-export interface Written {
+export interface WithWriteToken {
   readonly writeToken: string
 }
 
@@ -46,7 +46,7 @@
 }
 
 /** `teams/<team>`: the INI text as the operator wrote it; parsed where it is used, so that the text is never lost. */
-export interface TeamObject extends Written {
+export interface TeamObject extends WithWriteToken {
   readonly team: TeamId
   readonly text: string
   /** Operator's name, for the audit trail. */
@@ -60,7 +60,7 @@
 }
 
 /** `leases/<failureDomain>`. */
-export interface LeaseObject extends Written {
+export interface LeaseObject extends WithWriteToken {
   readonly failureDomain: FailureDomainId
   readonly holder: NodeId
   readonly holderIncarnation: number
@@ -120,7 +120,7 @@
  * `assignments/<fabricDomain>`: the only place that says which VM is in which group. One object per fabric
  * domain, changed by one conditional update, so that no VM can be in two groups.
  */
-export interface AssignmentObject extends Written {
+export interface AssignmentObject extends WithWriteToken {
   readonly fabricDomain: FabricDomainId
   readonly failureDomain: FailureDomainId
   readonly region: RegionId
@@ -161,7 +161,7 @@
 }
 
 /** `nodes/<node>`: written at start and at drain, no heartbeat. */
-export interface NodeObject extends Written {
+export interface NodeObject extends WithWriteToken {
   readonly node: NodeId
   readonly incarnation: number
   readonly region: RegionId
@@ -177,7 +177,7 @@
  * `drains/<vm>`, `drains/<group>` or `drains/node/<node>`: an operator asks that an endpoint, a group or a node
  * takes no new work and finishes what it has.
  */
-export interface DrainObject extends Written {
+export interface DrainObject extends WithWriteToken {
   /** The VM or the group; for a node its process, `<node>.<incarnation>`, so that the one after it isn't drained too. */
   readonly target: string
   readonly requestedBy: string
@@ -217,7 +217,7 @@
 }
 
 /** `audit/<day>/<node>.<incarnation>.<batch>`: appended in batches. */
-export interface AuditBatch extends Written {
+export interface AuditBatch extends WithWriteToken {
   readonly records: readonly AuditRecord[]
 }
 
--- a/packages/dotterelspur/src/version/assignment/GroupEvidence.ts
+++ b/packages/dotterelspur/src/version/assignment/GroupEvidence.ts
@@ -15,7 +15,7 @@
 export const NO_OBSERVATION: VmObservation = { evidence: null, absentSinceMs: null }
 
 /** Why a member does not count as present. */
-export enum MemberLack {
+export enum MemberNotReadyReason {
   /** Never answered, or the last answer is too old. */
   Silent = 'silent',
   Refused = 'refused',
@@ -28,35 +28,35 @@
 }
 
 /** The lack of one member, or null when it is present, ready and at the group's formation. */
-export function memberLack (group: AssignedGroup, member: AssignedMember, observation: VmObservation, nowMs: number, evidenceTtlMs: number): MemberLack | null {
-  if (observation.absentSinceMs !== null) return MemberLack.Refused
+export function memberNotReadyReason (group: AssignedGroup, member: AssignedMember, observation: VmObservation, nowMs: number, evidenceTtlMs: number): MemberNotReadyReason | null {
+  if (observation.absentSinceMs !== null) return MemberNotReadyReason.Refused
   const { evidence } = observation
-  if (evidence === null || nowMs - evidence.askedAtMs >= evidenceTtlMs) return MemberLack.Silent
-  return statusLack(group, member, evidence.status)
+  if (evidence === null || nowMs - evidence.askedAtMs >= evidenceTtlMs) return MemberNotReadyReason.Silent
+  return statusNotReadyReason(group, member, evidence.status)
 }
 
-const LACK_BY_STATE: Readonly<Record<EngineState, MemberLack | null>> = {
-  [EngineState.Idle]: MemberLack.Loading,
-  [EngineState.Loading]: MemberLack.Loading,
+const NOT_READY_REASON_BY_STATE: Readonly<Record<EngineState, MemberNotReadyReason | null>> = {
+  [EngineState.Idle]: MemberNotReadyReason.Loading,
+  [EngineState.Loading]: MemberNotReadyReason.Loading,
   [EngineState.Ready]: null,
   [EngineState.Leaving]: null,
-  [EngineState.Failed]: MemberLack.Failed
+  [EngineState.Failed]: MemberNotReadyReason.Failed
 }
 
-function statusLack (group: AssignedGroup, member: AssignedMember, status: VmStatus): MemberLack | null {
-  if (status.vm !== member.vm || status.incarnation !== member.incarnation) return MemberLack.OtherIncarnation
-  if (status.group !== group.group) return MemberLack.OtherGroup
-  if (status.formation !== group.formation) return MemberLack.OtherFormation
-  return LACK_BY_STATE[status.state]
+function statusNotReadyReason (group: AssignedGroup, member: AssignedMember, status: VmStatus): MemberNotReadyReason | null {
+  if (status.vm !== member.vm || status.incarnation !== member.incarnation) return MemberNotReadyReason.OtherIncarnation
+  if (status.group !== group.group) return MemberNotReadyReason.OtherGroup
+  if (status.formation !== group.formation) return MemberNotReadyReason.OtherFormation
+  return NOT_READY_REASON_BY_STATE[status.state]
 }
 
 /** Observations by VM. */
 export type Observations = ReadonlyMap<VmId, VmObservation>
 
-export interface GroupJudgement {
+export interface GroupAssessment {
   readonly presence: GroupPresence
   /** The first member that lacks, for `explain`. */
-  readonly lack: { readonly vm: VmId, readonly lack: MemberLack } | null
+  readonly notReady: { readonly vm: VmId, readonly reason: MemberNotReadyReason } | null
 }
 
 const NO_LOAD: LoadReport = { running: 0, waiting: 0, capacity: 0, cacheUsed: 0, ageMs: 0 }
@@ -65,23 +65,23 @@
  * Judges whether a group is complete: every member present, ready and at this formation. The age counts from
  * the oldest probe that the judgement rests on, so that the judgement as a whole expires with its weakest part.
  */
-export function judgeGroup (
+export function assessGroup (
   assignment: Pick<AssignmentObject, 'fabricDomain' | 'failureDomain'>, group: AssignedGroup, observations: Observations,
   leavingVms: ReadonlySet<VmId>, nowMs: number, evidenceTtlMs: number
-): GroupJudgement {
+): GroupAssessment {
   let oldestAskedAtMs = nowMs
   let leaving = false
-  let lack: GroupJudgement['lack'] = null
+  let notReady: GroupAssessment['notReady'] = null
   for (const member of group.members) {
     const observation = observations.get(member.vm) ?? NO_OBSERVATION
-    const missing = memberLack(group, member, observation, nowMs, evidenceTtlMs)
-    if (missing !== null) lack ??= { vm: member.vm, lack: missing }
+    const reason = memberNotReadyReason(group, member, observation, nowMs, evidenceTtlMs)
+    if (reason !== null) notReady ??= { vm: member.vm, reason }
     else oldestAskedAtMs = Math.min(oldestAskedAtMs, observation.evidence!.askedAtMs)
     if (leavingVms.has(member.vm) || observation.evidence?.status.state === EngineState.Leaving) leaving = true
   }
   const leader = group.members[0]
   const load = (leader === undefined ? undefined : observations.get(leader.vm)?.evidence?.status.load) ?? NO_LOAD
-  const complete = lack === null && group.members.length > 0
+  const complete = notReady === null && group.members.length > 0
   const presence: GroupPresence = {
     group: group.group,
     fabricDomain: assignment.fabricDomain,
@@ -92,11 +92,11 @@
     ageMs: complete ? nowMs - oldestAskedAtMs : 0,
     load
   }
-  return { presence, lack }
+  return { presence, notReady }
 }
 
 /** Whether `after` serves less than `before`: such a change is told at once. */
-export function isWorse (before: GroupPresence | undefined, after: GroupPresence): boolean {
+export function isDegraded (before: GroupPresence | undefined, after: GroupPresence): boolean {
   if (before === undefined) return false
   const completenessLost = before.complete && !after.complete
   const leavingNow = !before.leaving && after.leaving
--- a/packages/dotterelspur/src/version/assignment/Orders.ts
+++ b/packages/dotterelspur/src/version/assignment/Orders.ts
@@ -20,7 +20,7 @@
 
 interface OrderContext {
   readonly assignment: AssignmentObject
-  readonly seen: ReadonlyMap<VmId, ObservedVm>
+  readonly observed: ReadonlyMap<VmId, ObservedVm>
 }
 
 type GroupOrders = (group: AssignedGroup, context: OrderContext) => DueOrder[]
@@ -37,18 +37,18 @@
  * the same difference gives the same orders at each call, so a lost order is made again and a late one repeats
  * what stands. A VM that restarted is no member any more and gets no order for its old place.
  */
-export function deriveOrders (assignment: AssignmentObject, seen: ReadonlyMap<VmId, ObservedVm>): DueOrder[] {
-  const context = { assignment, seen }
-  const placed = assignment.groups.flatMap((group) => ORDERS_BY_STATE[group.state](group, context))
-  const preloads = assignment.groups.flatMap((group) => preloadOrders(group, seen))
-  return [...placed, ...preloads, ...releaseOrders(context)]
+export function deriveOrders (assignment: AssignmentObject, observed: ReadonlyMap<VmId, ObservedVm>): DueOrder[] {
+  const context = { assignment, observed }
+  const groupOrders = assignment.groups.flatMap((group) => ORDERS_BY_STATE[group.state](group, context))
+  const preloads = assignment.groups.flatMap((group) => preloadOrders(group, observed))
+  return [...groupOrders, ...preloads, ...releaseOrders(context)]
 }
 
-function formOrders (group: AssignedGroup, { assignment, seen }: OrderContext): DueOrder[] {
+function formOrders (group: AssignedGroup, { assignment, observed }: OrderContext): DueOrder[] {
   const due: DueOrder[] = []
   for (const [rank, member] of group.members.entries()) {
-    const current = sameIncarnation(member, seen)
-    if (current === undefined || holdsPlace(current.status, group)) continue
+    const current = findObservedMember(member, observed)
+    if (current === undefined || isInPlace(current.status, group)) continue
     const order: EngineOrder = {
       kind: OrderKind.Form,
       group: group.group,
@@ -65,7 +65,7 @@
   return due
 }
 
-function holdsPlace (status: VmStatus, group: AssignedGroup): boolean {
+function isInPlace (status: VmStatus, group: AssignedGroup): boolean {
   const inPlace = status.group === group.group && status.formation === group.formation
   const working = status.state === EngineState.Ready || status.state === EngineState.Loading || status.state === EngineState.Leaving
   return inPlace && working
@@ -76,10 +76,10 @@
   return { vm, address: current.address, order, cause: `${group} drains` }
 }
 
-function drainOrders (group: AssignedGroup, { seen }: OrderContext): DueOrder[] {
+function drainOrders (group: AssignedGroup, { observed }: OrderContext): DueOrder[] {
   const due: DueOrder[] = []
   for (const member of group.members) {
-    const current = sameIncarnation(member, seen)
+    const current = findObservedMember(member, observed)
     if (current === undefined || current.status.group !== group.group || current.status.state !== EngineState.Ready) continue
     due.push(drainOrder(member.vm, current, group.group))
   }
@@ -87,17 +87,17 @@
 }
 
 /** Standbys hold what their group serves; members of a group that is about to change hold its next revision too. */
-function preloadOrders (group: AssignedGroup, seen: ReadonlyMap<VmId, ObservedVm>): DueOrder[] {
+function preloadOrders (group: AssignedGroup, observed: ReadonlyMap<VmId, ObservedVm>): DueOrder[] {
   const { model, version, adapters, preload } = group
-  const standbys = group.standbys.flatMap((standby) => preloadOrder(standby, { model, version, adapters }, `stands by for ${group.group}`, seen))
+  const standbys = group.standbys.flatMap((standby) => preloadOrder(standby, { model, version, adapters }, `stands by for ${group.group}`, observed))
   if (preload === undefined) return standbys
   const next = { model, version: preload.version, adapters: preload.adapters }
-  const ahead = [...group.members, ...group.standbys].flatMap((member) => preloadOrder(member, next, `${group.group} changes to version ${next.version}`, seen))
+  const ahead = [...group.members, ...group.standbys].flatMap((member) => preloadOrder(member, next, `${group.group} changes to version ${next.version}`, observed))
   return [...standbys, ...ahead]
 }
 
-function preloadOrder (member: AssignedMember, wanted: LoadedModel, cause: string, seen: ReadonlyMap<VmId, ObservedVm>): DueOrder[] {
-  const current = sameIncarnation(member, seen)
+function preloadOrder (member: AssignedMember, wanted: LoadedModel, cause: string, observed: ReadonlyMap<VmId, ObservedVm>): DueOrder[] {
+  const current = findObservedMember(member, observed)
   if (current === undefined || current.status.state === EngineState.Loading || isLoaded(current.status, wanted)) return []
   const order: EngineOrder = { kind: OrderKind.Preload, ...wanted }
   return [{ vm: member.vm, address: current.address, order, cause }]
@@ -110,10 +110,10 @@
 }
 
 /** An engine that says it is in a group must leave it when this incarnation of its VM has no place in any. */
-function releaseOrders ({ assignment, seen }: OrderContext): DueOrder[] {
+function releaseOrders ({ assignment, observed }: OrderContext): DueOrder[] {
   const places = new Map(assignment.groups.flatMap((group) => group.members).map((member) => [member.vm, member.incarnation]))
   const due: DueOrder[] = []
-  for (const [vm, { address, status }] of seen) {
+  for (const [vm, { address, status }] of observed) {
     if (status.group === null || places.get(vm) === status.incarnation) continue
     const order: EngineOrder = { kind: OrderKind.Release, group: status.group, formation: status.formation }
     due.push({ vm, address, order, cause: `has no place in ${status.group}` })
@@ -121,7 +121,7 @@
   return due
 }
 
-function sameIncarnation (member: AssignedMember, seen: ReadonlyMap<VmId, ObservedVm>): ObservedVm | undefined {
-  const current = seen.get(member.vm)
+function findObservedMember (member: AssignedMember, observed: ReadonlyMap<VmId, ObservedVm>): ObservedVm | undefined {
+  const current = observed.get(member.vm)
   return current?.status.incarnation === member.incarnation ? current : undefined
 }
--- a/packages/dotterelspur/src/version/explain/causes.ts
+++ b/packages/dotterelspur/src/version/explain/causes.ts
@@ -9,45 +9,45 @@
 import type { ExplainInput } from './ExplainInput.js'
 import { findVm } from './ExplainInput.js'
 
-export function cause (kind: ExplainCauseKind, subject: string | null, message: string, sinceWallMs: number | null = null): ExplainCause {
+export function createCause (kind: ExplainCauseKind, subject: string | null, message: string, sinceWallMs: number | null = null): ExplainCause {
   return { kind, subject, message, sinceWallMs, rejected: [] }
 }
 
-export function seconds (durationMs: number): string {
+export function formatSeconds (durationMs: number): string {
   return `${Math.round(durationMs / 1000)} s`
 }
 
 /** A reading on the monotonic clock as wall time, for people. */
-export function wallOf (input: ExplainInput, atMs: number): number {
+export function toWallMs (input: ExplainInput, atMs: number): number {
   return input.wallMs - (input.nowMs - atMs)
 }
 
 /** Why one member keeps its group from serving; null when it doesn't. */
 export function memberCause (input: ExplainInput, group: AssignedGroup, member: AssignedMember): ExplainCause | null {
   const health = findVm(input, member.vm)
-  const at = `VM ${member.vm} of formation ${group.formation}`
-  if (health === undefined) return cause(ExplainCauseKind.MemberAbsent, member.vm, `${at} is in no list and answers no probe.`)
+  const label = `VM ${member.vm} of formation ${group.formation}`
+  if (health === undefined) return createCause(ExplainCauseKind.MemberAbsent, member.vm, `${label} is in no list and answers no probe.`)
   if (health.incarnation > member.incarnation) {
-    return cause(ExplainCauseKind.MemberRestarted, member.vm, `${at} restarted: it is incarnation ${health.incarnation} now, and ${member.incarnation} is the member.`)
+    return createCause(ExplainCauseKind.MemberRestarted, member.vm, `${label} restarted: it is incarnation ${health.incarnation} now, and ${member.incarnation} is the member.`)
   }
-  if (health.presence === VmPresence.Absent) return absentCause(input, health, at)
-  return health.status === null ? null : statusCause(group, health, at)
+  if (health.presence === VmPresence.Absent) return absentCause(input, health, label)
+  return health.status === null ? null : statusCause(group, health, label)
 }
 
-function absentCause (input: ExplainInput, health: VmHealth, at: string): ExplainCause {
-  if (health.absentSinceMs === null) return cause(ExplainCauseKind.MemberAbsent, health.vm, `${at} is absent.`)
+function absentCause (input: ExplainInput, health: VmHealth, label: string): ExplainCause {
+  if (health.absentSinceMs === null) return createCause(ExplainCauseKind.MemberAbsent, health.vm, `${label} is absent.`)
   const sinceMs = health.absentSinceMs
-  return cause(ExplainCauseKind.MemberAbsent, health.vm, `${at} has been absent for ${seconds(input.nowMs - sinceMs)}.`, wallOf(input, sinceMs))
+  return createCause(ExplainCauseKind.MemberAbsent, health.vm, `${label} has been absent for ${formatSeconds(input.nowMs - sinceMs)}.`, toWallMs(input, sinceMs))
 }
 
-function statusCause (group: AssignedGroup, health: VmHealth, at: string): ExplainCause | null {
+function statusCause (group: AssignedGroup, health: VmHealth, label: string): ExplainCause | null {
   const status = health.status!
   if (status.group !== group.group || status.formation !== group.formation) {
     const where = status.group === null ? 'in no group' : `at formation ${status.formation} of ${status.group}`
-    return cause(ExplainCauseKind.MemberElsewhere, health.vm, `${at} says that it is ${where}.`)
+    return createCause(ExplainCauseKind.MemberElsewhere, health.vm, `${label} says that it is ${where}.`)
   }
-  const stated = STATE_CAUSES[status.state]
-  return stated === null ? null : cause(stated.kind, health.vm, `${at} ${stated.text}.`)
+  const stateCause = STATE_CAUSES[status.state]
+  return stateCause === null ? null : createCause(stateCause.kind, health.vm, `${label} ${stateCause.text}.`)
 }
 
 const STATE_CAUSES: Readonly<Record<EngineState, { readonly kind: ExplainCauseKind, readonly text: string } | null>> = {
@@ -79,7 +79,7 @@
     subject: null,
     message: describeDecision(last),
     sinceWallMs: last.atWallMs,
-    rejected: last.rejected.map(describeWay)
+    rejected: last.rejected.map(describeOption)
   }
 }
 
@@ -88,14 +88,14 @@
   return `Decided: ${decision.kind}${score}: ${decision.reason}.`
 }
 
-function describeWay (way: RejectedOption): string {
-  const score = way.score === null ? 'not open' : `score ${way.score.toFixed(4)}`
-  return `${way.kind} (${score}): ${way.reason}`
+function describeOption (option: RejectedOption): string {
+  const score = option.score === null ? 'not open' : `score ${option.score.toFixed(4)}`
+  return `${option.kind} (${score}): ${option.reason}`
 }
 
 /** With the store out nothing new can be agreed: whatever else is wrong, it stays so. */
 export function storeCauses (input: ExplainInput): readonly ExplainCause[] {
   if (input.storeContactAgeMs < input.storeOutageMs) return []
-  const message = `The platform's store has not been heard for ${seconds(input.storeContactAgeMs)}: no assignment can change meanwhile.`
-  return [cause(ExplainCauseKind.StoreUnavailable, null, message, input.wallMs - input.storeContactAgeMs)]
+  const message = `The platform's store has not been heard for ${formatSeconds(input.storeContactAgeMs)}: no assignment can change meanwhile.`
+  return [createCause(ExplainCauseKind.StoreUnavailable, null, message, input.wallMs - input.storeContactAgeMs)]
 }
--- a/packages/dotterelspur/src/version/explain/explainGroup.ts
+++ b/packages/dotterelspur/src/version/explain/explainGroup.ts
@@ -3,7 +3,7 @@
 import { ExplainCauseKind, ExplainSubject } from '../ExplainPort.js'
 import type { AssignedGroup } from '../PlatformObjects.js'
 import { GroupState } from '../PlatformObjects.js'
-import { cause, decisionCause, memberCause, seconds, storeCauses } from './causes.js'
+import { createCause, decisionCause, memberCause, formatSeconds, storeCauses } from './causes.js'
 import type { ExplainInput } from './ExplainInput.js'
 import { findGroup } from './ExplainInput.js'
 
@@ -14,13 +14,13 @@
   const { group } = placed
   const evidence = evidenceCause(input, group)
   const satisfied = evidence === null && takesWork(group) && !input.drained.includes(id)
-  if (satisfied) return explain(group, true, `${id} serves ${group.model} ${group.version} at formation ${group.formation}.`, present(decisionCause(input, id)))
+  if (satisfied) return explain(group, true, `${id} serves ${group.model} ${group.version} at formation ${group.formation}.`, asArray(decisionCause(input, id)))
   const causes = [
     ...drainCauses(input, group),
     ...memberCauses(input, group),
     ...stateCauses(group),
     ...(evidence === null ? [] : [evidence]),
-    ...present(decisionCause(input, id)),
+    ...asArray(decisionCause(input, id)),
     ...storeCauses(input)
   ]
   return explain(group, false, `${id} does not serve: ${causes[0]?.message ?? 'no cause is recorded here.'}`, causes)
@@ -30,7 +30,7 @@
   return { subject: ExplainSubject.Group, name: group.group, satisfied, summary, causes }
 }
 
-function present<Item> (item: Item | null): readonly Item[] {
+function asArray<Item> (item: Item | null): readonly Item[] {
   return item === null ? [] : [item]
 }
 
@@ -40,11 +40,11 @@
 
 function drainCauses (input: ExplainInput, group: AssignedGroup): readonly ExplainCause[] {
   if (!input.drained.includes(group.group)) return []
-  return [cause(ExplainCauseKind.OperatorDrain, group.group, `An operator has drained ${group.group}.`)]
+  return [createCause(ExplainCauseKind.OperatorDrain, group.group, `An operator has drained ${group.group}.`)]
 }
 
 function memberCauses (input: ExplainInput, group: AssignedGroup): readonly ExplainCause[] {
-  return group.members.flatMap((member) => present(memberCause(input, group, member)))
+  return group.members.flatMap((member) => asArray(memberCause(input, group, member)))
 }
 
 const STATE_KINDS: Readonly<Record<GroupState, ExplainCauseKind | null>> = {
@@ -57,18 +57,18 @@
 function stateCauses (group: AssignedGroup): readonly ExplainCause[] {
   const kind = STATE_KINDS[group.state]
   if (kind === null) return []
-  return [cause(kind, null, `${group.group} is ${group.state} at formation ${group.formation}: ${group.cause}.`, group.sinceWallMs)]
+  return [createCause(kind, null, `${group.group} is ${group.state} at formation ${group.formation}: ${group.cause}.`, group.sinceWallMs)]
 }
 
 /** Why the evidence that this node holds doesn't let it dispatch; null when it does. */
 function evidenceCause (input: ExplainInput, group: AssignedGroup): ExplainCause | null {
-  const held = input.presence.find((one) => one.group === group.group)
-  if (held === undefined) return cause(ExplainCauseKind.EvidenceMissing, group.group, 'This node holds no evidence of its presence.')
-  if (held.ageMs >= input.evidenceTtlMs) {
-    return cause(ExplainCauseKind.EvidenceExpired, group.group, `The evidence of its presence is ${seconds(held.ageMs)} old and expired after ${seconds(input.evidenceTtlMs)}.`)
+  const evidence = input.presence.find((presence) => presence.group === group.group)
+  if (evidence === undefined) return createCause(ExplainCauseKind.EvidenceMissing, group.group, 'This node holds no evidence of its presence.')
+  if (evidence.ageMs >= input.evidenceTtlMs) {
+    return createCause(ExplainCauseKind.EvidenceExpired, group.group, `The evidence of its presence is ${formatSeconds(evidence.ageMs)} old and expired after ${formatSeconds(input.evidenceTtlMs)}.`)
   }
-  if (held.formation !== group.formation) {
-    return cause(ExplainCauseKind.EvidenceMissing, group.group, `The evidence is of formation ${held.formation}, and ${group.formation} is assigned.`)
+  if (evidence.formation !== group.formation) {
+    return createCause(ExplainCauseKind.EvidenceMissing, group.group, `The evidence is of formation ${evidence.formation}, and ${group.formation} is assigned.`)
   }
-  return held.complete ? null : cause(ExplainCauseKind.EvidenceMissing, group.group, `The evidence says that formation ${group.formation} is not complete.`)
+  return evidence.complete ? null : createCause(ExplainCauseKind.EvidenceMissing, group.group, `The evidence says that formation ${group.formation} is not complete.`)
 }
--- a/packages/dotterelspur/src/version/explain/explainIntent.ts
+++ b/packages/dotterelspur/src/version/explain/explainIntent.ts
@@ -4,7 +4,7 @@
 import type { RolloutRecord } from '../PlatformObjects.js'
 import { RolloutPhase } from '../PlatformObjects.js'
 import type { UnmetIntent } from '../planning/ReplicaAllocation.js'
-import { cause, storeCauses } from './causes.js'
+import { createCause, storeCauses } from './causes.js'
 import { explainGroup } from './explainGroup.js'
 import type { ExplainInput } from './ExplainInput.js'
 
@@ -28,7 +28,7 @@
 
 function unmetCauses (input: ExplainInput, team: TeamId, model: ModelId): readonly ExplainCause[] {
   return input.unmet.filter((unmet) => unmet.team === team && unmet.model === model).map((unmet) =>
-    cause(unmetKind(unmet), null, `${unmet.allocated} of ${unmet.wanted} replicas have a place: ${unmet.reason}.`))
+    createCause(unmetKind(unmet), null, `${unmet.allocated} of ${unmet.wanted} replicas have a place: ${unmet.reason}.`))
 }
 
 function unmetKind (unmet: UnmetIntent): ExplainCauseKind {
@@ -47,7 +47,7 @@
   const halted = record.phase === RolloutPhase.Halted
   const kind = halted ? ExplainCauseKind.RolloutHalted : ExplainCauseKind.RolloutInProgress
   const text = halted ? `The change to ${record.target.version} was halted` : `A change to ${record.target.version} is under way`
-  return cause(kind, record.target.version, `${text}: ${record.cause}.`, record.sinceWallMs)
+  return createCause(kind, record.target.version, `${text}: ${record.cause}.`, record.sinceWallMs)
 }
 
 function groupCauses (explained: readonly Explanation[]): readonly ExplainCause[] {
@@ -56,5 +56,5 @@
 
 function missingCauses (wanted: number, assigned: number): readonly ExplainCause[] {
   if (assigned >= wanted) return []
-  return [cause(ExplainCauseKind.TooFewVms, null, `${wanted - assigned} of its replicas have no group yet.`)]
+  return [createCause(ExplainCauseKind.TooFewVms, null, `${wanted - assigned} of its replicas have no group yet.`)]
 }
