--- a/packages/dotterelspur/src/__tests__/unit/Assignment.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Assignment.test.ts
@@ -52,13 +52,13 @@
   return { evidence: { status, askedAtMs: NOW_MS - ageMs }, absentSinceMs: null }
 }
 
-describe('judgeGroup', () => {
+describe('assessGroup', () => {
   const cases: ReadonlyArray<{ title: string, observation: VmObservation, reason: MemberNotReadyReason | null, ageMs?: number, leaving?: boolean }> = [
     { title: 'present', observation: makeObservation(makeStatus('b'), 400), reason: null, ageMs: 400 },
     { title: 'leaving', observation: makeObservation(makeStatus('b', { state: EngineState.Leaving })), reason: null, leaving: true },
-    { title: 'never seen', observation: NO_OBSERVATION, reason: MemberNotReadyReason.Silent },
-    { title: 'just expired', observation: makeObservation(makeStatus('b'), TTL_MS), reason: MemberNotReadyReason.Silent },
-    { title: 'refused after its last answer', observation: { ...makeObservation(makeStatus('b')), absentSinceMs: NOW_MS }, reason: MemberNotReadyReason.Refused },
+    { title: 'never observed', observation: NO_OBSERVATION, reason: MemberNotReadyReason.Silent },
+    { title: 'known only from evidence that has just expired', observation: makeObservation(makeStatus('b'), TTL_MS), reason: MemberNotReadyReason.Silent },
+    { title: 'refusing connections after its last response', observation: { ...makeObservation(makeStatus('b')), absentSinceMs: NOW_MS }, reason: MemberNotReadyReason.Refused },
     { title: 'another incarnation', observation: makeObservation(makeStatus('b', { incarnation: 2 })), reason: MemberNotReadyReason.OtherIncarnation },
     { title: 'another VM at its address', observation: makeObservation(makeStatus('c')), reason: MemberNotReadyReason.OtherIncarnation },
     { title: 'in another group', observation: makeObservation(makeStatus('b', { group: 'g2' })), reason: MemberNotReadyReason.OtherGroup },
@@ -94,13 +94,13 @@
     { title: 'in another group', status: { group: 'g9' }, orders: [OrderKind.Form] },
     { title: 'failed in its place', status: { state: EngineState.Failed }, orders: [OrderKind.Form] },
     { title: 'restarted and idle', status: { ...idle, incarnation: 2 }, orders: [] },
-    { title: 'restarted and claims its old place', status: { incarnation: 2 }, orders: [OrderKind.Release] },
+    { title: 'restarted and reports its former place', status: { incarnation: 2 }, orders: [OrderKind.Release] },
     { title: 'ready in a draining group', group: { state: GroupState.Draining }, status: {}, orders: [OrderKind.Drain] },
     { title: 'drained already', group: { state: GroupState.Draining }, status: { state: EngineState.Leaving }, orders: [] },
     { title: 'in a broken group', group: { state: GroupState.Broken }, status: {}, orders: [] },
     { title: 'without a place', group: { members: [makeMember('a')] }, status: {}, orders: [OrderKind.Release] },
     { title: 'an empty standby', group: { members: [makeMember('a')], standbys: [makeMember('b')] }, status: { ...idle, model: null, version: null }, orders: [OrderKind.Preload] },
-    { title: 'a member that lacks the next version', group: { preload: { version: '2', adapters: [] } }, status: {}, orders: [OrderKind.Preload] },
+    { title: 'a member without the next version', group: { preload: { version: '2', adapters: [] } }, status: {}, orders: [OrderKind.Preload] },
     { title: 'a member that holds the next version', group: { preload: { version: '2', adapters: [] } }, status: { loaded: [{ model: 'm', version: '2', adapters: [] }] }, orders: [] },
     { title: 'a standby without the adapters', group: { adapters: ['x'], members: [makeMember('a')], standbys: [makeMember('b')] }, status: idle, orders: [OrderKind.Preload] },
     { title: 'a loaded standby', group: { members: [makeMember('a')], standbys: [makeMember('b')] }, status: idle, orders: [] }
@@ -132,7 +132,7 @@
     })
   }
 
-  it('finds a group that stands twice', () => {
+  it('finds a group that occurs twice', () => {
     const twice = makeAssignment(makeGroup({ members: [] }), makeGroup({ members: [] }))
     expect(checkAssignment(twice).map((problem) => problem.fault)).to.deep.equal([AssignmentFault.GroupTwice])
   })
--- a/packages/dotterelspur/src/__tests__/unit/Explain.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Explain.test.ts
@@ -52,13 +52,13 @@
 }
 
 describe('explainGroup', () => {
-  it('says that a group serves', () => {
+  it('states that a group serves', () => {
     const recorded = recordRun(2)
     const group = recorded.domain.assignment!.groups[0]!.group
     expect(explainGroup(createInput(recorded), group)).to.deep.include({ satisfied: true, causes: [] })
   })
 
-  it('names the absent member with its formation and for how long, and the ways that were weighed', () => {
+  it('names the absent member with its formation and the duration of its absence, and the decision to wait', () => {
     const recorded = recordRun(2)
     const { group, formation } = recorded.domain.assignment!.groups[0]!
     recorded.domain.kill('vm-01')
@@ -71,9 +71,9 @@
 
   const cases = [
     { name: 'a restart', injectFault: (domain: SimulatedFabricDomain) => domain.restart('vm-01'), change: {}, kind: ExplainCauseKind.MemberRestarted },
-    { name: 'evidence that expired', injectFault: () => {}, change: { evidenceTtlMs: 100 }, kind: ExplainCauseKind.EvidenceExpired },
-    { name: 'no evidence', injectFault: () => {}, change: { presence: [] }, kind: ExplainCauseKind.EvidenceMissing },
-    { name: 'a store outage beside it', injectFault: (domain: SimulatedFabricDomain) => domain.kill('vm-01'), change: { storeContactAgeMs: 60_000 }, kind: ExplainCauseKind.StoreUnavailable }
+    { name: 'expired evidence', injectFault: () => {}, change: { evidenceTtlMs: 100 }, kind: ExplainCauseKind.EvidenceExpired },
+    { name: 'missing evidence', injectFault: () => {}, change: { presence: [] }, kind: ExplainCauseKind.EvidenceMissing },
+    { name: 'a store outage along with another cause', injectFault: (domain: SimulatedFabricDomain) => domain.kill('vm-01'), change: { storeContactAgeMs: 60_000 }, kind: ExplainCauseKind.StoreUnavailable }
   ]
   for (const { name, injectFault, change, kind } of cases) {
     it(`names ${name}`, () => {
@@ -85,23 +85,23 @@
     })
   }
 
-  it('knows nothing of a group that no assignment names', () => {
+  it('returns undefined for a group that no assignment contains', () => {
     expect(explainGroup(createInput(recordRun(2)), 'other')).to.equal(undefined)
   })
 })
 
 describe('explainVm', () => {
-  it('says where a VM has its place', () => {
+  it('names the group of an assigned VM', () => {
     const explanation = explainVm(createInput(recordRun(2)), 'vm-00')!
     expect(explanation.satisfied).to.equal(true)
     expect(explanation.causes[0]!.kind).to.equal(ExplainCauseKind.VmAssigned)
   })
 
-  it('says that a VM stands by', () => {
+  it('states that a VM is a standby', () => {
     expect(explainVm(createInput(recordRun(3)), 'vm-02')!.causes[0]!.kind).to.equal(ExplainCauseKind.VmStandby)
   })
 
-  it('says that too few stand beside it', () => {
+  it('states that a fabric domain has too few idle VMs for a group', () => {
     const recorded = recordRun(2, 2)
     recorded.domain.addVm('vm-02')
     const explanation = explainVm(createInput(recorded), 'vm-02')!
@@ -110,7 +110,7 @@
 })
 
 describe('explainIntent', () => {
-  it('counts what serves, and names the team that it lost VMs to', () => {
+  it('counts the serving replicas and reports that a competing team has the VMs', () => {
     const recorded = recordRun(2, 2)
     const unmet = [{ team: 'tradeline', model: 'logbook', wanted: 2, allocated: 1, lostTo: [{ team: 'piedmont', model: 'drafting' }], eligibleFabricDomains: 1, reason: 'piedmont/drafting goes before it' }]
     const explanation = explainIntent(createInput(recorded, { unmet }), 'tradeline', 'logbook')!
--- a/packages/dotterelspur/src/__tests__/unit/explainVm.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/explainVm.test.ts
@@ -33,17 +33,16 @@
 }
 
 describe('explainVm', () => {
-  // Symptom: asked about a VM that has just died, explain answers that no such VM is known.
-  // Sequence: a member dies; the group is repaired without it; the platform's list drops it; the operator asks.
-  // Cause: only the list and the assignments were looked at, and both have forgotten it. The decisions had not.
-  it('tells of a VM that is listed and placed no more from the decisions that named it', () => {
+  // Guards against answering that a VM is unknown shortly after it died: a member dies, its group is repaired without it, the
+  // platform's list drops it, and only the list and the assignments were searched, but not the decisions.
+  it('explains a VM that is no longer listed or assigned from the decisions that name it', () => {
     const explanation = explainVm(createExplainInput([createBreak('vm-3')]), 'vm-3')
     expect(explanation?.satisfied).to.equal(false)
     expect(explanation?.causes.map((cause) => cause.kind)).to.deep.equal([ExplainCauseKind.VmAbsent, ExplainCauseKind.RepairChosen])
     expect(explanation?.causes[1]?.message).to.contain('break of perth-a-1.g1: vm-3 is absent')
   })
 
-  it('knows nothing of a VM that nothing names', () => {
+  it('returns undefined for a VM that no record names', () => {
     expect(explainVm(createExplainInput([createBreak('vm-3')]), 'vm-4')).to.equal(undefined)
   })
 })
--- a/packages/dotterelspur/src/version/ExplainPort.ts
+++ b/packages/dotterelspur/src/version/ExplainPort.ts
@@ -1,15 +1,15 @@
 import type { GroupId, ModelId, TeamId, VmId } from '../process/ids.js'
 
-/** What an explanation is about. */
+/** Kind of object that an explanation is about. */
 export enum ExplainSubject {
   Group = 'group',
   Vm = 'vm',
   Intent = 'intent'
 }
 
-/** Why something is not as it should be. A stable word for programs; the cause's message is for people. */
+/** Kind of cause: a stable identifier for programs, while the cause's message is for people. */
 export enum ExplainCauseKind {
-  /** Nothing of this name is known here. */
+  /** This node has no record of the name. */
   Unknown = 'unknown',
 
   GroupForming = 'group-forming',
@@ -35,12 +35,12 @@
   VmListedTwice = 'vm-listed-twice',
   /** Its fabric domain has too few free VMs for any wanted group. */
   VmTooFewBeside = 'vm-too-few-beside',
-  /** No team wants another group where it stands. */
+  /** No team wants another group in its fabric domain. */
   VmNotWanted = 'vm-not-wanted',
   FabricDomainDark = 'fabric-domain-dark',
 
   TooFewVms = 'too-few-vms',
-  /** The places that the intent names hold no fitting fabric domain. */
+  /** No fabric domain is eligible under the intent's regions, failure domains and fabric domains. */
   NoPlace = 'no-place',
   CompetingTeam = 'competing-team',
   RolloutInProgress = 'rollout-in-progress',
@@ -54,28 +54,28 @@
 
 export interface ExplainCause {
   readonly kind: ExplainCauseKind
-  /** The VM, group, team or domain that causes it; null where it is the subject itself. */
+  /** The VM, group, team, version or domain that the cause is about; null if it is the subject itself. */
   readonly subject: string | null
   readonly message: string
-  /** When it began; null where that isn't recorded. */
+  /** Time at which it began; null if that is not recorded. */
   readonly sinceWallMs: number | null
-  /** Ways that were weighed and rejected, with their scores. */
+  /** Options that were considered and rejected, with their scores. */
   readonly rejected: readonly string[]
 }
 
-/** An answer to: why is it so? The causes that matter most come first. */
+/** Explanation of an object's state. The most important causes come first. */
 export interface Explanation {
   readonly subject: ExplainSubject
   /** The group, the VM, or `<team>/<model>`. */
   readonly name: string
-  /** Serving, in use, or met: nothing needs to be done. */
+  /** Whether the group serves, the VM is in use, or the intent is met. */
   readonly satisfied: boolean
   /** One sentence. */
   readonly summary: string
   readonly causes: readonly ExplainCause[]
 }
 
-/** Answers from recorded causes, for the operators' listener; the records may be another node's. Undefined: nothing of this name is known. */
+/** Explanations from recorded causes, for the operators' listener. The records may be another node's. Undefined means that the name is not in any record. */
 export interface ExplainPort {
   /** Why does the group not serve? */
   explainGroup (group: GroupId): Promise<Explanation | undefined>
--- a/packages/dotterelspur/src/version/PlatformObjects.ts
+++ b/packages/dotterelspur/src/version/PlatformObjects.ts
@@ -2,8 +2,8 @@
 import type { VmRecord } from '../process/VmRecord.js'
 
 /**
- * The bodies of the objects that the system keeps in the platform. Every write carries a `writeToken` that no
- * other write has, so that a write whose answer was lost can be recognised when it is read back.
+ * Base of the objects that the system stores in the platform. Every write carries a unique `writeToken`, so that a write
+ * whose response was lost can be recognised when the object is read back.
  */
 export interface WithWriteToken {
   readonly writeToken: string
@@ -18,9 +18,9 @@
 export const AUDIT_PREFIX = 'audit/'
 export const STATUS_PREFIX = 'status/'
 export const DRAIN_PREFIX = 'drains/'
-/** Nodes are drained apart from VMs and groups, whose names may be the same. */
+/** Drains of nodes have a prefix of their own, because a node may have the same name as a VM or group. */
 export const NODE_DRAIN_PREFIX = 'drains/node/'
-/** Not an object of the platform: the part of the platform's VM list that a controller spreads over the mesh. */
+/** Prefix of the VM list documents, which are not platform objects: a controller distributes its failure domain's VM list over the mesh. */
 export const VM_LIST_PREFIX = 'vms/'
 
 export function leaseKey (failureDomain: FailureDomainId): string {
@@ -36,25 +36,25 @@
 }
 
 /**
- * `vms/<failureDomain>`, spread by the mesh only, with the listing's version: the VMs of one failure domain as
- * its controller last read them. One node per failure domain reads the platform's list, and all others learn
- * addresses and leaving VMs from it.
+ * `vms/<failureDomain>`, distributed only over the mesh, with the version of the platform's list: the VMs of one failure
+ * domain as its controller last read them. One node per failure domain reads the platform's list; all others get addresses
+ * and leaving VMs from this document.
  */
 export interface VmListDocument {
   readonly failureDomain: FailureDomainId
   readonly vms: readonly VmRecord[]
 }
 
-/** `teams/<team>`: the INI text as the operator wrote it; parsed where it is used, so that the text is never lost. */
+/** `teams/<team>`: the INI text as the operator wrote it. It is stored unparsed, so that the text is preserved. */
 export interface TeamObject extends WithWriteToken {
   readonly team: TeamId
   readonly text: string
-  /** Operator's name, for the audit trail. */
+  /** Operator's name, for the audit log. */
   readonly appliedBy: string
   readonly appliedAtWallMs: number
   /**
-   * Marks the operator's change, the same over all its repeats: a change whose answer was lost is recognised by
-   * it, where `writeToken` only marks one write of the store's client.
+   * Identifies the operator's change, and is the same in all its retries, so that a change whose response was lost can be
+   * recognised. `writeToken` identifies only one write of the store's client.
    */
   readonly changeToken?: string
 }
@@ -64,52 +64,52 @@
   readonly failureDomain: FailureDomainId
   readonly holder: NodeId
   readonly holderIncarnation: number
-  /** Rises at each takeover, never falls. */
+  /** Increases at each takeover and never decreases. */
   readonly fencing: number
   readonly ttlMs: number
-  /** Rises with each write that the holder sends, so that it tells its own writes apart whose answers were lost. */
+  /** Increases with each write of the holder, so that it can distinguish its own writes whose responses were lost. */
   readonly renewal: number
-  /** The holder gave it up: anyone may take it at once. */
+  /** The holder has released the lease: any node may take it at once. */
   readonly released: boolean
 }
 
 export enum GroupState {
-  /** Members load and join. */
+  /** Members load weights and join. */
   Forming = 'forming',
   /** May serve while its presence evidence is complete and fresh. */
   Serving = 'serving',
-  /** Finishes what it has; to be dissolved or formed again. */
+  /** Finishes its running requests; is then dissolved or formed again. */
   Draining = 'draining',
-  /** Lost a member; serves nothing until repaired or dissolved. */
+  /** A member is lost or failed; serves no requests until repaired. */
   Broken = 'broken'
 }
 
 export interface AssignedMember {
   readonly vm: VmId
-  /** A VM that restarts is another member: its old incarnation's place is empty. */
+  /** A VM that restarted is not this member any more: its former incarnation counts as lost. */
   readonly incarnation: number
   readonly address: string
 }
 
 export interface AssignedGroup {
   readonly group: GroupId
-  /** Rises at each change of members, model, version or adapters. */
+  /** Formation number; increases at each change of members, model, version or adapters. */
   readonly formation: number
   readonly state: GroupState
   readonly team: TeamId
   readonly model: ModelId
   readonly version: ModelVersion
   readonly adapters: readonly AdapterId[]
-  /** In rank order; rank 0 leads. */
+  /** In rank order; rank 0 is the leader. */
   readonly members: readonly AssignedMember[]
-  /** Standbys agreed in advance, in the order in which they step in. */
+  /** Standbys in the order in which they replace lost members. */
   readonly standbys: readonly AssignedMember[]
   /**
-   * The first of the formation numbers that are set aside for standbys that step in without a new agreement;
-   * another one after each change of members or standbys. See `StepIn`.
+   * First of the formation numbers reserved for standbys that replace lost members without a write to the store. New numbers
+   * are reserved after each change of members or standbys. See `DerivedFormation`.
    */
   readonly stepInBase?: number
-  /** What the members load beside what they serve, ahead of a change of version; the formation stays. */
+  /** Revision that the members load while they serve the current one, before a change of version; the formation number does not change. */
   readonly preload?: ModelRevision
   /** Why the group is in this state, for `explain`. */
   readonly cause: string
@@ -117,50 +117,50 @@
 }
 
 /**
- * `assignments/<fabricDomain>`: the only place that says which VM is in which group. One object per fabric
- * domain, changed by one conditional update, so that no VM can be in two groups.
+ * `assignments/<fabricDomain>`: the authoritative assignment of VMs to groups. There is one object per fabric domain, changed
+ * by conditional updates, so that no VM can be in two groups.
  */
 export interface AssignmentObject extends WithWriteToken {
   readonly fabricDomain: FabricDomainId
   readonly failureDomain: FailureDomainId
   readonly region: RegionId
-  /** The fencing number of the lease under which it was written; never falls. */
+  /** Fencing number of the lease under which it was written; never decreases. */
   readonly fencing: number
   readonly groups: readonly AssignedGroup[]
   /**
-   * The highest formation number ever given in this fabric domain. Each new formation takes the next one, so that
-   * a group id made from it is never used twice and late evidence of a dissolved group fits no other.
+   * Highest formation number ever assigned in this fabric domain. Each new formation gets the next one, so that group ids
+   * derived from it are unique and late evidence of a dissolved group matches no other group.
    */
   readonly highestFormation?: number
-  /** What this fabric domain's controller knows of changes of version under way. */
+  /** Rollouts in progress or halted, recorded by this fabric domain's controller. */
   readonly rollouts?: readonly RolloutRecord[]
 }
 
 export enum RolloutPhase {
   Running = 'running',
-  /** Stopped by its health check; groups go back to the version before. */
+  /** Stopped by its health check; groups are rolled back to the previous version. */
   Halted = 'halted'
 }
 
-/** A model version together with its adapters: what a rollout changes. */
+/** A model version with its adapters; a rollout changes both together. */
 export interface ModelRevision {
   readonly version: ModelVersion
   readonly adapters: readonly AdapterId[]
 }
 
-/** One change of a model's version or adapters, kept until every group has it or its intent goes. */
+/** One change of a model's version or adapters; kept until every group has changed or the intent is removed. */
 export interface RolloutRecord {
   readonly team: TeamId
   readonly model: ModelId
   readonly target: ModelRevision
-  /** What ran before, to go back to; null when nothing did. */
+  /** Revision to roll back to; null if there was none. */
   readonly previous: ModelRevision | null
   readonly phase: RolloutPhase
   readonly cause: string
   readonly sinceWallMs: number
 }
 
-/** `nodes/<node>`: written at start and at drain, no heartbeat. */
+/** `nodes/<node>`: written when the node starts and when it drains; not a heartbeat. */
 export interface NodeObject extends WithWriteToken {
   readonly node: NodeId
   readonly incarnation: number
@@ -174,11 +174,11 @@
 }
 
 /**
- * `drains/<vm>`, `drains/<group>` or `drains/node/<node>`: an operator asks that an endpoint, a group or a node
- * takes no new work and finishes what it has.
+ * `drains/<vm>`, `drains/<group>` or `drains/node/<node>`: an operator's request that a VM, a group or a node get no new work
+ * and finish its running requests.
  */
 export interface DrainObject extends WithWriteToken {
-  /** The VM or the group; for a node its process, `<node>.<incarnation>`, so that the one after it isn't drained too. */
+  /** The VM or the group; for a node `<node>.<incarnation>`, so that its next incarnation is not drained too. */
   readonly target: string
   readonly requestedBy: string
   readonly requestedAtWallMs: number
@@ -201,7 +201,7 @@
   NodeDraining = 'node-draining'
 }
 
-/** One change: who, what, before, after, why. */
+/** One recorded change: actor, subject, values before and after, and reason. */
 export interface AuditRecord {
   readonly kind: AuditKind
   readonly atWallMs: number
@@ -212,22 +212,22 @@
   readonly before: string | null
   readonly after: string | null
   readonly reason: string
-  /** For decisions: the ways that were rejected, with their scores. */
+  /** For decisions: the rejected options, with their scores. */
   readonly rejected: readonly string[]
 }
 
-/** `audit/<day>/<node>.<incarnation>.<batch>`: appended in batches. */
+/** `audit/<day>/<node>.<incarnation>.<batch>`: one batch of audit records. */
 export interface AuditBatch extends WithWriteToken {
   readonly records: readonly AuditRecord[]
 }
 
-/** `quarantine/<fingerprint>`: a request that ends endpoints and is sent nowhere. An operator who removes it lets the request run again. */
+/** `quarantine/<fingerprint>`: a poison request, which crashes the endpoints that run it and is not dispatched. Removing the object lets the request run again. */
 export interface QuarantineObject {
   readonly outline: number
   readonly service: ServiceId
   /** Null for callers without a key. */
   readonly caller: WorkspaceId | null
-  /** Endpoints that had ended with it when it was decided. */
+  /** Number of endpoints that had terminated while running it when it was quarantined. */
   readonly ends: number
   readonly decidedBy: NodeId
 }
--- a/packages/dotterelspur/src/version/TeamSettings.ts
+++ b/packages/dotterelspur/src/version/TeamSettings.ts
@@ -1,22 +1,22 @@
 import type { AdapterId, FabricDomainId, FailureDomainId, ModelId, ModelVersion, RegionId, ServiceId, TeamId } from '../process/ids.js'
 import type { PriorityClass } from '../connection/EngineApi.js'
 
-/** A team's settings subtree, checked and typed; `dotterelspur-settings` makes it of the INI text. */
+/** A team's settings subtree, validated and typed; `dotterelspur-settings` parses it from the INI text. */
 export interface TeamSettings {
   readonly team: TeamId
-  /** Two teams that compete for VMs: the higher goes first. 0 to 100. */
+  /** Priority when teams compete for VMs, 0 to 100; higher values are served first. */
   readonly priority: number
   readonly weights: CostWeights
   readonly limits: TeamLimits
   /** SHA-256 hashes, in hex, of the callers' bearer tokens. */
   readonly callerTokenHashes: readonly string[]
-  /** SHA-256 hashes, in hex, of the tokens that may see and change this team's part and no other; absent for none. */
+  /** SHA-256 hashes, in hex, of the tokens that may read and change only this team's settings; absent if there are none. */
   readonly operatorTokenHashes?: readonly string[]
   readonly models: readonly ModelIntent[]
   readonly services: readonly ServiceIntent[]
 }
 
-/** What an hour of each costs this deployment; only the ratio matters. */
+/** Relative cost of an hour of each; only the ratio matters. */
 export interface CostWeights {
   readonly groupDowntime: number
   readonly strandedAccelerators: number
@@ -39,7 +39,7 @@
   readonly replicas: number
   readonly vmsPerReplica: number
   readonly standbysPerFabricDomain: number
-  /** Empty means anywhere. */
+  /** Empty means any; so do empty `failureDomains` and `fabricDomains`. */
   readonly regions: readonly RegionId[]
   readonly failureDomains: readonly FailureDomainId[]
   readonly fabricDomains: readonly FabricDomainId[]
@@ -49,11 +49,11 @@
 }
 
 export interface RolloutSettings {
-  /** Groups of the model that may be out for the change at once. */
+  /** Groups of the model that may be out of service for the change at once. */
   readonly maxUnavailable: number
-  /** A new group must stay healthy for this long before the next step. */
+  /** A changed group must stay healthy for this long before the next one changes. */
   readonly healthyForMs: number
-  /** The rollout halts when more than this share of the new version's requests fail, in percent. */
+  /** The rollout halts if more than this percentage of the new version's requests fail. */
   readonly maxErrorPercent: number
 }
 
@@ -64,7 +64,7 @@
 }
 
 export enum RetryRule {
-  /** The route's calls are idempotent: a failed one may be sent again elsewhere. */
+  /** The route's calls are idempotent: a failed one may be retried at another endpoint. */
   Idempotent = 'idempotent',
   /** Each call runs at most once. */
   Once = 'once'
@@ -73,7 +73,7 @@
 export interface ServiceRoute {
   /** HTTP methods, empty for all. */
   readonly methods: readonly string[]
-  /** Path prefix below the service's root; the longest that fits decides. */
+  /** Path prefix below the service's root; the longest match applies. */
   readonly pathPrefix: string
   readonly retry: RetryRule
 }
--- a/packages/dotterelspur/src/version/assignment/AssignmentRules.ts
+++ b/packages/dotterelspur/src/version/assignment/AssignmentRules.ts
@@ -1,26 +1,26 @@
 import type { GroupId, VmId } from '../../process/ids.js'
 import { GroupState, type AssignedGroup, type AssignmentObject } from '../PlatformObjects.js'
 
-/** What may be wrong with an assignment, or with a change of one. */
+/** Faults of an assignment, or of a change to one. */
 export enum AssignmentFault {
-  /** A VM stands in two places, as a member or as a standby. */
+  /** A VM is assigned twice, as a member or as a standby. */
   VmTwice = 'vm-twice',
   GroupTwice = 'group-twice',
-  /** The fencing number is lower than the one before: the writer lost its lease. */
+  /** The fencing number is lower than before: the writer has lost its lease. */
   FencingFell = 'fencing-fell',
-  /** A group's formation is lower than before. */
+  /** A group's formation number is lower than before. */
   FormationFell = 'formation-fell',
-  /** Members, model, version or adapters changed, and the formation did not rise. */
+  /** Members, model, version or adapters changed without a new formation number. */
   FormationUnchanged = 'formation-unchanged'
 }
 
 export interface AssignmentProblem {
   readonly fault: AssignmentFault
-  /** The VM or the group that it is about. */
+  /** The VM, group or fabric domain with the fault. */
   readonly subject: string
 }
 
-/** Checks the shape of one assignment: no VM and no group stands in it twice. */
+/** Checks that no VM and no group occurs twice in an assignment. */
 export function checkAssignment (assignment: Pick<AssignmentObject, 'groups'>): readonly AssignmentProblem[] {
   const groups = new Set<GroupId>()
   const vms = new Set<VmId>()
@@ -36,7 +36,7 @@
   return problems
 }
 
-/** Checks a change before it is written, whatever planner made it. An empty answer means that it may be written. */
+/** Checks a change to an assignment before it is written, independently of the planner. An empty result permits the write. */
 export function checkAssignmentChange (before: AssignmentObject | null, after: AssignmentObject): readonly AssignmentProblem[] {
   const problems = [...checkAssignment(after)]
   if (before === null) return problems
@@ -53,12 +53,12 @@
   return problems
 }
 
-/** All that a formation number stands for, as comparable text. */
+/** Everything that may only change with a new formation number, as comparable text. */
 function formationContent (group: AssignedGroup): string {
   return JSON.stringify([group.model, group.version, group.adapters, group.members.map((member) => [member.vm, member.incarnation])])
 }
 
-/** Whether a group in this state may take new work, if its evidence says that it is complete. */
+/** Whether a group in this state may get new work, provided its evidence shows that it is complete. */
 export function takesNewWork (state: GroupState): boolean {
   return state === GroupState.Forming || state === GroupState.Serving
 }
--- a/packages/dotterelspur/src/version/assignment/GroupEvidence.ts
+++ b/packages/dotterelspur/src/version/assignment/GroupEvidence.ts
@@ -2,24 +2,24 @@
 import { EngineState, type GroupPresence, type LoadReport, type VmEvidence, type VmStatus } from '../../process/Presence.js'
 import type { AssignedGroup, AssignedMember, AssignmentObject } from '../PlatformObjects.js'
 
-/** What one observer knows of one VM from its own probes. */
+/** One observer's view of one VM, from its own probes. */
 export interface VmObservation {
-  /** The last answer, and when it was asked for; null before the first. */
+  /** The last response, with the time of its probe; null before the first. */
   readonly evidence: VmEvidence | null
-  /** The VM refused the connection, or answered as another VM, after the last answer: it is absent, whatever the evidence's age. */
+  /** Time at which, after the last response, the VM refused a connection or another VM responded at its address; it is then absent regardless of the evidence's age. */
   readonly absentSinceMs: number | null
-  /** Refusals in a row. More than one says that the process is gone, not that it stands still. */
+  /** Consecutive refused connections. More than one means that the process has terminated rather than paused. */
   readonly refusals?: number
 }
 
 export const NO_OBSERVATION: VmObservation = { evidence: null, absentSinceMs: null }
 
-/** Why a member does not count as present. */
+/** Why a member does not count as ready in its group. */
 export enum MemberNotReadyReason {
-  /** Never answered, or the last answer is too old. */
+  /** It has never responded, or its last response is too old. */
   Silent = 'silent',
   Refused = 'refused',
-  /** It restarted: what it held as a member is gone. */
+  /** It restarted and has lost its state as a member, or another VM responds at its address. */
   OtherIncarnation = 'other-incarnation',
   OtherGroup = 'other-group',
   OtherFormation = 'other-formation',
@@ -27,7 +27,7 @@
   Failed = 'failed'
 }
 
-/** The lack of one member, or null when it is present, ready and at the group's formation. */
+/** Why a member is not ready; null if it is present and ready at the group's formation. */
 export function memberNotReadyReason (group: AssignedGroup, member: AssignedMember, observation: VmObservation, nowMs: number, evidenceTtlMs: number): MemberNotReadyReason | null {
   if (observation.absentSinceMs !== null) return MemberNotReadyReason.Refused
   const { evidence } = observation
@@ -55,15 +55,15 @@
 
 export interface GroupAssessment {
   readonly presence: GroupPresence
-  /** The first member that lacks, for `explain`. */
+  /** The first member that is not ready, for `explain`. */
   readonly notReady: { readonly vm: VmId, readonly reason: MemberNotReadyReason } | null
 }
 
 const NO_LOAD: LoadReport = { running: 0, waiting: 0, capacity: 0, cacheUsed: 0, ageMs: 0 }
 
 /**
- * Judges whether a group is complete: every member present, ready and at this formation. The age counts from
- * the oldest probe that the judgement rests on, so that the judgement as a whole expires with its weakest part.
+ * Assesses whether a group is complete: every member is present and ready at this formation. The age counts from the oldest
+ * probe used, so that the assessment expires together with its oldest evidence.
  */
 export function assessGroup (
   assignment: Pick<AssignmentObject, 'fabricDomain' | 'failureDomain'>, group: AssignedGroup, observations: Observations,
@@ -95,7 +95,7 @@
   return { presence, notReady }
 }
 
-/** Whether `after` serves less than `before`: such a change is told at once. */
+/** Whether `after` is worse than `before`: no longer complete, now leaving, or at another formation. Such changes are published at once. */
 export function isDegraded (before: GroupPresence | undefined, after: GroupPresence): boolean {
   if (before === undefined) return false
   const completenessLost = before.complete && !after.complete
--- a/packages/dotterelspur/src/version/assignment/Orders.ts
+++ b/packages/dotterelspur/src/version/assignment/Orders.ts
@@ -3,7 +3,7 @@
 import { EngineState, type LoadedModel, type VmStatus } from '../../process/Presence.js'
 import { GroupState, type AssignedGroup, type AssignedMember, type AssignmentObject } from '../PlatformObjects.js'
 
-/** An order that is due, and to whom. */
+/** An order that is due, with its recipient. */
 export interface DueOrder {
   readonly vm: VmId
   readonly address: string
@@ -12,7 +12,7 @@
   readonly cause: string
 }
 
-/** A VM of the fabric domain as the controller last saw it. */
+/** The controller's last observation of a VM of its fabric domain. */
 export interface ObservedVm {
   readonly address: string
   readonly status: VmStatus
@@ -33,9 +33,9 @@
 }
 
 /**
- * Derives every order that is due from what is assigned and what the engines say they run. It is level-triggered:
- * the same difference gives the same orders at each call, so a lost order is made again and a late one repeats
- * what stands. A VM that restarted is no member any more and gets no order for its old place.
+ * Derives all due orders from the assignment and the status that the engines report. Level-triggered: the same difference
+ * gives the same orders at each call, so a lost order is derived again, and a duplicate changes nothing. A VM that restarted
+ * is no longer a member and gets no order for its former place.
  */
 export function deriveOrders (assignment: AssignmentObject, observed: ReadonlyMap<VmId, ObservedVm>): DueOrder[] {
   const context = { assignment, observed }
@@ -86,7 +86,7 @@
   return due
 }
 
-/** Standbys hold what their group serves; members of a group that is about to change hold its next revision too. */
+/** Preload orders: standbys load the revision that their group serves, and all VMs of a group with a `preload` load its next revision too. */
 function preloadOrders (group: AssignedGroup, observed: ReadonlyMap<VmId, ObservedVm>): DueOrder[] {
   const { model, version, adapters, preload } = group
   const standbys = group.standbys.flatMap((standby) => preloadOrder(standby, { model, version, adapters }, `stands by for ${group.group}`, observed))
@@ -103,13 +103,13 @@
   return [{ vm: member.vm, address: current.address, order, cause }]
 }
 
-/** An engine that doesn't say what its memory holds, holds what it serves. */
+/** An engine that does not report its loaded models is assumed to hold the one that it serves. */
 function isLoaded (status: VmStatus, wanted: LoadedModel): boolean {
   const held = status.loaded ?? (status.model === null || status.version === null ? [] : [{ model: status.model, version: status.version, adapters: status.adapters }])
   return held.some((loaded) => loaded.model === wanted.model && loaded.version === wanted.version && wanted.adapters.every((adapter) => loaded.adapters.includes(adapter)))
 }
 
-/** An engine that says it is in a group must leave it when this incarnation of its VM has no place in any. */
+/** Release orders for engines that report a group although this incarnation of their VM is a member of none. */
 function releaseOrders ({ assignment, observed }: OrderContext): DueOrder[] {
   const places = new Map(assignment.groups.flatMap((group) => group.members).map((member) => [member.vm, member.incarnation]))
   const due: DueOrder[] = []
--- a/packages/dotterelspur/src/version/explain/ExplainInput.ts
+++ b/packages/dotterelspur/src/version/explain/ExplainInput.ts
@@ -5,7 +5,7 @@
 import type { VmHealth } from '../planning/PlanningInput.js'
 import type { UnmetIntent } from '../planning/ReplicaAllocation.js'
 
-/** What a team's settings want of one model. */
+/** A team's intent for one model, from its settings. */
 export interface WantedModel {
   readonly team: TeamId
   readonly model: ModelId
@@ -14,27 +14,27 @@
 }
 
 /**
- * Everything a node has recorded that an explanation may name. Explanations are made of these records alone:
- * where a node knows nothing of a cause, it says so and invents none.
+ * A node's records, from which explanations are made. Explanations use only these records: if none of them shows a cause,
+ * the explanation says that no cause is recorded.
  */
 export interface ExplainInput {
   readonly nowMs: number
   readonly wallMs: number
   readonly assignments: readonly AssignmentObject[]
   readonly vms: readonly VmHealth[]
-  /** VMs that the platform's list names more than once. */
+  /** VMs that occur more than once in the platform's list. */
   readonly listedTwice: readonly VmId[]
   readonly presence: readonly GroupPresence[]
   readonly evidenceTtlMs: number
-  /** Of this node's controllers, newest last. */
+  /** Decisions of this node's controllers, newest last. */
   readonly decisions: readonly Decision[]
-  /** Targets of operators' drains: VMs and groups. */
+  /** VMs and groups under an operator's drain. */
   readonly drained: readonly string[]
   readonly wanted: readonly WantedModel[]
   readonly unmet: readonly UnmetIntent[]
-  /** Since the node last heard the store, itself or through a peer. */
+  /** Time since the node's last contact with the store, directly or through a peer. */
   readonly storeContactAgeMs: number
-  /** Store contact older than this counts as an outage. */
+  /** Age of the last store contact from which the store counts as unavailable. */
   readonly storeOutageMs: number
 }
 
@@ -59,7 +59,7 @@
   return undefined
 }
 
-/** The VM's reading with the highest incarnation. */
+/** The VM's health with the highest incarnation. */
 export function findVm (input: ExplainInput, vm: VmId): VmHealth | undefined {
   return input.vms.filter((health) => health.vm === vm).sort((left, right) => right.incarnation - left.incarnation)[0]
 }
--- a/packages/dotterelspur/src/version/explain/causes.ts
+++ b/packages/dotterelspur/src/version/explain/causes.ts
@@ -17,18 +17,18 @@
   return `${Math.round(durationMs / 1000)} s`
 }
 
-/** A reading on the monotonic clock as wall time, for people. */
+/** Converts a time of the monotonic clock to wall time. */
 export function toWallMs (input: ExplainInput, atMs: number): number {
   return input.wallMs - (input.nowMs - atMs)
 }
 
-/** Why one member keeps its group from serving; null when it doesn't. */
+/** Why a member keeps its group from serving; null if it does not. */
 export function memberCause (input: ExplainInput, group: AssignedGroup, member: AssignedMember): ExplainCause | null {
   const health = findVm(input, member.vm)
   const label = `VM ${member.vm} of formation ${group.formation}`
   if (health === undefined) return createCause(ExplainCauseKind.MemberAbsent, member.vm, `${label} is in no list and answers no probe.`)
   if (health.incarnation > member.incarnation) {
-    return createCause(ExplainCauseKind.MemberRestarted, member.vm, `${label} restarted: it is incarnation ${health.incarnation} now, and ${member.incarnation} is the member.`)
+    return createCause(ExplainCauseKind.MemberRestarted, member.vm, `${label} restarted: it is now incarnation ${health.incarnation}, and the group's member is incarnation ${member.incarnation}.`)
   }
   if (health.presence === VmPresence.Absent) return absentCause(input, health, label)
   return health.status === null ? null : statusCause(group, health, label)
@@ -44,7 +44,7 @@
   const status = health.status!
   if (status.group !== group.group || status.formation !== group.formation) {
     const where = status.group === null ? 'in no group' : `at formation ${status.formation} of ${status.group}`
-    return createCause(ExplainCauseKind.MemberElsewhere, health.vm, `${label} says that it is ${where}.`)
+    return createCause(ExplainCauseKind.MemberElsewhere, health.vm, `${label} reports that it is ${where}.`)
   }
   const stateCause = STATE_CAUSES[status.state]
   return stateCause === null ? null : createCause(stateCause.kind, health.vm, `${label} ${stateCause.text}.`)
@@ -70,7 +70,7 @@
   [DecisionKind.Rollout]: ExplainCauseKind.RolloutInProgress
 }
 
-/** The newest recorded decision about a group, with the ways that it rejected. */
+/** The latest recorded decision about a group, with the options that it rejected. */
 export function decisionCause (input: ExplainInput, group: string): ExplainCause | null {
   const last = input.decisions.filter((decision) => decision.group === group && CAUSE_OF_DECISION[decision.kind] !== undefined).at(-1)
   if (last === undefined) return null
@@ -89,13 +89,13 @@
 }
 
 function describeOption (option: RejectedOption): string {
-  const score = option.score === null ? 'not open' : `score ${option.score.toFixed(4)}`
+  const score = option.score === null ? 'not available' : `score ${option.score.toFixed(4)}`
   return `${option.kind} (${score}): ${option.reason}`
 }
 
-/** With the store out nothing new can be agreed: whatever else is wrong, it stays so. */
+/** While the store is unavailable no assignment can be written, so other faults persist. */
 export function storeCauses (input: ExplainInput): readonly ExplainCause[] {
   if (input.storeContactAgeMs < input.storeOutageMs) return []
-  const message = `The platform's store has not been heard for ${formatSeconds(input.storeContactAgeMs)}: no assignment can change meanwhile.`
+  const message = `There has been no contact with the platform's store for ${formatSeconds(input.storeContactAgeMs)}: no assignment can change meanwhile.`
   return [createCause(ExplainCauseKind.StoreUnavailable, null, message, input.wallMs - input.storeContactAgeMs)]
 }
--- a/packages/dotterelspur/src/version/explain/explainGroup.ts
+++ b/packages/dotterelspur/src/version/explain/explainGroup.ts
@@ -7,7 +7,7 @@
 import type { ExplainInput } from './ExplainInput.js'
 import { findGroup } from './ExplainInput.js'
 
-/** Says why a group doesn't serve, or that it does. Undefined when no assignment names it. */
+/** Explains why a group does not serve, or states that it does. Undefined if no assignment contains it. */
 export function explainGroup (input: ExplainInput, id: GroupId): Explanation | undefined {
   const placed = findGroup(input, id)
   if (placed === undefined) return undefined
@@ -60,7 +60,7 @@
   return [createCause(kind, null, `${group.group} is ${group.state} at formation ${group.formation}: ${group.cause}.`, group.sinceWallMs)]
 }
 
-/** Why the evidence that this node holds doesn't let it dispatch; null when it does. */
+/** Why this node's evidence does not permit dispatching to the group; null if it does. */
 function evidenceCause (input: ExplainInput, group: AssignedGroup): ExplainCause | null {
   const evidence = input.presence.find((presence) => presence.group === group.group)
   if (evidence === undefined) return createCause(ExplainCauseKind.EvidenceMissing, group.group, 'This node holds no evidence of its presence.')
--- a/packages/dotterelspur/src/version/explain/explainIntent.ts
+++ b/packages/dotterelspur/src/version/explain/explainIntent.ts
@@ -8,7 +8,7 @@
 import { explainGroup } from './explainGroup.js'
 import type { ExplainInput } from './ExplainInput.js'
 
-/** Says why a team's intent for a model isn't met. Undefined when its settings name no such model. */
+/** Explains why a team's intent for a model is not met, or states that it is. Undefined if the team's settings do not contain the model. */
 export function explainIntent (input: ExplainInput, team: TeamId, model: ModelId): Explanation | undefined {
   const wanted = input.wanted.find((one) => one.team === team && one.model === model)
   if (wanted === undefined) return undefined
@@ -46,7 +46,7 @@
 function rolloutCause (record: RolloutRecord): ExplainCause {
   const halted = record.phase === RolloutPhase.Halted
   const kind = halted ? ExplainCauseKind.RolloutHalted : ExplainCauseKind.RolloutInProgress
-  const text = halted ? `The change to ${record.target.version} was halted` : `A change to ${record.target.version} is under way`
+  const text = halted ? `The change to ${record.target.version} was halted` : `A change to ${record.target.version} is in progress`
   return createCause(kind, record.target.version, `${text}: ${record.cause}.`, record.sinceWallMs)
 }
 
--- a/packages/dotterelspur/src/version/explain/explainVm.ts
+++ b/packages/dotterelspur/src/version/explain/explainVm.ts
@@ -7,7 +7,7 @@
 import type { ExplainInput, PlacedGroup, WantedModel } from './ExplainInput.js'
 import { findPlace, findVm } from './ExplainInput.js'
 
-/** Says where a VM has its place, or why it has none. Undefined when it is neither listed, nor assigned, nor named by a decision. */
+/** Explains to which group a VM is assigned, or why to none. Undefined if it is neither listed, nor assigned, nor named by a decision. */
 export function explainVm (input: ExplainInput, vm: VmId): Explanation | undefined {
   const health = findVm(input, vm)
   const place = findPlace(input, vm)
@@ -24,11 +24,11 @@
   return { subject: ExplainSubject.Vm, name: vm, satisfied, summary: summarise(vm, place, causes), causes }
 }
 
-/** A VM that died and left the list is what an operator asks about most: the decisions still name it. */
+/** Explains a VM that is neither listed nor assigned from the decisions that name it. Operators ask most often about VMs that have died and left the list. */
 function explainUnlistedVm (input: ExplainInput, vm: VmId): Explanation | undefined {
   const decisionCauses = lastDecisionCauses(input, vm)
   if (decisionCauses.length === 0) return undefined
-  const absent = createCause(ExplainCauseKind.VmAbsent, vm, `VM ${vm} is in no list and has no place any more.`)
+  const absent = createCause(ExplainCauseKind.VmAbsent, vm, `VM ${vm} is no longer listed or assigned.`)
   return { subject: ExplainSubject.Vm, name: vm, satisfied: false, summary: absent.message, causes: [absent, ...decisionCauses, ...storeCauses(input)] }
 }
 
@@ -67,7 +67,7 @@
   return createCause(ExplainCauseKind.VmStandby, group.group, `VM ${vm} is standby ${order + 1} of ${group.group}.`, group.sinceWallMs)
 }
 
-/** Why a VM that is there has no place: nobody wants another group here, or there are too few like it. */
+/** Why a present VM is not assigned: no further group is wanted, or its fabric domain has too few idle VMs for one. */
 function idleCauses (input: ExplainInput, health: VmHealth | undefined): readonly ExplainCause[] {
   if (health === undefined || health.presence !== VmPresence.Present) return []
   const missing = input.wanted.filter((wanted) => groupsOf(input, wanted) < wanted.replicas)
@@ -88,7 +88,7 @@
   return new Set(presentVms.map((other) => other.vm).filter((vm) => findPlace(input, vm) === undefined)).size
 }
 
-/** The newest recorded decision that named the VM: why it moved. */
+/** The latest recorded decision that names the VM. */
 function lastDecisionCauses (input: ExplainInput, vm: VmId): readonly ExplainCause[] {
   const last = input.decisions.filter((decision) => decision.vms.includes(vm)).at(-1)
   if (last === undefined) return []
--- a/packages/dotterelspur/src/version/manifest/Manifest.ts
+++ b/packages/dotterelspur/src/version/manifest/Manifest.ts
@@ -1,42 +1,42 @@
 import type { ModelId, ServiceId, WorkspaceId } from '../../process/ids.js'
 
-/** What may be repeated of a request, as the operators declare it for its route. */
+/** Whether a request may be retried, as operators declare it for its route. */
 export enum RequestKind {
   /** May run more than once. */
   Idempotent = 'idempotent',
   /** May run at most once. */
   NonIdempotent = 'non-idempotent',
-  /** Answered by a series of events; runs at most once unless the route allows streams to be resumed. */
+  /** The response is a stream of events. Runs at most once, unless the route allows streams to be resumed. */
   Streaming = 'streaming'
 }
 
-/** A route's share of one service. */
+/** A service's share of a route's traffic. */
 export interface ServiceShare {
   readonly service: ServiceId
-  /** Relative to the other shares of the route; positive. */
+  /** Weight relative to the route's other shares; positive. */
   readonly weight: number
 }
 
-/** Where requests of one host and path prefix go, and what is promised of them. */
+/** Routing of the requests for one host and path prefix, with their latency targets. */
 export interface Route {
   readonly name: string
   readonly host: string
   /** Begins and ends with a slash. */
   readonly pathPrefix: string
   readonly kind: RequestKind
-  /** The longest that the operators want a caller to be kept waiting. */
+  /** Maximum time that a caller may wait for the response. */
   readonly timeoutMs: number
-  /** An answer within this time has its full value; for streams, the first event. */
+  /** Latency target: a response within this time has its full value. For streams, it applies to the first event. */
   readonly targetLatencyMs: number
-  /** The longest pause between two events of a stream that is still on time; null where there are no streams. */
+  /** Target for the longest pause between two events of a stream; null if the route has no streams. */
   readonly targetGapMs: number | null
-  /** Endpoints to which one attempt of a caller may be sent. */
+  /** Number of endpoints to which one submission of a request by a caller may be dispatched. */
   readonly maxAttempts: number
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number
-  /** Needs no key. */
+  /** Whether requests need no key. */
   readonly isPublic: boolean
-  /** A stream may be continued at another endpoint after the last event that arrived. */
+  /** Whether a stream may be resumed at another endpoint after the last received event. */
   readonly resumable: boolean
   readonly shares: readonly ServiceShare[]
 }
@@ -44,39 +44,39 @@
 /** A model whose replicas are groups of VMs. */
 export interface ModelSpec {
   readonly model: ModelId
-  /** VMs in a group. */
+  /** Number of VMs in a group. */
   readonly size: number
-  /** Factor on all times of the group; below 1 is faster. */
+  /** Factor on all engine times of the group; values below 1 are faster. */
   readonly pace: number
-  /** The model's share of the work at the start. */
+  /** The model's assumed share of the work at start-up. */
   readonly share: number
-  /** Loading from the weight store. */
+  /** Time to load the model from the weight store. */
   readonly loadMs: number
-  /** Loading from the VM's own host, where the model is staged. */
+  /** Time to load the model from the VM's own host, if it is staged there. */
   readonly warmMs: number
 }
 
-/** How the engines of a service spend their time; per group, before the model's pace. */
+/** Timing and limits of a service's engines, per group; times are multiplied by the model's `pace`. */
 export interface EngineSpec {
-  /** Requests that write at the same time. */
+  /** Number of requests that may generate tokens concurrently. */
   readonly slots: number
   readonly kvCapacityTokens: number
-  /** Token steps in one pass. */
+  /** Token steps per engine pass. */
   readonly stride: number
   readonly stepMs: number
   readonly perSequenceMs: number
   readonly perThousandContextTokensMs: number
   readonly readTokensPerSecond: number
-  /** Of pairs of a prompt token and any earlier one. */
+  /** Time per million pairs of a prompt token and an earlier token. */
   readonly perMillionPairsMs: number
-  /** Prompt tokens read in one step at most. */
+  /** Maximum number of prompt tokens processed in one step. */
   readonly chunkTokens: number
   readonly reportLagMs: number
   readonly loadsPerSecond: number
   readonly loadsAtOnce: number
-  /** Staged models that a host keeps. */
+  /** Number of staged models that a host keeps. */
   readonly stagedModels: number
-  /** From the order to open until a head serves. */
+  /** Time from the open order until the head serves. */
   readonly openMs: number
   readonly usualPromptTokens: number
   readonly usualAnswerTokens: number
@@ -86,13 +86,13 @@
 export interface ServiceSpec {
   readonly service: ServiceId
   readonly healthPath: string
-  /** Connections that one endpoint accepts from all callers together. */
+  /** Maximum number of connections that one endpoint accepts, from all callers together. */
   readonly maxConnections: number
-  /** Null for plain services. */
+  /** Null for services that run no engine. */
   readonly engine: EngineSpec | null
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on the size and duration of callers' requests. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number
   readonly maxBodyBytes: number
@@ -104,11 +104,11 @@
 export interface Workspace {
   readonly workspace: WorkspaceId
   readonly keys: readonly string[]
-  /** Goes before the route's; null leaves the route's. */
+  /** Overrides the route's priority; null keeps it. */
   readonly priority: number | null
 }
 
-/** What the operators declare, in full. Versions only rise. */
+/** The operators' complete declaration of routes, services and workspaces. Version numbers only increase. */
 export interface Manifest {
   readonly version: number
   readonly routes: readonly Route[]
--- a/packages/dotterelspur/src/version/manifest/RouteTable.ts
+++ b/packages/dotterelspur/src/version/manifest/RouteTable.ts
@@ -3,9 +3,9 @@
 
 export enum AccessKind {
   Allowed = 'allowed',
-  /** No route of the host begins the path. */
+  /** No route of the host has a prefix of the path. */
   NoRoute = 'no-route',
-  /** The route needs a key that a workspace holds. */
+  /** The route requires a workspace's key, and the request has none. */
   Unauthorized = 'unauthorized'
 }
 
@@ -14,14 +14,14 @@
   | { readonly kind: AccessKind.NoRoute }
   | { readonly kind: AccessKind.Unauthorized, readonly route: Route }
 
-/** What decides on access: the host without its port, the path without its query, the key as the caller sent it. */
+/** Input of an access check: the host without port, the path without query, and the key as the caller sent it. */
 export interface AccessQuery {
   readonly host: string
   readonly path: string
   readonly key: string | null
 }
 
-/** One version of the manifest, arranged for look-ups. Immutable: a new version makes a new table. */
+/** Look-up tables for one version of the manifest. Immutable: each version gets a new table. */
 export class RouteTable {
   readonly version: number
   private readonly routesByHost = new Map<string, Route[]>()
@@ -42,7 +42,7 @@
     return this.servicesByName.get(name)
   }
 
-  /** The longest prefix that begins the path decides. */
+  /** Checks access by the route of the host with the longest matching path prefix. */
   access (query: AccessQuery): Access {
     const route = this.routesByHost.get(query.host)?.find(({ pathPrefix }) => query.path.startsWith(pathPrefix))
     if (route === undefined) return { kind: AccessKind.NoRoute }
--- a/packages/dotterelspur/src/version/manifest/__tests__/unit/RouteTable.test.ts
+++ b/packages/dotterelspur/src/version/manifest/__tests__/unit/RouteTable.test.ts
@@ -34,7 +34,7 @@
 describe('RouteTable', () => {
   const table = createTable([createRoute('short', '/a/'), createRoute('long', '/a/b/'), createRoute('open', '/open/', { isPublic: true }), createRoute('other', '/a/', { host: 'b.example' })])
 
-  it('lets the longest prefix of the host decide', () => {
+  it('selects the host\'s route with the longest matching prefix', () => {
     const access = table.access({ host: 'a.example', path: '/a/b/c', key: 'k1' })
     expect(access).to.deep.include({ kind: AccessKind.Allowed, workspace: 'w', priority: 3 })
     expect(access.kind === AccessKind.Allowed && access.route.name).to.equal('long')
@@ -42,23 +42,23 @@
     expect(other.kind === AccessKind.Allowed && other.route.name).to.equal('other')
   })
 
-  it('knows no route for other hosts and paths, also where a prefix lacks its slash', () => {
+  it('finds no route for other hosts and paths, nor for a prefix without its trailing slash', () => {
     for (const query of [{ host: 'c.example', path: '/a/' }, { host: 'a.example', path: '/' }, { host: 'a.example', path: '/a' }]) {
       expect(table.access({ ...query, key: 'k1' }).kind).to.equal(AccessKind.NoRoute)
     }
   })
 
-  it('asks for a key unless the route is public', () => {
+  it('requires a key unless the route is public', () => {
     expect(table.access({ host: 'a.example', path: '/a/x', key: null }).kind).to.equal(AccessKind.Unauthorized)
     expect(table.access({ host: 'a.example', path: '/a/x', key: 'unknown' }).kind).to.equal(AccessKind.Unauthorized)
     expect(table.access({ host: 'a.example', path: '/open/x', key: null })).to.deep.include({ kind: AccessKind.Allowed, workspace: null })
   })
 
-  it('lets a workspace\'s priority go before the route\'s', () => {
+  it('uses a workspace\'s priority instead of the route\'s', () => {
     expect(table.access({ host: 'a.example', path: '/a/x', key: 'k3' })).to.deep.include({ workspace: 'v', priority: 1 })
   })
 
-  it('asks for no key where there are no workspaces', () => {
+  it('requires no key if there are no workspaces', () => {
     const open = createTable([createRoute('short', '/a/')], { workspaces: [] })
     expect(open.access({ host: 'a.example', path: '/a/x', key: null }).kind).to.equal(AccessKind.Allowed)
   })
