--- a/packages/dotterelspur/src/version/formation/FormationProcedures.ts
+++ b/packages/dotterelspur/src/version/formation/FormationProcedures.ts
@@ -169,9 +169,9 @@
     const closed = yield * closeHead(former.head, former)
     if (!closed) return false
     if (reports.get(former.head)?.membership?.state === MemberState.Open) incrementOrderCount(counts, former.head)
-    if (!former.taken.includes(former.head)) yield * confirmLeave(former, [former.head], counts)
+    if (!former.taken.includes(former.head)) yield * orderLeave(former, [former.head], counts)
   }
-  return yield * confirmLeave(former, former.taken, counts)
+  return yield * orderLeave(former, former.taken, counts)
 }
 
 /** Returns false if the head still finishes requests after the last poll, or does not reply. */
@@ -188,7 +188,7 @@
 }
 
 /** Orders the endpoints to leave; true if each has confirmed that it was in the group and has left it. */
-function * confirmLeave ({ group, formation }: FormerGroup, endpoints: readonly EndpointId[], counts: OrderCounts): Procedure<FormationEffect, boolean> {
+function * orderLeave ({ group, formation }: FormerGroup, endpoints: readonly EndpointId[], counts: OrderCounts): Procedure<FormationEffect, boolean> {
   const order: EndpointOrder = { kind: EndpointOrderKind.Leave, group, formation }
   const replies = yield * sendUntilAnswered(endpoints.map((endpoint) => ({ endpoint, order, expectedOrderCount: null })))
   endpoints.forEach((endpoint, index) => { if (ACCEPTED_REPLIES.has(replies[index]!)) incrementOrderCount(counts, endpoint) })
--- a/packages/dotterelspur/src/version/formation/__tests__/unit/formGroup.test.ts
+++ b/packages/dotterelspur/src/version/formation/__tests__/unit/formGroup.test.ts
@@ -20,15 +20,15 @@
   })
 
   it('takes no member from a group with an open head, even under reassigned addresses, stale reports and unreachable heads', () => {
-    const met = new Map<FleetFault, number>()
+    const encounters = new Map<FleetFault, number>()
     fc.assert(fc.property(fc.integer(), (seed) => {
       const run = new FaultyFleetRun(createRandom(seed))
       run.run()
-      for (const strain of Object.values(FleetFault)) met.set(strain, (met.get(strain) ?? 0) + run.encounters[strain])
+      for (const fault of Object.values(FleetFault)) encounters.set(fault, (encounters.get(fault) ?? 0) + run.encounters[fault])
       expect(run.workers.violations).to.deep.equal([])
     }), { seed: 20261203, numRuns: 400 })
-    console.log(`    formations that met a fault: ${[...met].map(([strain, times]) => `${strain} ${times}`).join(', ')}`)
-    for (const strain of Object.values(FleetFault)) expect(met.get(strain), strain).to.be.at.least(MIN_ENCOUNTERS)
+    console.log(`    formations that met a fault: ${[...encounters].map(([fault, times]) => `${fault} ${times}`).join(', ')}`)
+    for (const fault of Object.values(FleetFault)) expect(encounters.get(fault), fault).to.be.at.least(MIN_ENCOUNTERS)
   })
 
   it('does not reopen a head that has left its formation when delayed orders are carried out', () => {
--- a/packages/dotterelspur/src/version/planning/FabricDomainPlanner.ts
+++ b/packages/dotterelspur/src/version/planning/FabricDomainPlanner.ts
@@ -64,22 +64,22 @@
  * of, for example, assigning a VM to two groups.
  */
 function checkGroups (input: FabricDomainInput, before: readonly AssignedGroup[], groups: readonly AssignedGroup[]): void {
-  const places = new Set<string>()
+  const assignedVms = new Set<string>()
   for (const group of groups) {
     for (const { vm } of [...group.members, ...group.standbys]) {
-      invariant(!places.has(vm), `VM ${vm} has two places in ${input.fabricDomain}`)
-      places.add(vm)
+      invariant(!assignedVms.has(vm), `VM ${vm} has two places in ${input.fabricDomain}`)
+      assignedVms.add(vm)
     }
-    const known = before.find((other) => other.group === group.group)
-    const size = known?.members.length ?? input.intents.find((intent) => intent.team === group.team && intent.model === group.model)?.vmsPerReplica
+    const previous = before.find((other) => other.group === group.group)
+    const size = previous?.members.length ?? input.intents.find((intent) => intent.team === group.team && intent.model === group.model)?.vmsPerReplica
     invariant(group.members.length === size, `${group.group} has ${group.members.length} members instead of ${size}`)
-    if (known === undefined || known.formation === group.formation) {
-      invariant(known === undefined || sameContent(known, group), `${group.group} changed within formation ${group.formation}`)
+    if (previous === undefined || previous.formation === group.formation) {
+      invariant(previous === undefined || sameContent(previous, group), `${group.group} changed within formation ${group.formation}`)
       continue
     }
-    invariant(group.formation > known.formation, `formation of ${group.group} fell from ${known.formation} to ${group.formation}`)
-    const agreed = group.state === GroupState.Serving && readStepIn(known, group.formation) !== null
-    invariant(agreed || group.state === GroupState.Forming, `${group.group} changed its formation without forming`)
+    invariant(group.formation > previous.formation, `formation of ${group.group} fell from ${previous.formation} to ${group.formation}`)
+    const isReservedFormation = group.state === GroupState.Serving && readStepIn(previous, group.formation) !== null
+    invariant(isReservedFormation || group.state === GroupState.Forming, `${group.group} changed its formation without forming`)
   }
 }
 
--- a/packages/dotterelspur/src/version/planning/GroupRepair.ts
+++ b/packages/dotterelspur/src/version/planning/GroupRepair.ts
@@ -70,12 +70,12 @@
 export function fillPlaces (plan: PendingPlan, group: AssignedGroup, substitutes: readonly Candidate[], places: number): readonly AssignedMember[] {
   const lost = new Set(lostMembers(plan, group).map((member) => member.vm))
   const remaining = substitutes.map((candidate) => toMember(candidate.view))
-  const withUnfit = places > lost.size
+  const replacesUnfit = places > lost.size
   const takeSubstitute = (vm: VmId): AssignedMember => {
     const same = remaining.findIndex((candidate) => candidate.vm === vm)
     return remaining.splice(Math.max(0, same), 1)[0]!
   }
-  return group.members.map((member) => lost.has(member.vm) || (withUnfit && isUnfit(plan, member.vm)) ? takeSubstitute(member.vm) : member)
+  return group.members.map((member) => lost.has(member.vm) || (replacesUnfit && isUnfit(plan, member.vm)) ? takeSubstitute(member.vm) : member)
 }
 
 export function startLoads (plan: PendingPlan, group: AssignedGroup, candidates: readonly Candidate[]): void {
--- a/packages/dotterelspur/src/version/planning/PendingPlan.ts
+++ b/packages/dotterelspur/src/version/planning/PendingPlan.ts
@@ -33,7 +33,7 @@
   formationsLeft: number
   private readonly groups = new Map<GroupId, AssignedGroup>()
   private readonly groupMemories = new Map<GroupId, GroupMemory>()
-  private readonly places = new Map<VmId, GroupId>()
+  private readonly groupByVm = new Map<VmId, GroupId>()
   private readonly preloads = new Map<VmId, PreloadMemory>()
 
   constructor (readonly input: FabricDomainInput, readonly memory: PlanningMemory) {
@@ -63,11 +63,11 @@
 
   /** The group of which the VM is a member or standby. */
   placeOf (vm: VmId): GroupId | undefined {
-    return this.places.get(vm)
+    return this.groupByVm.get(vm)
   }
 
   groupOfVm (vm: VmId): AssignedGroup | undefined {
-    const id = this.places.get(vm)
+    const id = this.groupByVm.get(vm)
     return id === undefined ? undefined : this.groups.get(id)
   }
 
@@ -83,16 +83,16 @@
   setGroup (group: AssignedGroup): void {
     this.removeGroup(group.group)
     for (const { vm } of [...group.members, ...group.standbys]) {
-      invariant(!this.places.has(vm), `VM ${vm} would get a second place, in ${group.group}`)
-      this.places.set(vm, group.group)
+      invariant(!this.groupByVm.has(vm), `VM ${vm} would get a second place, in ${group.group}`)
+      this.groupByVm.set(vm, group.group)
     }
     this.groups.set(group.group, group)
   }
 
   removeGroup (id: GroupId): void {
-    const known = this.groups.get(id)
-    if (known === undefined) return
-    for (const { vm } of [...known.members, ...known.standbys]) this.places.delete(vm)
+    const removed = this.groups.get(id)
+    if (removed === undefined) return
+    for (const { vm } of [...removed.members, ...removed.standbys]) this.groupByVm.delete(vm)
     this.groups.delete(id)
   }
 
@@ -156,7 +156,7 @@
   /** Removes new members from the standbys of other groups. */
   private releaseStandbyPlaces (id: GroupId, members: readonly AssignedMember[]): void {
     for (const { vm } of members) {
-      if (this.places.get(vm) !== id) this.releaseStandby(vm)
+      if (this.groupByVm.get(vm) !== id) this.releaseStandby(vm)
     }
   }
 
--- a/packages/dotterelspur/src/version/planning/PlanningObservation.ts
+++ b/packages/dotterelspur/src/version/planning/PlanningObservation.ts
@@ -89,10 +89,10 @@
  * the VMs. Repairs while further VMs are still going absent or coming back would form groups that break again.
  */
 function observeDarkness (vms: ReadonlyMap<VmId, VmMemory>, input: FabricDomainInput): number | null {
-  const known = [...vms.values()]
-  const absent = known.filter((vm) => vm.absentSinceMs !== null).length
+  const vmMemories = [...vms.values()]
+  const absent = vmMemories.filter((vm) => vm.absentSinceMs !== null).length
   const { darkShare, darkCount } = input.settings
-  if (absent < Math.max(darkCount, known.length * darkShare)) return null
+  if (absent < Math.max(darkCount, vmMemories.length * darkShare)) return null
   return input.memory.darkSinceMs ?? input.nowMs
 }
 
--- a/packages/dotterelspur/src/version/planning/RepairCost.ts
+++ b/packages/dotterelspur/src/version/planning/RepairCost.ts
@@ -50,6 +50,6 @@
 
 /** VM losses per hour in this fabric domain, from the absences within the flap window plus one. */
 function lossesPerHour (plan: PendingPlan): number {
-  const seen = [...plan.memory.vms.values()].reduce((sum, vm) => sum + vm.absencesMs.length, 0)
-  return (seen + 1) * HOUR_MS / plan.input.settings.flapWindowMs
+  const absences = [...plan.memory.vms.values()].reduce((sum, vm) => sum + vm.absencesMs.length, 0)
+  return (absences + 1) * HOUR_MS / plan.input.settings.flapWindowMs
 }
--- a/packages/dotterelspur/src/version/planning/StandbyPlan.ts
+++ b/packages/dotterelspur/src/version/planning/StandbyPlan.ts
@@ -85,8 +85,8 @@
   const before = new Map((plan.input.assignment?.groups ?? []).map((group) => [group.group, group]))
   for (const group of plan.allGroups()) {
     const numbers = countStepIns(group.members.length, group.standbys.length)
-    const known = before.get(group.group)
-    if (known !== undefined && known.formation === group.formation && sameStandbys(known, group) && (numbers === 0) === (known.stepInBase === undefined)) continue
+    const previous = before.get(group.group)
+    if (previous !== undefined && previous.formation === group.formation && sameStandbys(previous, group) && (numbers === 0) === (previous.stepInBase === undefined)) continue
     const { stepInBase: _stepInBase, ...rest } = group
     if (numbers === 0) plan.setGroup(rest)
     else plan.setGroup({ ...rest, stepInBase: plan.reserveFormations(numbers) })
--- a/packages/dotterelspur/src/version/planning/planRollout.ts
+++ b/packages/dotterelspur/src/version/planning/planRollout.ts
@@ -114,17 +114,17 @@
  */
 function planStep (input: RolloutInput, revision: ModelRevision, waiting: readonly RolloutGroup[], pending: readonly RolloutGroup[], rollout: RolloutRecord): RolloutPlan {
   const ordered = waiting.slice().sort((left, right) => compareText(left.group, right.group))
-  const out = ordered.filter((group) => group.state !== GroupState.Serving)
+  const notServing = ordered.filter((group) => group.state !== GroupState.Serving)
   const serving = ordered.filter((group) => group.state === GroupState.Serving)
   const surgeOnly = input.settings.maxUnavailable === 0
-  const allowed = Math.max(0, Math.max(1, input.settings.maxUnavailable) - out.length - pending.length)
-  const next = serving.slice(0, allowed)
-  const holdReason = waiting.length > 0 && allowed === 0 ? describeHold(input, out, pending) : null
-  return { revision, changing: [...out, ...next].map((group) => group.group), surgeOnly, rollout, holdReason }
+  const allowed = Math.max(0, Math.max(1, input.settings.maxUnavailable) - notServing.length - pending.length)
+  const changingNow = serving.slice(0, allowed)
+  const holdReason = waiting.length > 0 && allowed === 0 ? describeHold(input, notServing, pending) : null
+  return { revision, changing: [...notServing, ...changingNow].map((group) => group.group), surgeOnly, rollout, holdReason }
 }
 
-function describeHold (input: RolloutInput, out: readonly RolloutGroup[], pending: readonly RolloutGroup[]): string {
+function describeHold (input: RolloutInput, notServing: readonly RolloutGroup[], pending: readonly RolloutGroup[]): string {
   const unready = pending.map((group) => `${group.group} is not yet healthy for ${Math.round(input.settings.healthyForMs / 1000)} s`)
-  const absent = out.map((group) => `${group.group} is ${group.state}`)
+  const absent = notServing.map((group) => `${group.group} is ${group.state}`)
   return [...unready, ...absent].join('; ')
 }
