--- a/packages/dotterelspur/src/version/explain/causes.ts
+++ b/packages/dotterelspur/src/version/explain/causes.ts
@@ -26,7 +26,7 @@
 export function memberCause (input: ExplainInput, group: AssignedGroup, member: AssignedMember): ExplainCause | null {
   const health = findVm(input, member.vm)
   const label = `VM ${member.vm} of formation ${group.formation}`
-  if (health === undefined) return createCause(ExplainCauseKind.MemberAbsent, member.vm, `${label} is in no list and answers no probe.`)
+  if (health === undefined) return createCause(ExplainCauseKind.MemberAbsent, member.vm, `${label} is in no list and responds to no probe.`)
   if (health.incarnation > member.incarnation) {
     return createCause(ExplainCauseKind.MemberRestarted, member.vm, `${label} restarted: it is now incarnation ${health.incarnation}, and the group's member is incarnation ${member.incarnation}.`)
   }
@@ -51,7 +51,7 @@
 }
 
 const STATE_CAUSES: Readonly<Record<EngineState, { readonly kind: ExplainCauseKind, readonly text: string } | null>> = {
-  [EngineState.Idle]: { kind: ExplainCauseKind.MemberLoading, text: 'has not begun to load' },
+  [EngineState.Idle]: { kind: ExplainCauseKind.MemberLoading, text: 'has not started to load' },
   [EngineState.Loading]: { kind: ExplainCauseKind.MemberLoading, text: 'is loading' },
   [EngineState.Ready]: null,
   [EngineState.Leaving]: { kind: ExplainCauseKind.MemberLeaving, text: 'is leaving' },
@@ -85,7 +85,7 @@
 
 function describeDecision (decision: Decision): string {
   const score = decision.score === null ? '' : ` (score ${decision.score.toFixed(4)})`
-  return `Decided: ${decision.kind}${score}: ${decision.reason}.`
+  return `Latest decision: ${decision.kind}${score}: ${decision.reason}.`
 }
 
 function describeOption (option: RejectedOption): string {
--- a/packages/dotterelspur/src/version/explain/explainGroup.ts
+++ b/packages/dotterelspur/src/version/explain/explainGroup.ts
@@ -63,12 +63,12 @@
 /** Why this node's evidence does not permit dispatching to the group; null if it does. */
 function evidenceCause (input: ExplainInput, group: AssignedGroup): ExplainCause | null {
   const evidence = input.presence.find((presence) => presence.group === group.group)
-  if (evidence === undefined) return createCause(ExplainCauseKind.EvidenceMissing, group.group, 'This node holds no evidence of its presence.')
+  if (evidence === undefined) return createCause(ExplainCauseKind.EvidenceMissing, group.group, 'This node has no evidence of the group\'s presence.')
   if (evidence.ageMs >= input.evidenceTtlMs) {
-    return createCause(ExplainCauseKind.EvidenceExpired, group.group, `The evidence of its presence is ${formatSeconds(evidence.ageMs)} old and expired after ${formatSeconds(input.evidenceTtlMs)}.`)
+    return createCause(ExplainCauseKind.EvidenceExpired, group.group, `The evidence of the group's presence is ${formatSeconds(evidence.ageMs)} old and expired after ${formatSeconds(input.evidenceTtlMs)}.`)
   }
   if (evidence.formation !== group.formation) {
-    return createCause(ExplainCauseKind.EvidenceMissing, group.group, `The evidence is of formation ${evidence.formation}, and ${group.formation} is assigned.`)
+    return createCause(ExplainCauseKind.EvidenceMissing, group.group, `The evidence is for formation ${evidence.formation}, but formation ${group.formation} is assigned.`)
   }
-  return evidence.complete ? null : createCause(ExplainCauseKind.EvidenceMissing, group.group, `The evidence says that formation ${group.formation} is not complete.`)
+  return evidence.complete ? null : createCause(ExplainCauseKind.EvidenceMissing, group.group, `According to the evidence, formation ${group.formation} is not complete.`)
 }
--- a/packages/dotterelspur/src/version/explain/explainIntent.ts
+++ b/packages/dotterelspur/src/version/explain/explainIntent.ts
@@ -28,7 +28,7 @@
 
 function unmetCauses (input: ExplainInput, team: TeamId, model: ModelId): readonly ExplainCause[] {
   return input.unmet.filter((unmet) => unmet.team === team && unmet.model === model).map((unmet) =>
-    createCause(unmetKind(unmet), null, `${unmet.allocated} of ${unmet.wanted} replicas have a place: ${unmet.reason}.`))
+    createCause(unmetKind(unmet), null, `${unmet.allocated} of ${unmet.wanted} replicas are allocated: ${unmet.reason}.`))
 }
 
 function unmetKind (unmet: UnmetIntent): ExplainCauseKind {
@@ -56,5 +56,5 @@
 
 function missingCauses (wanted: number, assigned: number): readonly ExplainCause[] {
   if (assigned >= wanted) return []
-  return [createCause(ExplainCauseKind.TooFewVms, null, `${wanted - assigned} of its replicas have no group yet.`)]
+  return [createCause(ExplainCauseKind.TooFewVms, null, `${wanted - assigned} wanted replicas have no group yet.`)]
 }
--- a/packages/dotterelspur/src/version/explain/explainVm.ts
+++ b/packages/dotterelspur/src/version/explain/explainVm.ts
@@ -38,7 +38,7 @@
 }
 
 function unlistedCause (vm: VmId): ExplainCause {
-  return createCause(ExplainCauseKind.VmAbsent, vm, `VM ${vm} is assigned, and in no list that this node has read.`)
+  return createCause(ExplainCauseKind.VmAbsent, vm, `VM ${vm} is assigned, but in no list that this node has read.`)
 }
 
 function listCauses (input: ExplainInput, vm: VmId): readonly ExplainCause[] {
@@ -71,7 +71,7 @@
 function idleCauses (input: ExplainInput, health: VmHealth | undefined): readonly ExplainCause[] {
   if (health === undefined || health.presence !== VmPresence.Present) return []
   const missing = input.wanted.filter((wanted) => groupsOf(input, wanted) < wanted.replicas)
-  if (missing.length === 0) return [createCause(ExplainCauseKind.VmNotWanted, health.fabricDomain, 'Every replica that the teams want has its group already.')]
+  if (missing.length === 0) return [createCause(ExplainCauseKind.VmNotWanted, health.fabricDomain, 'Every replica that the teams want already has a group.')]
   const idle = countIdleVms(input, health)
   const smallest = missing.reduce((least, wanted) => wanted.vmsPerReplica < least.vmsPerReplica ? wanted : least)
   if (idle >= smallest.vmsPerReplica) return []
@@ -92,6 +92,6 @@
 function lastDecisionCauses (input: ExplainInput, vm: VmId): readonly ExplainCause[] {
   const last = input.decisions.filter((decision) => decision.vms.includes(vm)).at(-1)
   if (last === undefined) return []
-  const message = `Last decision that names it: ${last.kind} of ${last.group ?? last.fabricDomain}: ${last.reason}.`
+  const message = `Latest decision about the VM: ${last.kind} of ${last.group ?? last.fabricDomain}: ${last.reason}.`
   return [{ ...createCause(ExplainCauseKind.RepairChosen, last.group, message, last.atWallMs), rejected: last.rejected.map((option) => `${option.kind}: ${option.reason}`) }]
 }
--- a/packages/dotterelspur/src/version/formation/EndpointOrder.ts
+++ b/packages/dotterelspur/src/version/formation/EndpointOrder.ts
@@ -32,7 +32,7 @@
   Done = 'done',
   /** The order does not apply in the endpoint's current state. */
   Unfit = 'unfit',
-  /** The endpoint has seen a higher formation number. */
+  /** The endpoint has received a higher formation number. */
   Outdated = 'outdated',
   /** Another endpoint has the address, or the addressed endpoint has terminated. */
   Elsewhere = 'elsewhere',
--- a/packages/dotterelspur/src/version/formation/__tests__/unit/formGroup.test.ts
+++ b/packages/dotterelspur/src/version/formation/__tests__/unit/formGroup.test.ts
@@ -82,7 +82,7 @@
     for (const seed of [93, 207, 261, 343, 374, 623]) {
       const run = new FaultyFleetRun(createRandom(seed))
       run.run()
-      expect(run.workers.violations, `strained seed ${seed}`).to.deep.equal([])
+      expect(run.workers.violations, `seed ${seed} with faults`).to.deep.equal([])
     }
   })
 
--- a/packages/dotterelspur/src/version/planning/FabricDomainPlanner.ts
+++ b/packages/dotterelspur/src/version/planning/FabricDomainPlanner.ts
@@ -67,19 +67,19 @@
   const assignedVms = new Set<string>()
   for (const group of groups) {
     for (const { vm } of [...group.members, ...group.standbys]) {
-      invariant(!assignedVms.has(vm), `VM ${vm} has two places in ${input.fabricDomain}`)
+      invariant(!assignedVms.has(vm), `VM ${vm} is assigned twice in ${input.fabricDomain}`)
       assignedVms.add(vm)
     }
     const previous = before.find((other) => other.group === group.group)
     const size = previous?.members.length ?? input.intents.find((intent) => intent.team === group.team && intent.model === group.model)?.vmsPerReplica
     invariant(group.members.length === size, `${group.group} has ${group.members.length} members instead of ${size}`)
     if (previous === undefined || previous.formation === group.formation) {
-      invariant(previous === undefined || sameContent(previous, group), `${group.group} changed within formation ${group.formation}`)
+      invariant(previous === undefined || sameContent(previous, group), `${group.group} changed its members or revision within formation ${group.formation}`)
       continue
     }
-    invariant(group.formation > previous.formation, `formation of ${group.group} fell from ${previous.formation} to ${group.formation}`)
+    invariant(group.formation > previous.formation, `formation number of ${group.group} decreased from ${previous.formation} to ${group.formation}`)
     const isReservedFormation = group.state === GroupState.Serving && readStepIn(previous, group.formation) !== null
-    invariant(isReservedFormation || group.state === GroupState.Forming, `${group.group} changed its formation without forming`)
+    invariant(isReservedFormation || group.state === GroupState.Forming, `${group.group} is at a new formation, but its state is neither forming nor that of a reserved formation`)
   }
 }
 
--- a/packages/dotterelspur/src/version/planning/PendingPlan.ts
+++ b/packages/dotterelspur/src/version/planning/PendingPlan.ts
@@ -83,7 +83,7 @@
   setGroup (group: AssignedGroup): void {
     this.removeGroup(group.group)
     for (const { vm } of [...group.members, ...group.standbys]) {
-      invariant(!this.groupByVm.has(vm), `VM ${vm} would get a second place, in ${group.group}`)
+      invariant(!this.groupByVm.has(vm), `VM ${vm} would be assigned twice, the second time to ${group.group}`)
       this.groupByVm.set(vm, group.group)
     }
     this.groups.set(group.group, group)
--- a/packages/dotterelspur/src/version/planning/allocateReplicas.ts
+++ b/packages/dotterelspur/src/version/planning/allocateReplicas.ts
@@ -216,7 +216,7 @@
   const names = rivals.map((other) => `${other.team}/${other.intent.model} (priority ${other.priority})`)
   const cause = slots.length === 0
     ? 'no fabric domain is allowed by its regions, failure domains and fabric domains'
-    : `no fabric domain has ${intent.vmsPerReplica} more VMs to give`
+    : `no allowed fabric domain has another ${intent.vmsPerReplica} VMs available`
   const lostTo = names.length === 0 ? '' : `; intents that rank higher (this one has priority ${ranked.priority}): ${names.join(', ')}`
   return {
     team,
