--- a/packages/dotterelspur/src/version/PlatformObjects.ts
+++ b/packages/dotterelspur/src/version/PlatformObjects.ts
@@ -225,7 +225,7 @@
 export interface QuarantineObject {
   readonly outline: number
   readonly service: ServiceId
-  /** Null for callers without a key. */
+  /** Null for requests without a key. */
   readonly caller: WorkspaceId | null
   /** Number of endpoints that had terminated while running it when it was quarantined. */
   readonly ends: number
--- a/packages/dotterelspur/src/version/formation/FormationDecision.ts
+++ b/packages/dotterelspur/src/version/formation/FormationDecision.ts
@@ -4,7 +4,6 @@
 import type { FormationPlan } from './FormationProcedures.js'
 
 export enum FormationDecisionKind {
-  /** Form a group. */
   Form = 'form',
   /** Load a model onto a host, so that a later join needs no load from the weight store. */
   Stage = 'stage'
--- a/packages/dotterelspur/src/version/formation/FormationPlanner.ts
+++ b/packages/dotterelspur/src/version/formation/FormationPlanner.ts
@@ -47,7 +47,7 @@
   readonly domain: FabricDomainId
   readonly members: readonly EndpointRecord[]
   readonly loads: number
-  /** Groups of other models in the domain. */
+  /** Number of groups of other models in the fabric domain. */
   readonly otherModelGroups: number
 }
 
--- a/packages/dotterelspur/src/version/formation/FormationView.ts
+++ b/packages/dotterelspur/src/version/formation/FormationView.ts
@@ -21,7 +21,7 @@
    * clear which one, the group can be judged neither complete nor broken.
    */
   Contradictory = 'contradictory',
-  /** Complete, and its head takes requests. */
+  /** Complete, and its head accepts requests. */
   Serving = 'serving',
   /** Complete, with members that are still joining, or a head that is not open. */
   Waiting = 'waiting',
--- a/packages/dotterelspur/src/version/planning/ReplicaAllocation.ts
+++ b/packages/dotterelspur/src/version/planning/ReplicaAllocation.ts
@@ -23,7 +23,6 @@
 export interface HeldGroups {
   readonly team: TeamId
   readonly model: ModelId
-  /** Serving groups. */
   readonly serving: number
   /** Groups that are forming, or that broke so recently that a repair is still likely. */
   readonly forming: number
--- a/packages/dotterelspur/src/version/planning/StandbyPlan.ts
+++ b/packages/dotterelspur/src/version/planning/StandbyPlan.ts
@@ -10,7 +10,7 @@
 import type { VmView } from './VmTable.js'
 import { compareText, holdsWeights, toMember, revisionOf, sameMembers, weightsKey } from './VmTable.js'
 
-/** Removes standbys that restarted, are no longer usable, or have been absent for `absenceGraceMs`. */
+/** Removes standbys that restarted, are no longer usable, are unknown, or have been absent for `absenceGraceMs`. */
 export function pruneStandbys (plan: PendingPlan): void {
   for (const group of plan.allGroups()) {
     const kept = group.standbys.filter((standby) => canStandBy(plan, standby))
