--- a/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
@@ -1,6 +1,6 @@
 import { createServer, type AddressInfo, type Socket } from 'node:net'
 import { expect } from 'chai'
-import { createRandom, ManualClock, NOTHING_LEARNED } from 'dotterelspur'
+import { createRandom, ManualClock, NO_DEADLINES_OBSERVED } from 'dotterelspur'
 import { PeerLinks, type PeerListener } from '../../connection/PeerLinks.js'
 import { GatewayWorld } from '../fixtures/GatewayWorld.js'
 import { createEndpoint, createLog, createManifest } from '../fixtures/parts.js'
@@ -17,7 +17,7 @@
 
 function createListener (lost: string[]): PeerListener {
   return {
-    observe: () => ({ inFlight: {}, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NOTHING_LEARNED, limits: {}, rests: {}, leaving: [] }),
+    observe: () => ({ inFlight: {}, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NO_DEADLINES_OBSERVED, limits: {}, rests: {}, leaving: [] }),
     observed: () => {},
     suspected: () => {},
     doubted: () => {},
--- a/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
+++ b/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
@@ -1,4 +1,4 @@
-import { FleetLedger, roundMs, type Clock, type EndpointId, type FleetObservation, type NodeId, type NodeObservation, type Random, type Teardown } from 'dotterelspur'
+import { FleetAggregator, roundMs, type Clock, type EndpointId, type FleetObservation, type NodeId, type NodeObservation, type Random, type Teardown } from 'dotterelspur'
 import type { CodedFleetObservation, CodedObservation } from './ObservationCodec.js'
 import { ObservationCodec } from './ObservationCodec.js'
 
@@ -17,7 +17,7 @@
  * sum. Telling one's own is the answer to the sum, so that it stops when nobody adds up any more.
  */
 export class ObservationExchange {
-  private readonly ledger = new FleetLedger()
+  private readonly ledger = new FleetAggregator()
   private readonly codec = new ObservationCodec()
   private cancelRound: Teardown = () => {}
   private cancelAnswer: Teardown = () => {}
@@ -30,7 +30,7 @@
     this.cancelRound = this.clock.registerTimer(intervalMs, () => {
       this.run(nodeCount, coordinates, tellAll)
       if (!coordinates()) return
-      const fleet = this.ledger.sum(this.source.observe(), intervalMs, this.clock.nowMs())
+      const fleet = this.ledger.aggregate(this.source.observe(), intervalMs, this.clock.nowMs())
       tellAll(this.codec.encodeFleet(fleet))
       this.source.observed(fleet)
     })
@@ -54,7 +54,7 @@
 
   /** Nodes that had requests under way at an endpoint when they last told. */
   sendersTo (endpoint: EndpointId): number {
-    return this.ledger.sendersTo(endpoint)
+    return this.ledger.senderCount(endpoint)
   }
 
   noteEndpoints (endpoints: ReadonlySet<EndpointId>): void {
--- a/packages/dotterelspur-gateway/src/process/Dispatch.ts
+++ b/packages/dotterelspur-gateway/src/process/Dispatch.ts
@@ -1,7 +1,7 @@
 import {
-  arrangePools, EndpointHealth, ExchangeEnd, groupTimeMs, place, poolKey, poolOf, RetryWindow, senderPlace,
+  buildPools, EndpointHealth, ExchangeEnd, groupTimeMs, place, poolKey, poolKeyOf, RetryWindow, senderPosition,
   type Clock, type DispatchTarget, type EndpointId, type EndpointRecord, type FailureDomainId, type ModelId, type NodeId, type PlacementRefusal, type PoolKey, type Random,
-  type RetryWindowOptions, type Route, type Sender, type SenderPlace, type ServiceId, type StatedNeed, type TargetPool
+  type RetryWindowOptions, type Route, type Sender, type SenderPosition, type ServiceId, type ReportedBackpressure, type TargetPool
 } from 'dotterelspur'
 import type { EndpointChannel } from '../connection/EndpointChannel.js'
 import { EndpointChannels } from '../connection/EndpointChannels.js'
@@ -62,7 +62,7 @@
   private readonly repeats: RetryWindow
   private pools: ReadonlyMap<PoolKey, TargetPool> = new Map()
   private arrangedSenders: readonly Sender[] = []
-  private sender: SenderPlace = { domainFrom: 0, domainWidth: 1, start: 0 }
+  private sender: SenderPosition = { domainFrom: 0, domainWidth: 1, start: 0 }
   private requestSeen = false
 
   constructor (private readonly parts: DispatchParts) {
@@ -115,19 +115,19 @@
     const spentMs = this.spentMs(route, head)
     this.requestSeen = true
     this.repeats.noteRequest(service, nowMs)
-    this.knowledge.load.noteAsked(poolKey(service, this.expectations.engine(service) === null ? null : head.model), nowMs)
+    this.knowledge.load.noteArrival(poolKey(service, this.expectations.engine(service) === null ? null : head.model), nowMs)
     if (!hasSpentMuch(spentMs, route)) this.noteDemand(service, head, nowMs)
     return spentMs
   }
 
   /** A caller was refused, and may come back. */
   noteSentAway ({ name }: Route): void {
-    this.knowledge.deadlines.noteSentAway(name)
+    this.knowledge.deadlines.noteRefusal(name)
   }
 
   /** A caller that goes on with a stream has waited for more than the target before it gave up. */
   private spentMs (route: Route, { deadlineMs, lastEventId }: CallerHead): number {
-    const statedMs = deadlineMs === null ? 0 : this.knowledge.deadlines.noteSpentMs(route.name, deadlineMs)
+    const statedMs = deadlineMs === null ? 0 : this.knowledge.deadlines.noteDeadline(route.name, deadlineMs)
     return lastEventId === null ? statedMs : Math.max(statedMs, route.targetLatencyMs)
   }
 
@@ -135,7 +135,7 @@
   private noteDemand (service: ServiceId, head: CallerHead, nowMs: number): void {
     const engine = this.expectations.engine(service)
     if (engine === null || head.model === null) return
-    this.knowledge.demand.note(head.model, groupTimeMs(engine, head.promptTokens, head.answerTokens * USUAL_ANSWER_SHARE), nowMs)
+    this.knowledge.demand.noteRequest(head.model, groupTimeMs(engine, head.promptTokens, head.answerTokens * USUAL_ANSWER_SHARE), nowMs)
   }
 
   place (query: DispatchQuery): DispatchTarget | PlacementRefusal {
@@ -158,7 +158,7 @@
       load,
       health,
       speeds,
-      needs,
+      backpressure: needs,
       firstEventDelayMs: query.head.model === null ? 0 : knowledge.firstEvents.delayMs(query.head.model),
       nodes: parts.senders().length,
       sender,
@@ -167,7 +167,7 @@
       nowMs
     })
     if ('endpoint' in placed) {
-      needs.take(placed.endpoint, nowMs)
+      needs.noteSent(placed.endpoint, nowMs)
       this.needLog.noteSent(placed.endpoint, query.excluded.length > 0)
     }
     return placed
@@ -184,7 +184,7 @@
   exchangeBegan (target: DispatchTarget, { route, head }: Pick<DispatchQuery, 'route' | 'head'>, mayMove: boolean, onSilent: () => void): DispatchExchange {
     const beganAtMs = this.parts.clock.nowMs()
     const declaredMs = this.expectations.declaredFirstEventMs(target, head.promptTokens, beganAtMs)
-    this.knowledge.load.begin(poolOf(target), target.endpoint, beganAtMs)
+    this.knowledge.load.begin(poolKeyOf(target), target.endpoint, beganAtMs)
     return {
       ...this.watch.begin(target, route, mayMove, onSilent),
       noteFirstEvent: () => {
@@ -199,7 +199,7 @@
   }
 
   exchangeEnded (target: DispatchTarget): void {
-    this.knowledge.load.end(poolOf(target), target.endpoint, this.parts.clock.nowMs())
+    this.knowledge.load.end(poolKeyOf(target), target.endpoint, this.parts.clock.nowMs())
   }
 
   /** An exchange ended in a way that speaks against the endpoint or its group. */
@@ -226,7 +226,7 @@
     const nowMs = this.parts.clock.nowMs()
     // All nodes are told of each group: only those that have requests there have anything to say of it.
     if (!this.health.isHeldOff(head, nowMs) && this.knowledge.load.ownInFlight(head) > 0) this.parts.log.write(LogKind.GroupStopped, { head, ...basis })
-    this.health.noteDoubt(head, nowMs)
+    this.health.noteSuspicion(head, nowMs)
   }
 
   private noteStopped ({ endpoint }: DispatchTarget, silentMs: number, limitMs: number): void {
@@ -242,7 +242,7 @@
     if (gapMs !== null) this.expectations.noteGap(target, gapMs, nowMs)
   }
 
-  private noteNeed ({ endpoint }: DispatchTarget, need: StatedNeed, nowMs: number): void {
+  private noteNeed ({ endpoint }: DispatchTarget, need: ReportedBackpressure, nowMs: number): void {
     this.needLog.note(endpoint, need)
     this.knowledge.needs.note(endpoint, need, nowMs)
     if (need.isLeaving) this.parts.endpoints.noteLeaving([endpoint])
@@ -259,17 +259,17 @@
   }
 
   private arrange (endpoints: ReadonlyMap<EndpointId, EndpointRecord>): void {
-    this.pools = arrangePools(endpoints.values(), (service) => this.expectations.engine(service))
+    this.pools = buildPools(endpoints.values(), (service) => this.expectations.engine(service))
     this.knowledge.arrange([...this.pools.values()])
   }
 
-  private ownPlace (): SenderPlace {
+  private ownPlace (): SenderPosition {
     const { senders, node, failureDomain } = this.parts
     const known = senders()
     if (known !== this.arrangedSenders) {
       this.arrangedSenders = known
-      this.sender = senderPlace(known, { node, failureDomain })
-      this.knowledge.needs.limits.noteNodes(known.map((sender) => sender.node))
+      this.sender = senderPosition(known, { node, failureDomain })
+      this.knowledge.needs.rateLimits.noteNodes(known.map((sender) => sender.node))
     }
     return this.sender
   }
--- a/packages/dotterelspur-gateway/src/process/EndpointKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/EndpointKeeper.ts
@@ -1,4 +1,4 @@
-import { NEED_MEMORY_MS, takesRequests, WatchEventKind, type Clock, type EndpointId, type EndpointRecord, type ObjectListing, type ObjectStore, type ServiceId, type StoredObject, type Teardown, type WatchEvent } from 'dotterelspur'
+import { BACKPRESSURE_TTL_MS, takesRequests, WatchEventKind, type Clock, type EndpointId, type EndpointRecord, type ObjectListing, type ObjectStore, type ServiceId, type StoredObject, type Teardown, type WatchEvent } from 'dotterelspur'
 import { AddressOwners } from './AddressOwners.js'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
@@ -106,7 +106,7 @@
   /** An entry that lapsed may be back for the same life. */
   private forgetGone (): void {
     for (const [endpoint, saidAtMs] of this.leaving) {
-      if (!this.snapshot.has(endpoint) && this.clock.nowMs() - saidAtMs > NEED_MEMORY_MS) this.leaving.delete(endpoint)
+      if (!this.snapshot.has(endpoint) && this.clock.nowMs() - saidAtMs > BACKPRESSURE_TTL_MS) this.leaving.delete(endpoint)
     }
   }
 
--- a/packages/dotterelspur-gateway/src/process/Gateway.ts
+++ b/packages/dotterelspur-gateway/src/process/Gateway.ts
@@ -1,5 +1,5 @@
 import type { Server } from 'node:http'
-import { createRandom, hashText, sleep, StopVotes, type Clock, type EndpointId, type EndpointRecord, type LeaseIdentity, type NodeId, type StoredObject, type Teardown } from 'dotterelspur'
+import { createRandom, hashText, sleep, StallVotes, type Clock, type EndpointId, type EndpointRecord, type LeaseIdentity, type NodeId, type StoredObject, type Teardown } from 'dotterelspur'
 import { QuarantineKeeper } from 'dotterelspur-poison'
 import { CallerListener, type OpenedPort } from '../connection/CallerListener.js'
 import { Suspicion } from '../connection/PeerFrame.js'
@@ -60,7 +60,7 @@
   private readonly poison: PoisonKeeper
   private readonly callers: CallerListener
   private readonly peers: PeerLinks
-  private readonly stopVotes = new StopVotes()
+  private readonly stopVotes = new StallVotes()
   private readonly servers: Server[] = []
   private readonly teardowns: Teardown[] = []
   private limits: GatewayLimits
--- a/packages/dotterelspur-gateway/src/process/GatewayPorts.ts
+++ b/packages/dotterelspur-gateway/src/process/GatewayPorts.ts
@@ -1,5 +1,5 @@
 import type { IncomingHttpHeaders } from 'node:http'
-import type { EndpointId, EndpointOrder, LoadReading, Membership, ModelId, OrderReply, StatedNeed, WorkspaceId } from 'dotterelspur'
+import type { EndpointId, EndpointOrder, LoadReading, Membership, ModelId, OrderReply, ReportedBackpressure, WorkspaceId } from 'dotterelspur'
 
 /** What the headers of a caller's request say. */
 export interface CallerHead {
@@ -35,7 +35,7 @@
   /** The member of its group that keeps the endpoint from serving. */
   readonly lostMember: EndpointId | null
   /** Null where it can't be read, or is another endpoint's: what was known before stands. */
-  readonly need: StatedNeed | null
+  readonly need: ReportedBackpressure | null
 }
 
 /** Translates headers between the wire and the types above. */
--- a/packages/dotterelspur-gateway/src/process/NeedLog.ts
+++ b/packages/dotterelspur-gateway/src/process/NeedLog.ts
@@ -1,4 +1,4 @@
-import type { Clock, EndpointId, StatedNeed } from 'dotterelspur'
+import type { Clock, EndpointId, ReportedBackpressure } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
 /** Sends to an endpoint that names a limit are summed over this time for one line. */
@@ -43,7 +43,7 @@
     return this.sentInRestTotal
   }
 
-  note (endpoint: EndpointId, { requestsPerSecond, restMs, isLeaving }: StatedNeed): void {
+  note (endpoint: EndpointId, { requestsPerSecond, restMs, isLeaving }: ReportedBackpressure): void {
     if (isLeaving) this.noteLeaving(endpoint)
     this.noteLimit(endpoint, requestsPerSecond)
     if (restMs !== null) this.noteRest(endpoint, restMs)
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -80,11 +80,11 @@
     const cancelDeadline = this.startDeadline()
     this.answer.onDrain(() => { this.resume() })
     const { route } = this.admitted
-    const end = await runProcedure(runDispatch({ repeatable: isRepeatable(route), maxAttempts: route.maxAttempts }), {
+    const end = await runProcedure(runDispatch({ retryable: isRepeatable(route), maxAttempts: route.maxAttempts }), {
       [DispatchEffectKind.Place]: (effect) => this.place(effect),
       [DispatchEffectKind.Exchange]: async (effect) => await this.exchange(effect),
       [DispatchEffectKind.JudgeLoss]: async () => await this.mayGoOn(),
-      [DispatchEffectKind.SpendRepeat]: () => this.over === null && this.parts.dispatch.spendRepeat(this.admitted.service)
+      [DispatchEffectKind.SpendRetry]: () => this.over === null && this.parts.dispatch.spendRepeat(this.admitted.service)
     })
     cancelDeadline()
     const answeredWith = this.conclude(end)
@@ -117,22 +117,22 @@
     return this.deadlineAtMs - this.parts.clock.nowMs()
   }
 
-  private async exchange ({ target, mayMove }: ExchangeEffect): Promise<ExchangeReport> {
-    if (this.over !== null || this.leftMs() < LEAST_USEFUL_MS) return { end: this.over ?? ExchangeEnd.TimedOut, callerHasPart: this.answer.hasPart }
+  private async exchange ({ target, mayRetry }: ExchangeEffect): Promise<ExchangeReport> {
+    if (this.over !== null || this.leftMs() < LEAST_USEFUL_MS) return { end: this.over ?? ExchangeEnd.TimedOut, hasPartialResponse: this.answer.hasPart }
     this.targets.push(target.endpoint)
-    this.cursor.dropRest()
+    this.cursor.dropPartialEvent()
     this.events = 0
     const { dispatch, clock } = this.parts
     const sentAtMs = clock.nowMs()
     const note = this.parts.poison.guard.begin(this.admitted.content)
     this.noteProgress = note.noteProgress
-    const end = await new Promise<ExchangeEnd>((resolve) => { this.send(target, mayMove, resolve) })
+    const end = await new Promise<ExchangeEnd>((resolve) => { this.send(target, mayRetry, resolve) })
     this.call = null
     note.end()
     dispatch.exchangeEnded(target)
-    if (EXCHANGE_RULES[end].mayEndEndpoint) this.lossNoted = this.noteLoss(target, clock.nowMs() - sentAtMs)
-    if (EXCHANGE_RULES[end].blamesEndpoint) dispatch.blame(target, end)
-    return { end, callerHasPart: this.answer.hasPart }
+    if (EXCHANGE_RULES[end].mayHaveCrashedEndpoint) this.lossNoted = this.noteLoss(target, clock.nowMs() - sentAtMs)
+    if (EXCHANGE_RULES[end].penalizesEndpoint) dispatch.blame(target, end)
+    return { end, hasPartialResponse: this.answer.hasPart }
   }
 
   private async noteLoss (target: DispatchTarget, tookMs: number): Promise<void> {
@@ -179,7 +179,7 @@
   }
 
   private takeData (chunk: Buffer): boolean {
-    const whole = this.cursor.take(chunk)
+    const whole = this.cursor.push(chunk)
     if (whole === null) return true
     this.events += 1
     if (this.events === 1) this.running?.noteFirstEvent()
@@ -212,7 +212,7 @@
     this.parts.poison.guard.noteAnswer(this.admitted.content)
     if (this.streamStart !== null && held.status < FIRST_REDIRECT) {
       this.beginStream()
-      return this.answer.end(this.cursor.takeRest())
+      return this.answer.end(this.cursor.takeRemainder())
     }
     this.noteFirstByte()
     this.answer.deliver(held)
--- a/packages/dotterelspur/src/request/need/EndpointRests.ts
+++ b/packages/dotterelspur/src/request/backpressure/EndpointBackoffs.ts
@@ -1,10 +1,10 @@
 /** A trial after a rest that has no answer by then is followed by another one. */
-const TRIAL_MS = 1_000
+const PROBE_TIMEOUT_MS = 1_000
 
-interface Rest {
+interface Backoff {
   untilMs: number
   /** When the first request after it was sent; null before. */
-  trialAtMs: number | null
+  probeSentAtMs: number | null
 }
 
 /**
@@ -14,54 +14,54 @@
  * of its service and draws several times its part. It gets nothing until its rest is over, then a single request, and the others
  * once that one was taken: else all that has gone elsewhere would come back in one moment.
  */
-export class EndpointRests {
-  private readonly rests = new Map<string, Rest>()
+export class EndpointBackoffs {
+  private readonly backoffs = new Map<string, Backoff>()
   /** Until when other nodes have been asked for rest. */
-  private readonly told = new Map<string, number>()
+  private readonly fleetUntilMs = new Map<string, number>()
 
   /** What an endpoint says with an answer to this node; null where it asks for no rest. */
   note (endpoint: string, restMs: number | null, nowMs: number): void {
-    const known = this.rests.get(endpoint)
-    if (restMs !== null) this.rests.set(endpoint, { untilMs: Math.max(known?.untilMs ?? 0, nowMs + restMs), trialAtMs: null })
+    const known = this.backoffs.get(endpoint)
+    if (restMs !== null) this.backoffs.set(endpoint, { untilMs: Math.max(known?.untilMs ?? 0, nowMs + restMs), probeSentAtMs: null })
     // Before the end of a rest it is the answer to a request that was sent before it.
-    else if (known !== undefined && nowMs >= known.untilMs) this.rests.delete(endpoint)
+    else if (known !== undefined && nowMs >= known.untilMs) this.backoffs.delete(endpoint)
   }
 
   /** Takes in for how much longer endpoints have asked other nodes for rest. */
-  noteTold (leftMs: Readonly<Record<string, number>>, nowMs: number): void {
-    this.told.clear()
-    for (const [endpoint, restLeftMs] of Object.entries(leftMs)) this.told.set(endpoint, nowMs + restLeftMs)
+  applyFleetObservation (leftMs: Readonly<Record<string, number>>, nowMs: number): void {
+    this.fleetUntilMs.clear()
+    for (const [endpoint, restLeftMs] of Object.entries(leftMs)) this.fleetUntilMs.set(endpoint, nowMs + restLeftMs)
   }
 
   /** For how much longer endpoints have asked this node for rest, to be told. */
-  observed (nowMs: number): Record<string, number> {
-    const resting = [...this.rests].filter(([, { untilMs }]) => untilMs > nowMs)
+  localObservation (nowMs: number): Record<string, number> {
+    const resting = [...this.backoffs].filter(([, { untilMs }]) => untilMs > nowMs)
     return Object.fromEntries(resting.map(([endpoint, { untilMs }]) => [endpoint, untilMs - nowMs]))
   }
 
   /** A request is sent there. */
-  take (endpoint: string, nowMs: number): void {
-    const rest = this.rests.get(endpoint)
-    if (rest !== undefined) rest.trialAtMs = nowMs
+  noteSent (endpoint: string, nowMs: number): void {
+    const rest = this.backoffs.get(endpoint)
+    if (rest !== undefined) rest.probeSentAtMs = nowMs
   }
 
   /** Until this node may send a request there. */
   waitMs (endpoint: string, nowMs: number): number {
-    const rest = this.rests.get(endpoint)
+    const rest = this.backoffs.get(endpoint)
     if (rest === undefined) return 0
-    const trialUntilMs = rest.trialAtMs === null ? -Infinity : rest.trialAtMs + TRIAL_MS
+    const trialUntilMs = rest.probeSentAtMs === null ? -Infinity : rest.probeSentAtMs + PROBE_TIMEOUT_MS
     return Math.max(0, rest.untilMs - nowMs, trialUntilMs - nowMs)
   }
 
   /** Whether it has asked this node or another one for rest. One that has asked others takes requests where all else is full. */
-  isResting (endpoint: string, nowMs: number): boolean {
-    return this.waitMs(endpoint, nowMs) > 0 || nowMs < (this.told.get(endpoint) ?? -Infinity)
+  isBackingOff (endpoint: string, nowMs: number): boolean {
+    return this.waitMs(endpoint, nowMs) > 0 || nowMs < (this.fleetUntilMs.get(endpoint) ?? -Infinity)
   }
 
   /** Forgets endpoints that are gone and whose rest is over. */
   retain (endpoints: ReadonlySet<string>, nowMs: number): void {
-    for (const [endpoint, { untilMs }] of this.rests) {
-      if (!endpoints.has(endpoint) && nowMs >= untilMs) this.rests.delete(endpoint)
+    for (const [endpoint, { untilMs }] of this.backoffs) {
+      if (!endpoints.has(endpoint) && nowMs >= untilMs) this.backoffs.delete(endpoint)
     }
   }
 }
--- a/packages/dotterelspur/src/request/need/EndpointLimits.ts
+++ b/packages/dotterelspur/src/request/backpressure/EndpointRateLimits.ts
@@ -1,22 +1,22 @@
 import type { EndpointId, NodeId } from '../../process/ids.js'
 import { rendezvousOrder } from '../../process/rendezvous.js'
 import { TokenBucket } from '../admission/TokenBucket.js'
-import { isNewer, NEED_MEMORY_MS, type LimitSample } from './LimitSample.js'
+import { isNewer, BACKPRESSURE_TTL_MS, type RateLimitSample } from './RateLimitSample.js'
 
 /** Owners for each request a second of a limit: a node of a large fleet gets about as few requests of a service as such an owner may send. */
 const OWNERS_PER_REQUEST = 6
 /** What an owner may save up: more than one request, or the time until it gets the next one would be lost. */
 const BURST = 1.3
 /** An endpoint that takes nothing is tried this often by the whole fleet: who gets nothing says nothing. */
-const TRIALS_PER_SECOND = 0.2
+const PROBES_PER_SECOND = 0.2
 /** While an endpoint says nothing, its owners pass it on after this time, and after this many of their usual pauses. */
-const TURN_LEAST_MS = 6_000
+const MIN_TURN_MS = 6_000
 const TURN_PAUSES = 6
 /** Without others' words for so long, that an endpoint says nothing to this node is no sign that it says nothing at all. */
-const SHARED_MS = 2_000
+const FLEET_OBSERVATION_TTL_MS = 2_000
 const SECOND_MS = 1_000
 
-interface LimitWord {
+interface ReportedRateLimit {
   readonly requestsPerSecond: number | null
   readonly statedAtMs: number
 }
@@ -29,13 +29,13 @@
  * with a part that is worth sending, and the others leave the endpoint to them. Who owns it follows from the nodes that all know;
  * nothing is agreed. The limit itself is told to all, so that nodes which no answer has told keep to it as well.
  */
-export class EndpointLimits {
+export class EndpointRateLimits {
   /** What endpoints said to this node. */
-  private readonly heard = new Map<EndpointId, LimitWord>()
+  private readonly localLimits = new Map<EndpointId, ReportedRateLimit>()
   /** The newest of what they said to others. */
-  private readonly told = new Map<EndpointId, LimitWord>()
+  private readonly fleetLimits = new Map<EndpointId, ReportedRateLimit>()
   private readonly allowances = new Map<EndpointId, TokenBucket>()
-  private sharedAtMs = -Infinity
+  private fleetObservedAtMs = -Infinity
   private nodes: readonly NodeId[]
   private readonly ranks = new Map<EndpointId, number>()
 
@@ -52,69 +52,69 @@
   /** What an endpoint says with an answer to this node; null where it names no limit. */
   note (endpoint: EndpointId, requestsPerSecond: number | null, nowMs: number): void {
     if (requestsPerSecond === null && this.limitOf(endpoint) === null) return
-    this.heard.set(endpoint, { requestsPerSecond, statedAtMs: nowMs })
-    this.fill(endpoint, nowMs)
+    this.localLimits.set(endpoint, { requestsPerSecond, statedAtMs: nowMs })
+    this.updatedAllowance(endpoint, nowMs)
   }
 
   /** Takes in what endpoints said to other nodes. */
-  noteTold (samples: Readonly<Record<EndpointId, LimitSample>>, nowMs: number): void {
-    this.sharedAtMs = nowMs
+  applyFleetObservation (samples: Readonly<Record<EndpointId, RateLimitSample>>, nowMs: number): void {
+    this.fleetObservedAtMs = nowMs
     for (const [endpoint, { requestsPerSecond, ageMs }] of Object.entries(samples)) {
       const word = { requestsPerSecond, statedAtMs: nowMs - ageMs }
-      const known = this.told.get(endpoint)
-      if (known === undefined || isNewer(word, known)) this.told.set(endpoint, word)
-      this.fill(endpoint, nowMs)
+      const known = this.fleetLimits.get(endpoint)
+      if (known === undefined || isNewer(word, known)) this.fleetLimits.set(endpoint, word)
+      this.updatedAllowance(endpoint, nowMs)
     }
-    this.dropOld(this.heard, nowMs)
-    this.dropOld(this.told, nowMs)
+    this.dropExpired(this.localLimits, nowMs)
+    this.dropExpired(this.fleetLimits, nowMs)
   }
 
   /** What this node was told by endpoints themselves. What others told isn't told on: its age would shrink on each way. */
-  observed (nowMs: number): Record<EndpointId, LimitSample> {
-    return Object.fromEntries([...this.heard].map(([endpoint, { requestsPerSecond, statedAtMs }]) => [endpoint, { requestsPerSecond, ageMs: nowMs - statedAtMs }]))
+  localObservation (nowMs: number): Record<EndpointId, RateLimitSample> {
+    return Object.fromEntries([...this.localLimits].map(([endpoint, { requestsPerSecond, statedAtMs }]) => [endpoint, { requestsPerSecond, ageMs: nowMs - statedAtMs }]))
   }
 
   /** Forgets endpoints that are gone and have said nothing for long. */
   retain (endpoints: ReadonlySet<EndpointId>, nowMs: number): void {
-    const gone = [...this.heard, ...this.told].filter(([endpoint, { statedAtMs }]) => !endpoints.has(endpoint) && nowMs - statedAtMs > NEED_MEMORY_MS)
+    const gone = [...this.localLimits, ...this.fleetLimits].filter(([endpoint, { statedAtMs }]) => !endpoints.has(endpoint) && nowMs - statedAtMs > BACKPRESSURE_TTL_MS)
     for (const [endpoint] of gone) {
-      for (const map of [this.heard, this.told, this.allowances, this.ranks]) map.delete(endpoint)
+      for (const map of [this.localLimits, this.fleetLimits, this.allowances, this.ranks]) map.delete(endpoint)
     }
   }
 
   /** Requests a second that all nodes together may send there; null where there is no limit. */
   limitOf (endpoint: EndpointId): number | null {
-    return this.wordOf(endpoint)?.requestsPerSecond ?? null
+    return this.latestLimit(endpoint)?.requestsPerSecond ?? null
   }
 
   /** Endpoints that name a limit. */
   get limited (): EndpointId[] {
-    return [...new Set([...this.heard.keys(), ...this.told.keys()])].filter((endpoint) => this.limitOf(endpoint) !== null)
+    return [...new Set([...this.localLimits.keys(), ...this.fleetLimits.keys()])].filter((endpoint) => this.limitOf(endpoint) !== null)
   }
 
   /** Whether this node may send a request there now. */
-  mayTake (endpoint: EndpointId, nowMs: number): boolean {
+  maySend (endpoint: EndpointId, nowMs: number): boolean {
     return this.waitMs(endpoint, nowMs) === 0
   }
 
   /** A request is sent there. */
-  take (endpoint: EndpointId): void {
+  noteSent (endpoint: EndpointId): void {
     if (this.limitOf(endpoint) !== null) this.allowances.get(endpoint)?.take(1)
   }
 
   /** Until this node may send a request there; where others own the endpoint, until one of them may on average. */
   waitMs (endpoint: EndpointId, nowMs: number): number {
-    const word = this.wordOf(endpoint)
+    const word = this.latestLimit(endpoint)
     if (word === undefined || word.requestsPerSecond === null) return 0
-    const perSecond = Math.max(TRIALS_PER_SECOND, word.requestsPerSecond)
-    const silentMs = nowMs - this.sharedAtMs > SHARED_MS ? 0 : nowMs - word.statedAtMs
+    const perSecond = Math.max(PROBES_PER_SECOND, word.requestsPerSecond)
+    const silentMs = nowMs - this.fleetObservedAtMs > FLEET_OBSERVATION_TTL_MS ? 0 : nowMs - word.statedAtMs
     const isOwner = this.isOwner(endpoint, perSecond, silentMs)
-    return isOwner ? this.fill(endpoint, nowMs).waitMs(1, nowMs) : SECOND_MS / perSecond
+    return isOwner ? this.updatedAllowance(endpoint, nowMs).waitMs(1, nowMs) : SECOND_MS / perSecond
   }
 
   /** Part of all nodes that own a part of an endpoint's limit. */
   ownersShare (endpoint: EndpointId): number {
-    return this.owners(Math.max(TRIALS_PER_SECOND, this.limitOf(endpoint) ?? Infinity)) / this.nodes.length
+    return this.owners(Math.max(PROBES_PER_SECOND, this.limitOf(endpoint) ?? Infinity)) / this.nodes.length
   }
 
   private owners (perSecond: number): number {
@@ -126,14 +126,14 @@
     const { length } = this.nodes
     const owners = this.owners(perSecond)
     if (owners === length) return true
-    const turnMs = Math.max(TURN_LEAST_MS, TURN_PAUSES * SECOND_MS / perSecond)
+    const turnMs = Math.max(MIN_TURN_MS, TURN_PAUSES * SECOND_MS / perSecond)
     const from = Math.floor(Math.max(0, silentMs) / turnMs) * owners
     return (this.rankOf(endpoint) - from % length + length) % length < owners
   }
 
   /** This node's part of a limit, as if it owned one; from when it knows the limit. */
-  private fill (endpoint: EndpointId, nowMs: number): TokenBucket {
-    const perSecond = Math.max(TRIALS_PER_SECOND, this.limitOf(endpoint) ?? 0)
+  private updatedAllowance (endpoint: EndpointId, nowMs: number): TokenBucket {
+    const perSecond = Math.max(PROBES_PER_SECOND, this.limitOf(endpoint) ?? 0)
     const owners = this.owners(perSecond)
     let allowance = this.allowances.get(endpoint)
     if (allowance === undefined) {
@@ -155,16 +155,16 @@
     return rank
   }
 
-  private wordOf (endpoint: EndpointId): LimitWord | undefined {
-    const heard = this.heard.get(endpoint)
-    const told = this.told.get(endpoint)
+  private latestLimit (endpoint: EndpointId): ReportedRateLimit | undefined {
+    const heard = this.localLimits.get(endpoint)
+    const told = this.fleetLimits.get(endpoint)
     if (heard === undefined || told === undefined) return heard ?? told
     return isNewer(told, heard) ? told : heard
   }
 
-  private dropOld (words: Map<EndpointId, LimitWord>, nowMs: number): void {
+  private dropExpired (words: Map<EndpointId, ReportedRateLimit>, nowMs: number): void {
     for (const [endpoint, { statedAtMs }] of words) {
-      if (nowMs - statedAtMs > NEED_MEMORY_MS) words.delete(endpoint)
+      if (nowMs - statedAtMs > BACKPRESSURE_TTL_MS) words.delete(endpoint)
     }
   }
 }
--- a/packages/dotterelspur/src/request/need/StatedNeed.ts
+++ b/packages/dotterelspur/src/request/backpressure/ReportedBackpressure.ts
@@ -1,5 +1,5 @@
 /** What an endpoint says of its need with an answer. */
-export interface StatedNeed {
+export interface ReportedBackpressure {
   /** Requests a second that it takes from all nodes together, for as long as it says so; null where it names no limit. */
   readonly requestsPerSecond: number | null
   /** It turned the request away, and wants nothing from this node for so long; null where it asks for no rest. */
@@ -8,4 +8,4 @@
   readonly isLeaving: boolean
 }
 
-export const NO_NEED: StatedNeed = { requestsPerSecond: null, restMs: null, isLeaving: false }
+export const NO_BACKPRESSURE: ReportedBackpressure = { requestsPerSecond: null, restMs: null, isLeaving: false }
--- a/packages/dotterelspur/src/request/need/__tests__/unit/EndpointRests.test.ts
+++ b/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointBackoffs.test.ts
@@ -1,23 +1,23 @@
 import { expect } from 'chai'
 import { SurgeReplay, type GroupShedding, type SurgeOptions, type SurgeOutcome } from '../../../dispatch/__tests__/fixtures/SurgeReplay.js'
-import { EndpointRests } from '../../EndpointRests.js'
+import { EndpointBackoffs } from '../../../backpressure/EndpointBackoffs.js'
 
 /** What operators allow a node to send to an endpoint in one rest. */
-const MOST_IN_REST = 2
+const MAX_SENT_DURING_BACKOFF = 2
 const REST_MS = 3_000
 const SURGE: SurgeOptions = {
-  seed: 1, nodes: 8, groups: 20, loadSteps: [0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5], stepMs: 2_000, targetMs: 300, deadlineMs: 6_000, refuses: true, tells: true
+  seed: 1, nodes: 8, groups: 20, loadSteps: [0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5], stepMs: 2_000, targetMs: 300, deadlineMs: 6_000, refuses: true, sharesObservations: true
 }
 
 function replay (shedding: Partial<GroupShedding> = {}, changes: Partial<SurgeOptions> = {}): SurgeOutcome {
   return new SurgeReplay({ ...SURGE, shedding: { groups: 5, restMs: REST_MS, fromMs: 2_000, untilMs: 10_000, ...shedding }, ...changes }).run()
 }
 
-describe('EndpointRests', () => {
+describe('EndpointBackoffs', () => {
   // Guards against a refusing endpoint that looks empty, and so draws more than one that serves.
   for (const nodes of [1, 8, 63, 195, 330]) {
     it(`keep ${nodes} nodes from endpoints that have asked them for rest`, () => {
-      for (const seed of [1, 2, 3]) expect(replay({}, { nodes, seed }).mostInRest).to.be.at.most(MOST_IN_REST)
+      for (const seed of [1, 2, 3]) expect(replay({}, { nodes, seed }).maxSentDuringBackoff).to.be.at.most(MAX_SENT_DURING_BACKOFF)
     }).timeout(30_000)
   }
 
@@ -30,8 +30,8 @@
 
   it('are heeded by nodes that have not asked, while others can serve', () => {
     const told = replay({}, { nodes: 63 })
-    const untold = replay({}, { nodes: 63, tells: false })
-    expect(told.turnedAway).to.be.lessThan(untold.turnedAway / 2)
+    const untold = replay({}, { nodes: 63, sharesObservations: false })
+    expect(told.rejections).to.be.lessThan(untold.rejections / 2)
   })
 
   it('hold back nothing once they are over', () => {
@@ -41,37 +41,37 @@
   })
 
   it('end with a single request, and others only once it was taken', () => {
-    const rests = new EndpointRests()
-    rests.note('e1', REST_MS, 0)
-    expect(rests.waitMs('e1', REST_MS - 1)).to.equal(1)
-    expect(rests.waitMs('e1', REST_MS)).to.equal(0)
-    rests.take('e1', REST_MS)
-    expect(rests.waitMs('e1', REST_MS + 1)).to.be.greaterThan(0)
-    rests.note('e1', null, REST_MS + 2)
-    expect(rests.waitMs('e1', REST_MS + 2)).to.equal(0)
+    const backoffs = new EndpointBackoffs()
+    backoffs.note('e1', REST_MS, 0)
+    expect(backoffs.waitMs('e1', REST_MS - 1)).to.equal(1)
+    expect(backoffs.waitMs('e1', REST_MS)).to.equal(0)
+    backoffs.noteSent('e1', REST_MS)
+    expect(backoffs.waitMs('e1', REST_MS + 1)).to.be.greaterThan(0)
+    backoffs.note('e1', null, REST_MS + 2)
+    expect(backoffs.waitMs('e1', REST_MS + 2)).to.equal(0)
   })
 
   it('are not ended by an answer to a request that was sent before', () => {
-    const rests = new EndpointRests()
-    rests.note('e1', REST_MS, 0)
-    rests.note('e1', null, 10)
-    expect(rests.waitMs('e1', 10)).to.equal(REST_MS - 10)
+    const backoffs = new EndpointBackoffs()
+    backoffs.note('e1', REST_MS, 0)
+    backoffs.note('e1', null, 10)
+    expect(backoffs.waitMs('e1', 10)).to.equal(REST_MS - 10)
   })
 
   it('are not shortened by a later refusal with a shorter one', () => {
-    const rests = new EndpointRests()
-    rests.note('e1', REST_MS, 0)
-    rests.note('e1', 100, 10)
-    expect(rests.waitMs('e1', 10)).to.equal(REST_MS - 10)
+    const backoffs = new EndpointBackoffs()
+    backoffs.note('e1', REST_MS, 0)
+    backoffs.note('e1', 100, 10)
+    expect(backoffs.waitMs('e1', 10)).to.equal(REST_MS - 10)
   })
 
   it('hold while the endpoint is not listed, and are forgotten after their end', () => {
-    const rests = new EndpointRests()
-    rests.note('e1', REST_MS, 0)
-    rests.retain(new Set(), REST_MS - 1)
-    expect(rests.isResting('e1', REST_MS - 1)).to.equal(true)
-    rests.take('e1', REST_MS)
-    rests.retain(new Set(), REST_MS)
-    expect(rests.isResting('e1', REST_MS)).to.equal(false)
+    const backoffs = new EndpointBackoffs()
+    backoffs.note('e1', REST_MS, 0)
+    backoffs.retain(new Set(), REST_MS - 1)
+    expect(backoffs.isBackingOff('e1', REST_MS - 1)).to.equal(true)
+    backoffs.noteSent('e1', REST_MS)
+    backoffs.retain(new Set(), REST_MS)
+    expect(backoffs.isBackingOff('e1', REST_MS)).to.equal(false)
   })
 })
--- a/packages/dotterelspur/src/request/need/__tests__/unit/EndpointLimits.test.ts
+++ b/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointRateLimits.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { SurgeReplay, type GroupLimit, type SurgeOptions, type SurgeOutcome } from '../../../dispatch/__tests__/fixtures/SurgeReplay.js'
-import { EndpointLimits } from '../../EndpointLimits.js'
+import { SurgeReplay, type GroupRateLimit, type SurgeOptions, type SurgeOutcome } from '../../../dispatch/__tests__/fixtures/SurgeReplay.js'
+import { EndpointRateLimits } from '../../../backpressure/EndpointRateLimits.js'
 
 const WINDOW_MS = 4_000
 /** Operators hold nodes to a limit from so long after an endpoint first named it. */
@@ -9,16 +9,16 @@
 const LIMIT_FROM_MS = 2_000
 const GROUPS = 27
 const SURGE: SurgeOptions = {
-  seed: 1, nodes: 8, groups: GROUPS, loadSteps: [0.6, 0.6, 0.6, 0.6, 0.6, 0.6, 0.6, 0.6], stepMs: 2_000, targetMs: 300, deadlineMs: 6_000, refuses: true, tells: true
+  seed: 1, nodes: 8, groups: GROUPS, loadSteps: [0.6, 0.6, 0.6, 0.6, 0.6, 0.6, 0.6, 0.6], stepMs: 2_000, targetMs: 300, deadlineMs: 6_000, refuses: true, sharesObservations: true
 }
 
-function replay (limit: Partial<GroupLimit>, changes: Partial<SurgeOptions> = {}): SurgeOutcome {
+function replay (limit: Partial<GroupRateLimit>, changes: Partial<SurgeOptions> = {}): SurgeOutcome {
   return new SurgeReplay({ ...SURGE, limit: { groups: 2, requestsPerSecond: 1, fromMs: LIMIT_FROM_MS, ...limit }, ...changes }).run()
 }
 
 /** The most requests that some limited endpoint got in a window from nodes that it had told. */
-function mostInWindow ({ limitedArrivals }: SurgeOutcome, fromMs = LIMIT_FROM_MS + SETTLED_MS): number {
-  const counted = limitedArrivals.filter(({ atMs, isTold }) => isTold && atMs >= fromMs)
+function mostInWindow ({ rateLimitedArrivals }: SurgeOutcome, fromMs = LIMIT_FROM_MS + SETTLED_MS): number {
+  const counted = rateLimitedArrivals.filter(({ atMs, isNotified }) => isNotified && atMs >= fromMs)
   return Math.max(0, ...counted.map((last) => counted.filter(({ endpoint, atMs }) => endpoint === last.endpoint && atMs <= last.atMs && atMs > last.atMs - WINDOW_MS).length))
 }
 
@@ -27,13 +27,13 @@
 }
 
 /** Part of its limit that an endpoint gets while callers ask for more. */
-function usedShare ({ limitedArrivals }: SurgeOutcome, requestsPerSecond: number, groups = 2): number {
-  const settled = limitedArrivals.filter(({ atMs }) => atMs >= LIMIT_FROM_MS + SETTLED_MS)
+function usedShare ({ rateLimitedArrivals }: SurgeOutcome, requestsPerSecond: number, groups = 2): number {
+  const settled = rateLimitedArrivals.filter(({ atMs }) => atMs >= LIMIT_FROM_MS + SETTLED_MS)
   const lastMs = SURGE.stepMs * SURGE.loadSteps.length
   return settled.length / (requestsPerSecond * groups * (lastMs - LIMIT_FROM_MS - SETTLED_MS) / 1_000)
 }
 
-describe('EndpointLimits', () => {
+describe('EndpointRateLimits', () => {
   // Guards against a limit that each node keeps to alone, or that is shared out until no node may send.
   for (const nodes of [1, 8, 63, 195, 330]) {
     it(`keeps ${nodes} nodes together within limits of 0.2 to 20 requests a second`, () => {
@@ -45,12 +45,12 @@
 
   it('keeps many endpoints with limits within them, while a third of the words is lost', () => {
     for (const seed of [1, 2, 3]) {
-      expect(mostInWindow(replay({ groups: GROUPS / 3 }, { seed, lostShare: 1 / 3 }))).to.be.at.most(allowed(1))
+      expect(mostInWindow(replay({ groups: GROUPS / 3 }, { seed, lostMessageShare: 1 / 3 }))).to.be.at.most(allowed(1))
     }
   })
 
   // Guards against nodes that each take an endpoint's silence towards themselves for its silence towards all.
-  for (const silence of [{ tells: false }, { silentFromMs: 0 }, { silentFromMs: 6_000 }]) {
+  for (const silence of [{ sharesObservations: false }, { coordinatorLostAtMs: 0 }, { coordinatorLostAtMs: 6_000 }]) {
     it(`keeps to limits while no node adds up what all see (${JSON.stringify(silence)})`, () => {
       const loadSteps = Array.from({ length: 15 }, () => 0.6)
       for (const nodes of [8, 20, 63]) {
@@ -89,15 +89,15 @@
     // Guards against a limit that an overtaken word brings back or takes away.
     const word = fc.record({ statedAtMs: fc.integer({ min: 0, max: 1_000 }), limit: fc.option(fc.integer({ min: 1, max: 9 })) })
     fc.assert(fc.property(fc.uniqueArray(word, { selector: ({ statedAtMs }) => statedAtMs, minLength: 1, maxLength: 8 }), (words) => {
-      const limits = new EndpointLimits('n1')
-      for (const { statedAtMs, limit } of words) limits.noteTold({ e1: { requestsPerSecond: limit, ageMs: 1_000 - statedAtMs } }, 1_000)
+      const limits = new EndpointRateLimits('n1')
+      for (const { statedAtMs, limit } of words) limits.applyFleetObservation({ e1: { requestsPerSecond: limit, ageMs: 1_000 - statedAtMs } }, 1_000)
       const latest = words.reduce((left, right) => right.statedAtMs > left.statedAtMs ? right : left)
       expect(limits.limitOf('e1')).to.equal(latest.limit)
     }), { seed: 3, numRuns: 200 })
   })
 
   it('knows no limit of an endpoint that says none, or that was silent for a minute, gone or not', () => {
-    const limits = new EndpointLimits('n1')
+    const limits = new EndpointRateLimits('n1')
     limits.note('e1', 2, 0)
     limits.note('e1', null, 10)
     expect(limits.limitOf('e1')).to.equal(null)
@@ -107,20 +107,20 @@
     limits.retain(new Set(['e2']), 60_021)
     expect(limits.limitOf('e1')).to.equal(null)
     limits.note('e2', 2, 30)
-    limits.noteTold({}, 60_031)
+    limits.applyFleetObservation({}, 60_031)
     expect(limits.limited).to.deep.equal([])
   })
 
   it('moves on to other nodes when an endpoint is asked by none of its owners', () => {
     // Guards against an endpoint that nobody asks any more, since its only owner has no requests for it.
     const nodes = Array.from({ length: 8 }, (_unused, index) => `n${index}`)
-    const all = nodes.map((node) => new EndpointLimits(node))
+    const all = nodes.map((node) => new EndpointRateLimits(node))
     for (const limits of all) limits.noteNodes(nodes)
     const owners = new Set<number>()
     let mostAtOnce = 0
     for (let nowMs = 0; nowMs < 55_000; nowMs += 100) {
-      for (const limits of all) limits.noteTold({ e1: { requestsPerSecond: 0.5, ageMs: nowMs } }, nowMs)
-      const now = [...all.keys()].filter((index) => all[index]!.mayTake('e1', nowMs))
+      for (const limits of all) limits.applyFleetObservation({ e1: { requestsPerSecond: 0.5, ageMs: nowMs } }, nowMs)
+      const now = [...all.keys()].filter((index) => all[index]!.maySend('e1', nowMs))
       now.forEach((index) => { owners.add(index) })
       mostAtOnce = Math.max(mostAtOnce, now.length)
     }
--- /dev/null
+++ b/packages/dotterelspur/src/request/backpressure/index.ts
@@ -0,0 +1,5 @@
+export * from '../backpressure/EndpointRateLimits.js'
+export * from '../backpressure/EndpointBackpressure.js'
+export * from '../backpressure/EndpointBackoffs.js'
+export * from '../backpressure/RateLimitSample.js'
+export * from '../backpressure/ReportedBackpressure.js'
--- a/packages/dotterelspur/src/request/dispatch/DeadlinesSeen.ts
+++ b/packages/dotterelspur/src/request/dispatch/DeadlineObservation.ts
@@ -11,10 +11,10 @@
 }
 
 /** What nodes have seen of callers' deadlines. */
-export interface DeadlinesSeen {
+export interface DeadlineObservation {
   /** By name of the route. */
   readonly usual: Readonly<Record<string, UsualDeadline>>
   readonly leastShare: LeastDeadlineShare
 }
 
-export const NOTHING_LEARNED: DeadlinesSeen = { usual: {}, leastShare: { sum: 0, nodes: 0 } }
+export const NO_DEADLINES_OBSERVED: DeadlineObservation = { usual: {}, leastShare: { sum: 0, nodes: 0 } }
--- a/packages/dotterelspur/src/request/dispatch/FadedSum.ts
+++ b/packages/dotterelspur/src/request/dispatch/DecayedSum.ts
@@ -2,7 +2,7 @@
  * A sum whose parts lose half their weight in each half-life. What several processes counted this way can be added up
  * at any moment: each tells a state, not what happened, so a message lost or sent twice changes nothing.
  */
-export class FadedSum {
+export class DecayedSum {
   private sum = 0
   private updatedAtMs = 0
 
@@ -19,6 +19,6 @@
 }
 
 /** How many parts of 1 come in each millisecond, by the faded sum of their count. */
-export function ratePerMs (fadedCount: number, halfLifeMs: number): number {
-  return fadedCount * Math.LN2 / halfLifeMs
+export function ratePerMs (decayedCount: number, halfLifeMs: number): number {
+  return decayedCount * Math.LN2 / halfLifeMs
 }
--- a/packages/dotterelspur/src/request/dispatch/DemandMeter.ts
+++ b/packages/dotterelspur/src/request/dispatch/DemandMeter.ts
@@ -1,13 +1,13 @@
 import type { ModelId } from '../../process/ids.js'
-import { FadedSum } from './FadedSum.js'
+import { DecayedSum } from './DecayedSum.js'
 import { DEMAND_HALF_LIFE_MS, type DemandSample } from './FleetObservation.js'
 
 /** Requests of each model, in the whole fleet, after which their mix says more than the operators' shares. */
-const LEAST_REQUESTS = 40
+const MIN_REQUESTS = 40
 
 interface ModelDemand {
-  readonly groupTimeMs: FadedSum
-  readonly requests: FadedSum
+  readonly groupTimeMs: DecayedSum
+  readonly requests: DecayedSum
 }
 
 /**
@@ -16,12 +16,12 @@
  */
 export class DemandMeter {
   private readonly models = new Map<ModelId, ModelDemand>()
-  private told: Readonly<Record<ModelId, DemandSample>> | null = null
+  private fleetDemand: Readonly<Record<ModelId, DemandSample>> | null = null
 
-  note (model: ModelId, groupTimeMs: number, nowMs: number): void {
+  noteRequest (model: ModelId, groupTimeMs: number, nowMs: number): void {
     let known = this.models.get(model)
     if (known === undefined) {
-      known = { groupTimeMs: new FadedSum(DEMAND_HALF_LIFE_MS), requests: new FadedSum(DEMAND_HALF_LIFE_MS) }
+      known = { groupTimeMs: new DecayedSum(DEMAND_HALF_LIFE_MS), requests: new DecayedSum(DEMAND_HALF_LIFE_MS) }
       this.models.set(model, known)
     }
     known.groupTimeMs.add(groupTimeMs, nowMs)
@@ -29,18 +29,18 @@
   }
 
   /** Takes in what all nodes together have seen; null when that is too old. */
-  noteTold (told: Readonly<Record<ModelId, DemandSample>> | null): void {
-    this.told = told
+  applyFleetObservation (told: Readonly<Record<ModelId, DemandSample>> | null): void {
+    this.fleetDemand = told
   }
 
   /** What this node has seen, to be told. */
-  observed (nowMs: number): Record<ModelId, DemandSample> {
+  localObservation (nowMs: number): Record<ModelId, DemandSample> {
     return Object.fromEntries([...this.models].map(([model, { groupTimeMs, requests }]) => [model, { groupTimeMs: groupTimeMs.at(nowMs), requests: requests.at(nowMs) }]))
   }
 
   /** Group time that callers ask for, by model; without models of which too little is known. */
   demand (nowMs: number): Map<ModelId, number> {
-    const known = Object.entries(this.told ?? this.observed(nowMs)).filter(([, { requests }]) => requests >= LEAST_REQUESTS)
+    const known = Object.entries(this.fleetDemand ?? this.localObservation(nowMs)).filter(([, { requests }]) => requests >= MIN_REQUESTS)
     return new Map(known.map(([model, { groupTimeMs }]) => [model, groupTimeMs]))
   }
 }
--- a/packages/dotterelspur/src/request/dispatch/EndpointHealth.ts
+++ b/packages/dotterelspur/src/request/dispatch/EndpointHealth.ts
@@ -2,15 +2,15 @@
 
 /** A silent or broken endpoint is passed over for this long, then tried again by single requests. */
 const HOLD_OFF_MS = 1_500
-const HOLD_OFF_LIMIT_MS = 6_000
+const MAX_HOLD_OFF_MS = 6_000
 /** One that others say has stopped is passed over for this long; the word is repeated three times in it while it holds. */
-const DOUBT_MS = 1_000
+const SUSPICION_MS = 1_000
 
 interface HealthState {
   holdOffUntilMs: number
   /** It is silent; bytes from it end this at once. */
-  doubtedUntilMs: number
-  failuresInARow: number
+  suspectedUntilMs: number
+  consecutiveFailures: number
 }
 
 /** Which endpoints are passed over for a while, because they failed or have stopped. */
@@ -21,8 +21,8 @@
   noteProgress (endpoint: EndpointId): void {
     const state = this.states.get(endpoint)
     if (state === undefined) return
-    state.failuresInARow = 0
-    state.doubtedUntilMs = 0
+    state.consecutiveFailures = 0
+    state.suspectedUntilMs = 0
   }
 
   /** It failed in a way that speaks against it: others go first for a while, longer each time. */
@@ -34,18 +34,18 @@
   /** An exchange was given up for its silence. */
   noteSilence (endpoint: EndpointId, nowMs: number): void {
     const state = this.state(endpoint)
-    state.doubtedUntilMs = nowMs + nextHoldOffMs(state)
+    state.suspectedUntilMs = nowMs + nextHoldOffMs(state)
   }
 
   /** Others say that it has stopped. */
-  noteDoubt (endpoint: EndpointId, nowMs: number): void {
+  noteSuspicion (endpoint: EndpointId, nowMs: number): void {
     const state = this.state(endpoint)
-    state.doubtedUntilMs = Math.max(state.doubtedUntilMs, nowMs + DOUBT_MS)
+    state.suspectedUntilMs = Math.max(state.suspectedUntilMs, nowMs + SUSPICION_MS)
   }
 
   isHeldOff (endpoint: EndpointId, nowMs: number): boolean {
     const state = this.states.get(endpoint)
-    return state !== undefined && nowMs < Math.max(state.holdOffUntilMs, state.doubtedUntilMs)
+    return state !== undefined && nowMs < Math.max(state.holdOffUntilMs, state.suspectedUntilMs)
   }
 
   /** Forgets endpoints that are gone. */
@@ -58,7 +58,7 @@
   private state (endpoint: EndpointId): HealthState {
     let state = this.states.get(endpoint)
     if (state === undefined) {
-      state = { holdOffUntilMs: 0, doubtedUntilMs: 0, failuresInARow: 0 }
+      state = { holdOffUntilMs: 0, suspectedUntilMs: 0, consecutiveFailures: 0 }
       this.states.set(endpoint, state)
     }
     return state
@@ -67,6 +67,6 @@
 
 /** Counts one more failure; each in a row is held against the endpoint for longer. */
 function nextHoldOffMs (state: HealthState): number {
-  state.failuresInARow += 1
-  return Math.min(HOLD_OFF_LIMIT_MS, HOLD_OFF_MS * state.failuresInARow)
+  state.consecutiveFailures += 1
+  return Math.min(MAX_HOLD_OFF_MS, HOLD_OFF_MS * state.consecutiveFailures)
 }
--- a/packages/dotterelspur/src/request/dispatch/EngineTimes.ts
+++ b/packages/dotterelspur/src/request/dispatch/EngineTimes.ts
@@ -6,20 +6,20 @@
 const MILLION = 1_000_000
 
 /** Time of one token step in which `writers` requests write. */
-export function stepMs (engine: EngineSpec, writers: number): number {
+export function stepMs (engine: EngineSpec, decoding: number): number {
   const contextTokens = engine.usualPromptTokens + engine.usualAnswerTokens / 2
-  return engine.stepMs + writers * (engine.perSequenceMs + engine.perThousandContextTokensMs * contextTokens / THOUSAND)
+  return engine.stepMs + decoding * (engine.perSequenceMs + engine.perThousandContextTokensMs * contextTokens / THOUSAND)
 }
 
 /** Time to read a prompt that nothing else waits for. */
-export function readMs (engine: EngineSpec, promptTokens: number): number {
+export function prefillMs (engine: EngineSpec, promptTokens: number): number {
   const pairs = promptTokens * promptTokens / 2
   return promptTokens / engine.readTokensPerSecond * SECOND_MS + pairs / MILLION * engine.perMillionPairsMs
 }
 
 /** How long a usual request holds its slot in a group whose slots are all taken. */
 export function slotHoldMs (engine: EngineSpec): number {
-  return engine.usualAnswerTokens * stepMs(engine, engine.slots) + readMs(engine, engine.usualPromptTokens) * engine.slots
+  return engine.usualAnswerTokens * stepMs(engine, engine.slots) + prefillMs(engine, engine.usualPromptTokens) * engine.slots
 }
 
 /** Time between two events of a stream: one pass, in which prompts of others are read as well. */
@@ -28,13 +28,13 @@
 }
 
 /** The longest time between two events of a group that works: in each step of a pass a whole piece of a prompt is read. */
-export function longestPassMs (engine: EngineSpec, pace: number): number {
-  return pace * engine.stride * (stepMs(engine, engine.slots) + readMs(engine, engine.chunkTokens))
+export function maxPassMs (engine: EngineSpec, pace: number): number {
+  return pace * engine.stride * (stepMs(engine, engine.slots) + prefillMs(engine, engine.chunkTokens))
 }
 
 /** Group time that a request takes from all others: what its model is dimensioned by. */
 export function groupTimeMs (engine: EngineSpec, promptTokens: number, answerTokens: number): number {
-  return readMs(engine, promptTokens) + answerTokens * stepMs(engine, engine.slots) / engine.slots
+  return prefillMs(engine, promptTokens) + answerTokens * stepMs(engine, engine.slots) / engine.slots
 }
 
 /**
@@ -42,11 +42,11 @@
  * own prompt, and the passes that it waits for.
  */
 export function firstEventMs (engine: EngineSpec, pace: number, load: number, promptTokens: number): number {
-  const writers = Math.min(load, engine.slots)
+  const decoding = Math.min(load, engine.slots)
   const waiting = Math.max(0, load - engine.slots + 1)
   const queueMs = waiting * slotHoldMs(engine) / engine.slots
-  const passMs = engine.stride * stepMs(engine, writers + 1)
-  return pace * (queueMs + readMs(engine, promptTokens) + 2 * passMs)
+  const passMs = engine.stride * stepMs(engine, decoding + 1)
+  return pace * (queueMs + prefillMs(engine, promptTokens) + 2 * passMs)
 }
 
 /**
--- a/packages/dotterelspur/src/request/dispatch/EventCursor.ts
+++ b/packages/dotterelspur/src/request/dispatch/EventCursor.ts
@@ -7,7 +7,7 @@
  * the next whole event, so a part that was already handed on would stand before it and spoil both.
  */
 export class EventCursor {
-  private rest: Buffer = Buffer.alloc(0)
+  private partialEvent: Buffer = Buffer.alloc(0)
   private lastId: string | null
 
   /** `lastEventId` is what the caller already has. */
@@ -21,29 +21,29 @@
   }
 
   /** Takes in bytes and returns those that complete events, or null while there are none. */
-  take (chunk: Buffer): Buffer | null {
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
+  push (chunk: Buffer): Buffer | null {
+    const bytes = this.partialEvent.length === 0 ? chunk : Buffer.concat([this.partialEvent, chunk])
     const end = bytes.lastIndexOf(EVENT_END)
     if (end === -1) {
-      this.rest = bytes
+      this.partialEvent = bytes
       return null
     }
     const whole = bytes.subarray(0, end + EVENT_END.length)
-    this.rest = bytes.subarray(end + EVENT_END.length)
+    this.partialEvent = bytes.subarray(end + EVENT_END.length)
     this.lastId = findLastId(whole) ?? this.lastId
     return whole
   }
 
   /** What is left when the answer has ended in the proper way. */
-  takeRest (): Buffer {
-    const { rest } = this
-    this.rest = Buffer.alloc(0)
-    return rest
+  takeRemainder (): Buffer {
+    const { partialEvent } = this
+    this.partialEvent = Buffer.alloc(0)
+    return partialEvent
   }
 
   /** Forgets a part of an event whose sender was lost. */
-  dropRest (): void {
-    this.rest = Buffer.alloc(0)
+  dropPartialEvent (): void {
+    this.partialEvent = Buffer.alloc(0)
   }
 }
 
--- a/packages/dotterelspur/src/request/dispatch/ExchangeEnd.ts
+++ b/packages/dotterelspur/src/request/dispatch/ExchangeEnd.ts
@@ -29,11 +29,11 @@
   /** The request has not run there and will not run there later. */
   readonly provesNotRun: boolean
   /** Whether another endpoint may be tried, if the request may run again or has not run. */
-  readonly mayTryElsewhere: boolean
+  readonly mayRetryElsewhere: boolean
   /** The endpoint is passed over for a while. */
-  readonly blamesEndpoint: boolean
+  readonly penalizesEndpoint: boolean
   /** The endpoint may have ended, and the request may be why. */
-  readonly mayEndEndpoint: boolean
+  readonly mayHaveCrashedEndpoint: boolean
 }
 
 /**
@@ -41,15 +41,15 @@
  * did not run: one that was sent may be running behind a reset, a silence or a stranger's answer.
  */
 export const EXCHANGE_RULES: Readonly<Record<ExchangeEnd, ExchangeRule>> = {
-  [ExchangeEnd.Answered]: { provesNotRun: false, mayTryElsewhere: false, blamesEndpoint: false, mayEndEndpoint: false },
-  [ExchangeEnd.Failed]: { provesNotRun: false, mayTryElsewhere: true, blamesEndpoint: false, mayEndEndpoint: false },
-  [ExchangeEnd.Rejected]: { provesNotRun: true, mayTryElsewhere: true, blamesEndpoint: false, mayEndEndpoint: false },
-  [ExchangeEnd.Misdirected]: { provesNotRun: true, mayTryElsewhere: true, blamesEndpoint: true, mayEndEndpoint: false },
-  [ExchangeEnd.NotConnected]: { provesNotRun: true, mayTryElsewhere: true, blamesEndpoint: true, mayEndEndpoint: false },
-  [ExchangeEnd.BrokenOff]: { provesNotRun: false, mayTryElsewhere: true, blamesEndpoint: true, mayEndEndpoint: true },
-  [ExchangeEnd.Garbled]: { provesNotRun: false, mayTryElsewhere: true, blamesEndpoint: false, mayEndEndpoint: false },
-  [ExchangeEnd.Foreign]: { provesNotRun: false, mayTryElsewhere: true, blamesEndpoint: false, mayEndEndpoint: false },
-  [ExchangeEnd.Silent]: { provesNotRun: false, mayTryElsewhere: true, blamesEndpoint: true, mayEndEndpoint: false },
-  [ExchangeEnd.TimedOut]: { provesNotRun: false, mayTryElsewhere: false, blamesEndpoint: false, mayEndEndpoint: false },
-  [ExchangeEnd.CallerLeft]: { provesNotRun: false, mayTryElsewhere: false, blamesEndpoint: false, mayEndEndpoint: false }
+  [ExchangeEnd.Answered]: { provesNotRun: false, mayRetryElsewhere: false, penalizesEndpoint: false, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.Failed]: { provesNotRun: false, mayRetryElsewhere: true, penalizesEndpoint: false, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.Rejected]: { provesNotRun: true, mayRetryElsewhere: true, penalizesEndpoint: false, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.Misdirected]: { provesNotRun: true, mayRetryElsewhere: true, penalizesEndpoint: true, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.NotConnected]: { provesNotRun: true, mayRetryElsewhere: true, penalizesEndpoint: true, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.BrokenOff]: { provesNotRun: false, mayRetryElsewhere: true, penalizesEndpoint: true, mayHaveCrashedEndpoint: true },
+  [ExchangeEnd.Garbled]: { provesNotRun: false, mayRetryElsewhere: true, penalizesEndpoint: false, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.Foreign]: { provesNotRun: false, mayRetryElsewhere: true, penalizesEndpoint: false, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.Silent]: { provesNotRun: false, mayRetryElsewhere: true, penalizesEndpoint: true, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.TimedOut]: { provesNotRun: false, mayRetryElsewhere: false, penalizesEndpoint: false, mayHaveCrashedEndpoint: false },
+  [ExchangeEnd.CallerLeft]: { provesNotRun: false, mayRetryElsewhere: false, penalizesEndpoint: false, mayHaveCrashedEndpoint: false }
 }
--- a/packages/dotterelspur/src/request/dispatch/FleetMemory.ts
+++ b/packages/dotterelspur/src/request/dispatch/FleetMemory.ts
@@ -1,4 +1,4 @@
-import { NOTHING_LEARNED, type DeadlinesSeen } from './DeadlinesSeen.js'
+import { NO_DEADLINES_OBSERVED, type DeadlineObservation } from './DeadlineObservation.js'
 import type { FirstEventSample, FleetObservation } from './FleetObservation.js'
 import type { ModelId } from '../../process/ids.js'
 
@@ -7,19 +7,19 @@
  * anew, and callers that lost them come back together with those that come first.
  */
 export interface FleetMemory {
-  readonly deadlines: DeadlinesSeen
+  readonly deadlines: DeadlineObservation
   readonly firstEvents: Readonly<Record<ModelId, FirstEventSample>>
 }
 
-export const EMPTY_MEMORY: FleetMemory = { deadlines: NOTHING_LEARNED, firstEvents: {} }
+export const EMPTY_MEMORY: FleetMemory = { deadlines: NO_DEADLINES_OBSERVED, firstEvents: {} }
 
 /** Routes that are remembered: those that most nodes have told of. */
-const MOST_ROUTES = 16
+const MAX_ROUTES = 16
 
 /** What is remembered after all nodes have told what they see: what nobody sees at the moment stays as it was. */
-export function remember (memory: FleetMemory, { deadlines, firstEvents }: Pick<FleetObservation, 'deadlines' | 'firstEvents'>): FleetMemory {
+export function updateFleetMemory (memory: FleetMemory, { deadlines, firstEvents }: Pick<FleetObservation, 'deadlines' | 'firstEvents'>): FleetMemory {
   const usual = Object.entries({ ...memory.deadlines.usual, ...deadlines.usual })
-  const kept = usual.sort(([, left], [, right]) => right.nodes - left.nodes).slice(0, MOST_ROUTES)
+  const kept = usual.sort(([, left], [, right]) => right.nodes - left.nodes).slice(0, MAX_ROUTES)
   return {
     deadlines: { usual: Object.fromEntries(kept), leastShare: deadlines.leastShare.nodes > 0 ? deadlines.leastShare : memory.deadlines.leastShare },
     firstEvents: { ...memory.firstEvents, ...firstEvents }
@@ -31,8 +31,8 @@
   const { deadlines, firstEvents } = fieldsOf(written)
   const { usual, leastShare } = fieldsOf(deadlines)
   const parts = [...Object.values(fieldsOf(usual)), ...Object.values(fieldsOf(firstEvents)), leastShare]
-  const isWhole = isRecord(usual) && isRecord(firstEvents) && parts.every((part) => isRecord(part) && Object.values(part).every(isCount))
-  return isWhole ? written as FleetMemory : null
+  const isValid = isRecord(usual) && isRecord(firstEvents) && parts.every((part) => isRecord(part) && Object.values(part).every(isCount))
+  return isValid ? written as FleetMemory : null
 }
 
 function fieldsOf (value: unknown): Readonly<Record<string, unknown>> {
--- a/packages/dotterelspur/src/request/dispatch/FleetObservation.ts
+++ b/packages/dotterelspur/src/request/dispatch/FleetObservation.ts
@@ -1,7 +1,7 @@
 import type { EndpointId, ModelId, NodeId } from '../../process/ids.js'
-import { agedSample, latestSample, type LimitSample } from '../need/LimitSample.js'
-import { NOTHING_LEARNED, type DeadlinesSeen } from './DeadlinesSeen.js'
-import { tellingSpeeds } from './EndpointSpeeds.js'
+import { agedSample, latestSample, type RateLimitSample } from '../backpressure/RateLimitSample.js'
+import { NO_DEADLINES_OBSERVED, type DeadlineObservation } from './DeadlineObservation.js'
+import { significantSpeeds } from './EndpointSpeeds.js'
 
 /** Names the endpoints that can serve the same requests: those of one plain service, or the groups of one model. */
 export type PoolKey = string
@@ -62,9 +62,9 @@
   readonly speeds: Readonly<Record<EndpointId, SpeedSample>>
   readonly pauses: Readonly<Record<ModelId, PauseSample>>
   readonly firstEvents: Readonly<Record<ModelId, FirstEventSample>>
-  readonly deadlines: DeadlinesSeen
+  readonly deadlines: DeadlineObservation
   /** Limits that endpoints named, or took back, in answers to the teller. */
-  readonly limits: Readonly<Record<EndpointId, LimitSample>>
+  readonly limits: Readonly<Record<EndpointId, RateLimitSample>>
   /** For how much longer endpoints have asked for rest. */
   readonly rests: Readonly<Record<EndpointId, number>>
   /** Endpoints that have said in answers to the teller that they leave. */
@@ -82,77 +82,77 @@
 }
 
 /** Between two words to all nodes; what nodes do in between they only forecast. */
-const ROUND_LEAST_MS = 150
+const MIN_ROUND_MS = 150
 /** Longer in a large fleet, so that the node that adds up takes and sends at most 800 frames a second. */
 const ROUND_PER_NODE_MS = 1.25
 
 /** Between two words of the node that adds up. */
 export function roundMs (nodes: number): number {
-  return Math.max(ROUND_LEAST_MS, ROUND_PER_NODE_MS * nodes)
+  return Math.max(MIN_ROUND_MS, ROUND_PER_NODE_MS * nodes)
 }
 
 /** Rounds for which a node's last word stands: beyond, it is frozen or cut off, and its requests have ended. */
 const VALID_ROUNDS = 4
 
-interface ToldObservation {
+interface ReceivedObservation {
   readonly observation: NodeObservation
   readonly atMs: number
 }
 
 /** The last word of each node, at the one that adds them up. */
-export class FleetLedger {
-  private readonly told = new Map<NodeId, ToldObservation>()
+export class FleetAggregator {
+  private readonly received = new Map<NodeId, ReceivedObservation>()
 
   note (node: NodeId, observation: NodeObservation, nowMs: number): void {
-    this.told.set(node, { observation, atMs: nowMs })
+    this.received.set(node, { observation, atMs: nowMs })
   }
 
   forget (node: NodeId): void {
-    this.told.delete(node)
+    this.received.delete(node)
   }
 
   /** Nodes that had requests under way at an endpoint when they last told. */
-  sendersTo (endpoint: EndpointId): number {
-    return [...this.told.values()].filter(({ observation }) => (observation.inFlight[endpoint] ?? 0) > 0).length
+  senderCount (endpoint: EndpointId): number {
+    return [...this.received.values()].filter(({ observation }) => (observation.inFlight[endpoint] ?? 0) > 0).length
   }
 
   /** The sum of what all nodes told and of `own`, what the caller itself has seen. */
-  sum (own: NodeObservation, intervalMs: number, nowMs: number): FleetObservation {
-    const valid = [...this.told.values()].filter(({ atMs }) => nowMs - atMs <= VALID_ROUNDS * intervalMs)
+  aggregate (own: NodeObservation, intervalMs: number, nowMs: number): FleetObservation {
+    const valid = [...this.received.values()].filter(({ atMs }) => nowMs - atMs <= VALID_ROUNDS * intervalMs)
     const ageSumMs = valid.reduce((sum, { atMs }) => sum + nowMs - atMs, 0)
-    const all = [own, ...valid.map(({ observation, atMs }) => ({ ...observation, limits: agedLimits(observation.limits, nowMs - atMs), rests: shortenedRests(observation.rests, nowMs - atMs) }))]
+    const all = [own, ...valid.map(({ observation, atMs }) => ({ ...observation, limits: agedRateLimits(observation.limits, nowMs - atMs), rests: agedBackoffs(observation.rests, nowMs - atMs) }))]
     const sum = addObservations(all)
-    return { ...sum, speeds: tellingSpeeds(sum.speeds), nodes: all.length, ageMs: ageSumMs / all.length, intervalMs }
+    return { ...sum, speeds: significantSpeeds(sum.speeds), nodes: all.length, ageMs: ageSumMs / all.length, intervalMs }
   }
 }
 
 function addObservations (all: readonly NodeObservation[]): NodeObservation {
   return {
-    inFlight: combine(all.map(({ inFlight }) => inFlight), (left, right) => left + right),
-    flows: combine(all.map(({ flows }) => flows), (left, right) => ({ asked: left.asked + right.asked, sent: left.sent + right.sent, ended: left.ended + right.ended })),
-    demand: combine(all.map(({ demand }) => demand), (left, right) => ({ groupTimeMs: left.groupTimeMs + right.groupTimeMs, requests: left.requests + right.requests })),
-    speeds: combine(all.map(({ speeds }) => speeds), (left, right) => ({ ratioSum: left.ratioSum + right.ratioSum, pauses: left.pauses + right.pauses })),
-    pauses: combine(all.map(({ pauses }) => pauses), (left, right) => ({ longestSumMs: left.longestSumMs + right.longestSumMs, nodes: left.nodes + right.nodes })),
-    firstEvents: combine(all.map(({ firstEvents }) => firstEvents), (left, right) => ({ delaySumMs: left.delaySumMs + right.delaySumMs, nodes: left.nodes + right.nodes })),
+    inFlight: mergeByKey(all.map(({ inFlight }) => inFlight), (left, right) => left + right),
+    flows: mergeByKey(all.map(({ flows }) => flows), (left, right) => ({ asked: left.asked + right.asked, sent: left.sent + right.sent, ended: left.ended + right.ended })),
+    demand: mergeByKey(all.map(({ demand }) => demand), (left, right) => ({ groupTimeMs: left.groupTimeMs + right.groupTimeMs, requests: left.requests + right.requests })),
+    speeds: mergeByKey(all.map(({ speeds }) => speeds), (left, right) => ({ ratioSum: left.ratioSum + right.ratioSum, pauses: left.pauses + right.pauses })),
+    pauses: mergeByKey(all.map(({ pauses }) => pauses), (left, right) => ({ longestSumMs: left.longestSumMs + right.longestSumMs, nodes: left.nodes + right.nodes })),
+    firstEvents: mergeByKey(all.map(({ firstEvents }) => firstEvents), (left, right) => ({ delaySumMs: left.delaySumMs + right.delaySumMs, nodes: left.nodes + right.nodes })),
     deadlines: {
-      usual: combine(all.map(({ deadlines }) => deadlines.usual), (left, right) => ({ usualSumMs: left.usualSumMs + right.usualSumMs, nodes: left.nodes + right.nodes })),
-      leastShare: all.reduce((sum, { deadlines: { leastShare } }) => ({ sum: sum.sum + leastShare.sum, nodes: sum.nodes + leastShare.nodes }), NOTHING_LEARNED.leastShare)
+      usual: mergeByKey(all.map(({ deadlines }) => deadlines.usual), (left, right) => ({ usualSumMs: left.usualSumMs + right.usualSumMs, nodes: left.nodes + right.nodes })),
+      leastShare: all.reduce((sum, { deadlines: { leastShare } }) => ({ sum: sum.sum + leastShare.sum, nodes: sum.nodes + leastShare.nodes }), NO_DEADLINES_OBSERVED.leastShare)
     },
-    limits: combine(all.map(({ limits }) => limits), latestSample),
-    rests: combine(all.map(({ rests }) => rests), Math.max),
+    limits: mergeByKey(all.map(({ limits }) => limits), latestSample),
+    rests: mergeByKey(all.map(({ rests }) => rests), Math.max),
     leaving: [...new Set(all.flatMap(({ leaving }) => leaving))]
   }
 }
 
-function agedLimits (limits: Readonly<Record<EndpointId, LimitSample>>, passedMs: number): Record<EndpointId, LimitSample> {
+function agedRateLimits (limits: Readonly<Record<EndpointId, RateLimitSample>>, passedMs: number): Record<EndpointId, RateLimitSample> {
   return Object.fromEntries(Object.entries(limits).map(([endpoint, sample]) => [endpoint, agedSample(sample, passedMs)]))
 }
 
-function shortenedRests (rests: Readonly<Record<EndpointId, number>>, passedMs: number): Record<EndpointId, number> {
+function agedBackoffs (rests: Readonly<Record<EndpointId, number>>, passedMs: number): Record<EndpointId, number> {
   return Object.fromEntries(Object.entries(rests).map(([endpoint, leftMs]) => [endpoint, leftMs - passedMs]).filter(([, leftMs]) => Number(leftMs) > 0))
 }
 
-function combine<Value> (records: ReadonlyArray<Readonly<Record<string, Value>>>, add: (left: Value, right: Value) => Value): Record<string, Value> {
+function mergeByKey<Value> (records: ReadonlyArray<Readonly<Record<string, Value>>>, add: (left: Value, right: Value) => Value): Record<string, Value> {
   const sum: Record<string, Value> = {}
   for (const record of records) {
     for (const [key, value] of Object.entries(record)) {
--- a/packages/dotterelspur/src/request/dispatch/LoadForecast.ts
+++ b/packages/dotterelspur/src/request/dispatch/LoadForecast.ts
@@ -1,11 +1,11 @@
 import type { EndpointId } from '../../process/ids.js'
-import type { SenderPlace } from './SenderPlace.js'
+import type { SenderPosition } from './SenderPosition.js'
 
 /** Turns of an even sequence: whatever number of points is taken of it, they lie about evenly between 0 and 1. */
-const GOLDEN_TURN = (Math.sqrt(5) - 1) / 2
+const GOLDEN_RATIO_STEP = (Math.sqrt(5) - 1) / 2
 
 /** One endpoint of a pool as it was told. */
-export interface ToldEndpoint {
+export interface ForecastEndpoint {
   readonly endpoint: EndpointId
   /** Requests of all nodes there. */
   readonly present: number
@@ -14,19 +14,19 @@
   /** Times there are this multiple of those of a sound endpoint. */
   readonly slowness: number
   /** Requests that it takes from all nodes together; infinite where nothing bounds them. */
-  readonly mostPerMs: number
+  readonly maxPerMs: number
 }
 
 /** The load at which a usual request takes a given time at a sound endpoint; rises with the time. */
-export type LoadWithin = (timeMs: number) => number
+export type LoadAtLatency = (timeMs: number) => number
 
 /** What is told of a pool's flow besides. */
-export interface ToldFlow {
+export interface PoolFlow {
   /** Requests that all nodes were asked to send to the pool, whether they did or not. */
-  readonly askedPerMs: number
+  readonly offeredPerMs: number
   /** Requests that all nodes send to the pool, and those that this one does. */
-  readonly arrivalsPerMs: number
-  readonly ownArrivalsPerMs: number
+  readonly dispatchedPerMs: number
+  readonly ownDispatchedPerMs: number
   /** How long a request stays at an endpoint. */
   readonly holdMs: number
   /** Age of what was told when it came. */
@@ -36,25 +36,25 @@
 }
 
 /** Bounds of the time that a request stays, where too few have ended to tell. */
-const HOLD_LEAST_MS = 10
-const HOLD_MOST_MS = 10_000
+const MIN_HOLD_MS = 10
+const MAX_HOLD_MS = 10_000
 /** The search for the level: from no time at all to one at which no request is sent, to a hundredth of a millisecond. */
-const LEVEL_MOST_MS = 20_000
+const MAX_LEVEL_MS = 20_000
 const LEVEL_STEPS = 22
 /** A forecast is used for this long before it is made for a later moment. */
 const STEP_MS = 20
 /** Requests of the whole fleet for each endpoint that are spread at a time; fewer go to the emptiest only. */
-const AHEAD_PER_ENDPOINT = 1
+const LOOKAHEAD_PER_ENDPOINT = 1
 
 /** The forecast for one moment, by index of the endpoint. */
-interface Moment {
+interface ForecastPoint {
   readonly atMs: number
   /** Part of what was told that is still there. */
-  readonly kept: number
+  readonly remainingShare: number
   /** Requests of all nodes that have come since. */
-  readonly come: readonly number[]
+  readonly arrivals: readonly number[]
   /** Running sum of the parts that the endpoints get of the next requests. */
-  readonly cumulated: readonly number[]
+  readonly cumulativeShares: readonly number[]
 }
 
 /**
@@ -67,25 +67,25 @@
  */
 export class LoadForecast {
   private readonly indexes: ReadonlyMap<EndpointId, number>
-  private readonly toldAtMs: number
+  private readonly observedAtMs: number
   private readonly holdMs: number
   private readonly othersShare: number
-  private moment: Moment | null = null
+  private point: ForecastPoint | null = null
   private draws = 0
 
-  constructor (private readonly told: readonly ToldEndpoint[], private readonly loadWithin: LoadWithin, private readonly flow: ToldFlow, nowMs: number) {
-    this.indexes = new Map(told.map(({ endpoint }, index) => [endpoint, index]))
-    this.toldAtMs = nowMs - flow.ageMs
-    this.holdMs = Math.max(HOLD_LEAST_MS, Math.min(HOLD_MOST_MS, flow.holdMs))
-    this.othersShare = flow.arrivalsPerMs === 0 ? 1 : Math.max(0, 1 - flow.ownArrivalsPerMs / flow.arrivalsPerMs)
+  constructor (private readonly endpoints: readonly ForecastEndpoint[], private readonly loadAtLatency: LoadAtLatency, private readonly flow: PoolFlow, nowMs: number) {
+    this.indexes = new Map(endpoints.map(({ endpoint }, index) => [endpoint, index]))
+    this.observedAtMs = nowMs - flow.ageMs
+    this.holdMs = Math.max(MIN_HOLD_MS, Math.min(MAX_HOLD_MS, flow.holdMs))
+    this.othersShare = flow.dispatchedPerMs === 0 ? 1 : Math.max(0, 1 - flow.ownDispatchedPerMs / flow.dispatchedPerMs)
   }
 
   /** Requests of other nodes at an endpoint now; null for one that nothing was told of. */
-  others (endpoint: EndpointId, nowMs: number): number | null {
+  othersInFlight (endpoint: EndpointId, nowMs: number): number | null {
     const index = this.indexes.get(endpoint)
     if (index === undefined) return null
-    const { kept, come } = this.momentAt(nowMs)
-    return othersTold(this.told[index]!) * kept + this.othersShare * come[index]!
+    const { remainingShare, arrivals } = this.pointAt(nowMs)
+    return othersObserved(this.endpoints[index]!) * remainingShare + this.othersShare * arrivals[index]!
   }
 
   /**
@@ -95,8 +95,8 @@
    */
   admitted (mostLoad: number): number {
     const kept = Math.exp(-(this.flow.ageMs + this.flow.intervalMs) / this.holdMs)
-    const asked = this.flow.askedPerMs * this.holdMs * (1 - kept)
-    const room = this.told.reduce((sum, { present, mostPerMs }) => sum + Math.min(mostLoad - present * kept, this.mostThatStay(mostPerMs, kept)), 0)
+    const asked = this.flow.offeredPerMs * this.holdMs * (1 - kept)
+    const room = this.endpoints.reduce((sum, { present, maxPerMs }) => sum + Math.min(mostLoad - present * kept, this.maxRemaining(maxPerMs, kept)), 0)
     return asked <= 0 ? 1 : Math.max(0, Math.min(1, room / asked))
   }
 
@@ -106,55 +106,55 @@
    * half as much. The pool being in the order of failure domains, requests stay in their own as far as its endpoints
    * take them.
    */
-  draw ({ domainFrom, domainWidth, start }: SenderPlace, nowMs: number): EndpointId | null {
-    const { cumulated } = this.momentAt(nowMs)
-    const turn = (start + this.draws * GOLDEN_TURN) % 1
+  draw ({ domainFrom, domainWidth, start }: SenderPosition, nowMs: number): EndpointId | null {
+    const { cumulativeShares } = this.pointAt(nowMs)
+    const turn = (start + this.draws * GOLDEN_RATIO_STEP) % 1
     this.draws += 1
-    const at = (domainFrom + domainWidth * turn) * (cumulated.at(-1) ?? 0)
-    return this.told[firstAbove(cumulated, at)]?.endpoint ?? null
+    const at = (domainFrom + domainWidth * turn) * (cumulativeShares.at(-1) ?? 0)
+    return this.endpoints[firstAbove(cumulativeShares, at)]?.endpoint ?? null
   }
 
-  private momentAt (nowMs: number): Moment {
-    if (this.moment === null || nowMs - this.moment.atMs >= STEP_MS) this.moment = this.forecast(nowMs)
-    return this.moment
+  private pointAt (nowMs: number): ForecastPoint {
+    if (this.point === null || nowMs - this.point.atMs >= STEP_MS) this.point = this.forecast(nowMs)
+    return this.point
   }
 
-  private forecast (nowMs: number): Moment {
-    const kept = Math.exp(-(nowMs - this.toldAtMs) / this.holdMs)
-    const arrived = this.flow.arrivalsPerMs * this.holdMs * (1 - kept)
-    const come = this.fill(kept, arrived)
-    const later = this.fill(kept, arrived + AHEAD_PER_ENDPOINT * this.told.length)
+  private forecast (nowMs: number): ForecastPoint {
+    const remainingShare = Math.exp(-(nowMs - this.observedAtMs) / this.holdMs)
+    const arrived = this.flow.dispatchedPerMs * this.holdMs * (1 - remainingShare)
+    const arrivals = this.fill(remainingShare, arrived)
+    const later = this.fill(remainingShare, arrived + LOOKAHEAD_PER_ENDPOINT * this.endpoints.length)
     let sum = 0
-    const cumulated = later.map((room, index) => (sum += room - come[index]!))
-    return { atMs: nowMs, kept, come, cumulated }
+    const cumulativeShares = later.map((room, index) => (sum += room - arrivals[index]!))
+    return { atMs: nowMs, remainingShare, arrivals, cumulativeShares }
   }
 
   /** How many of the arrivals go to each endpoint, so that those that get any take the same time afterwards. */
-  private fill (kept: number, arrivals: number): number[] {
+  private fill (remainingShare: number, arrivals: number): number[] {
     let leastMs = 0
-    let mostMs = LEVEL_MOST_MS
+    let mostMs = MAX_LEVEL_MS
     for (let step = 0; step < LEVEL_STEPS; step++) {
       const middleMs = (leastMs + mostMs) / 2
-      if (total(this.rooms(middleMs, kept)) < arrivals) leastMs = middleMs
+      if (total(this.capacities(middleMs, remainingShare)) < arrivals) leastMs = middleMs
       else mostMs = middleMs
     }
-    return this.rooms(mostMs, kept)
+    return this.capacities(mostMs, remainingShare)
   }
 
-  private rooms (levelMs: number, kept: number): number[] {
-    return this.told.map(({ present, slowness, mostPerMs }) => {
-      const room = Math.max(0, this.loadWithin(levelMs / slowness) - present * kept)
-      return Math.min(room, this.mostThatStay(mostPerMs, kept))
+  private capacities (levelMs: number, remainingShare: number): number[] {
+    return this.endpoints.map(({ present, slowness, maxPerMs }) => {
+      const room = Math.max(0, this.loadAtLatency(levelMs / slowness) - present * remainingShare)
+      return Math.min(room, this.maxRemaining(maxPerMs, remainingShare))
     })
   }
 
   /** What is there of all that an endpoint's limit lets come since it was told. */
-  private mostThatStay (mostPerMs: number, kept: number): number {
-    return mostPerMs === Infinity ? Infinity : mostPerMs * this.holdMs * (1 - kept)
+  private maxRemaining (maxPerMs: number, remainingShare: number): number {
+    return maxPerMs === Infinity ? Infinity : maxPerMs * this.holdMs * (1 - remainingShare)
   }
 }
 
-function othersTold ({ present, own }: ToldEndpoint): number {
+function othersObserved ({ present, own }: ForecastEndpoint): number {
   return Math.max(0, present - own)
 }
 
--- a/packages/dotterelspur/src/request/dispatch/StreamPauses.ts
+++ b/packages/dotterelspur/src/request/dispatch/StreamPauses.ts
@@ -1,14 +1,14 @@
 import type { ModelId } from '../../process/ids.js'
 import type { EngineSpec } from '../../version/manifest/Manifest.js'
-import { eventGapMs, longestPassMs } from './EngineTimes.js'
+import { eventGapMs, maxPassMs } from './EngineTimes.js'
 import type { PauseSample } from './FleetObservation.js'
 
 /** The longest pause seen loses half of itself in this time: a burst of long prompts is over in seconds. */
 const HALF_LIFE_MS = 5_000
 /** How far beyond the longest pause seen lately a working group may go. */
-const BEYOND_LONGEST = 1.6
+const LONGEST_PAUSE_FACTOR = 1.6
 /** The least multiple of the usual pause that counts; a group that reads no prompts stays below it. */
-const BEYOND_USUAL = 3
+const USUAL_PAUSE_FACTOR = 3
 /** Time on the way, and of a busy process until it takes the bytes. */
 const SLACK_MS = 20
 
@@ -24,11 +24,11 @@
  */
 export class StreamPauses {
   private readonly longest = new Map<ModelId, LongestPause>()
-  private told: Readonly<Record<ModelId, PauseSample>> = {}
+  private fleetPauses: Readonly<Record<ModelId, PauseSample>> = {}
 
   noteGap (model: ModelId, gapMs: number, nowMs: number): void {
     const known = this.longest.get(model)
-    if (known !== undefined && gapMs < faded(known, nowMs)) return
+    if (known !== undefined && gapMs < decayed(known, nowMs)) return
     this.longest.set(model, { pauseMs: gapMs, atMs: nowMs })
   }
 
@@ -36,27 +36,27 @@
    * Takes in the longest pauses that all nodes have seen lately. A node of a large fleet sees a hundredth of all streams:
    * by its own alone the limit swings with chance, and sound groups are passed over.
    */
-  noteTold (pauses: Readonly<Record<ModelId, PauseSample>>): void {
-    this.told = pauses
+  applyFleetObservation (pauses: Readonly<Record<ModelId, PauseSample>>): void {
+    this.fleetPauses = pauses
   }
 
   /** The longest pauses that this node has seen lately, to be told. */
-  observed (nowMs: number): Record<ModelId, PauseSample> {
-    return Object.fromEntries([...this.longest].map(([model, known]) => [model, { longestSumMs: faded(known, nowMs), nodes: 1 }]))
+  localObservation (nowMs: number): Record<ModelId, PauseSample> {
+    return Object.fromEntries([...this.longest].map(([model, known]) => [model, { longestSumMs: decayed(known, nowMs), nodes: 1 }]))
   }
 
   /** A pause of all streams at one group that its own work can't explain. `present` are the requests there. */
   limitMs (model: ModelId, engine: EngineSpec, pace: number, present: number, nowMs: number): number {
     const known = this.longest.get(model)
-    const usualMs = BEYOND_USUAL * eventGapMs(engine, pace, present)
-    const told = this.told[model]
-    const ownMs = known === undefined ? 0 : faded(known, nowMs)
+    const usualMs = USUAL_PAUSE_FACTOR * eventGapMs(engine, pace, present)
+    const told = this.fleetPauses[model]
+    const ownMs = known === undefined ? 0 : decayed(known, nowMs)
     const longestMs = told === undefined ? ownMs : told.longestSumMs / told.nodes
-    const seenMs = longestMs === 0 ? Infinity : BEYOND_LONGEST * longestMs
-    return Math.min(longestPassMs(engine, pace), Math.max(usualMs, seenMs)) + SLACK_MS
+    const seenMs = longestMs === 0 ? Infinity : LONGEST_PAUSE_FACTOR * longestMs
+    return Math.min(maxPassMs(engine, pace), Math.max(usualMs, seenMs)) + SLACK_MS
   }
 }
 
-function faded ({ pauseMs, atMs }: LongestPause, nowMs: number): number {
+function decayed ({ pauseMs, atMs }: LongestPause, nowMs: number): number {
   return pauseMs * 0.5 ** ((nowMs - atMs) / HALF_LIFE_MS)
 }
--- a/packages/dotterelspur/src/request/dispatch/TargetLoad.ts
+++ b/packages/dotterelspur/src/request/dispatch/TargetLoad.ts
@@ -1,8 +1,8 @@
 import type { EndpointId } from '../../process/ids.js'
-import { FadedSum, ratePerMs } from './FadedSum.js'
+import { DecayedSum, ratePerMs } from './DecayedSum.js'
 import { FLOW_HALF_LIFE_MS, type FleetObservation, type FlowSample, type PoolKey } from './FleetObservation.js'
-import { LoadForecast, type LoadWithin, type ToldEndpoint } from './LoadForecast.js'
-import type { SenderPlace } from './SenderPlace.js'
+import { LoadForecast, type LoadAtLatency, type ForecastEndpoint } from './LoadForecast.js'
+import type { SenderPosition } from './SenderPosition.js'
 
 /** What an endpoint said of its load with an answer. */
 export interface LoadReading {
@@ -20,7 +20,7 @@
 const VALID_INTERVALS = 3
 
 /** Without any word of others a group is taken for filled to this part: most fleets run below half of what they can. */
-const PRIOR_FILLED = 0.4
+const PRIOR_UTILIZATION = 0.4
 /** How much that guess weighs, in requests under way at this node. */
 const PRIOR_WEIGHT = 2
 
@@ -34,17 +34,17 @@
 
 interface PoolState {
   own: number
-  readonly asked: FadedSum
-  readonly sent: FadedSum
-  readonly ended: FadedSum
+  readonly asked: DecayedSum
+  readonly sent: DecayedSum
+  readonly ended: DecayedSum
   forecast: LoadForecast | null
 }
 
 /** A pool as it is now: its endpoints, and how much each can take. */
 export interface LoadPool {
   readonly key: PoolKey
-  readonly endpoints: ReadonlyArray<Pick<ToldEndpoint, 'endpoint' | 'slowness' | 'mostPerMs'>>
-  readonly loadWithin: LoadWithin
+  readonly endpoints: ReadonlyArray<Pick<ForecastEndpoint, 'endpoint' | 'slowness' | 'maxPerMs'>>
+  readonly loadAtLatency: LoadAtLatency
 }
 
 /**
@@ -55,25 +55,25 @@
   private readonly states = new Map<EndpointId, TargetState>()
   private readonly pools = new Map<PoolKey, PoolState>()
   private readonly poolByEndpoint = new Map<EndpointId, PoolKey>()
-  private told: FleetObservation | null = null
-  private toldAtMs = -Infinity
+  private fleetObservation: FleetObservation | null = null
+  private receivedAtMs = -Infinity
   /** This node's own part of what was told. */
-  private ownTold: ReadonlyMap<EndpointId, number> = new Map()
+  private reportedInFlight: ReadonlyMap<EndpointId, number> = new Map()
 
   /** Takes in what all nodes together have under way. Call `arrange` after it. */
-  noteTold (told: FleetObservation, nowMs: number): void {
-    this.told = told
-    this.toldAtMs = nowMs
+  applyFleetObservation (told: FleetObservation, nowMs: number): void {
+    this.fleetObservation = told
+    this.receivedAtMs = nowMs
   }
 
   /** Since it was last told what all nodes have under way; null where it never was. */
-  toldAgeMs (nowMs: number): number | null {
-    return this.told === null ? null : nowMs - this.toldAtMs
+  observationAgeMs (nowMs: number): number | null {
+    return this.fleetObservation === null ? null : nowMs - this.receivedAtMs
   }
 
   /** Whether what was told is recent enough to be relied on. */
-  isTold (nowMs: number): boolean {
-    return this.told !== null && nowMs - this.toldAtMs <= VALID_INTERVALS * this.told.intervalMs
+  hasFreshObservation (nowMs: number): boolean {
+    return this.fleetObservation !== null && nowMs - this.receivedAtMs <= VALID_INTERVALS * this.fleetObservation.intervalMs
   }
 
   /** This node's own requests at an endpoint. */
@@ -82,18 +82,18 @@
   }
 
   /** This node's own requests under way, by endpoint, which it is about to tell. */
-  tellOwn (): Record<EndpointId, number> {
-    this.ownTold = new Map([...this.states].filter(([, { own }]) => own > 0).map(([endpoint, { own }]) => [endpoint, own]))
-    return Object.fromEntries(this.ownTold)
+  reportInFlight (): Record<EndpointId, number> {
+    this.reportedInFlight = new Map([...this.states].filter(([, { own }]) => own > 0).map(([endpoint, { own }]) => [endpoint, own]))
+    return Object.fromEntries(this.reportedInFlight)
   }
 
   /** What this node sends to each pool, to be told. */
-  ownFlows (nowMs: number): Record<PoolKey, FlowSample> {
+  localFlows (nowMs: number): Record<PoolKey, FlowSample> {
     return Object.fromEntries([...this.pools].map(([key, { asked, sent, ended }]) => [key, { asked: asked.at(nowMs), sent: sent.at(nowMs), ended: ended.at(nowMs) }]))
   }
 
   /** Forecasts anew for the pools as they are now; called when something was told and when the list changed. */
-  arrange (pools: readonly LoadPool[], nowMs: number): void {
+  updateForecasts (pools: readonly LoadPool[], nowMs: number): void {
     this.poolByEndpoint.clear()
     const listed = new Set(pools.map(({ key }) => key))
     for (const key of this.pools.keys()) {
@@ -113,7 +113,7 @@
   }
 
   /** A request for the pool came, whatever becomes of it. */
-  noteAsked (pool: PoolKey, nowMs: number): void {
+  noteArrival (pool: PoolKey, nowMs: number): void {
     this.pool(pool).asked.add(1, nowMs)
   }
 
@@ -143,7 +143,7 @@
   estimate (endpoint: EndpointId, usual: number, nowMs: number): number {
     const state = this.states.get(endpoint)
     const own = state?.own ?? 0
-    if (this.isTold(nowMs)) return own + (this.forecastOf(endpoint)?.others(endpoint, nowMs) ?? 0)
+    if (this.hasFreshObservation(nowMs)) return own + (this.forecastOf(endpoint)?.othersInFlight(endpoint, nowMs) ?? 0)
     if (state === undefined) return usual
     const guessed = Math.max(usual, own)
     if (state.reading === null) return guessed
@@ -154,11 +154,11 @@
 
   /** Part of the requests for a pool that may be sent if its endpoints are to hold `mostLoad` each; null where nothing was told. */
   admitted (pool: PoolKey, mostLoad: number, nowMs: number): number | null {
-    return this.isTold(nowMs) ? this.pools.get(pool)?.forecast?.admitted(mostLoad) ?? null : null
+    return this.hasFreshObservation(nowMs) ? this.pools.get(pool)?.forecast?.admitted(mostLoad) ?? null : null
   }
 
   /** The next endpoint of the pool, as all nodes spread their requests: evenly where nothing was told. */
-  draw (pool: PoolKey, sender: SenderPlace, nowMs: number): EndpointId | null {
+  draw (pool: PoolKey, sender: SenderPosition, nowMs: number): EndpointId | null {
     return this.pools.get(pool)?.forecast?.draw(sender, nowMs) ?? null
   }
 
@@ -169,26 +169,26 @@
    */
   usual (pool: PoolKey, slots: number, endpoints: number, nodes: number): number {
     const own = this.pools.get(pool)?.own ?? 0
-    const prior = PRIOR_FILLED * slots * endpoints
+    const prior = PRIOR_UTILIZATION * slots * endpoints
     const all = (own + PRIOR_WEIGHT) / (1 / nodes + PRIOR_WEIGHT / prior)
     return all / endpoints
   }
 
-  private forecast ({ key, endpoints, loadWithin }: LoadPool, nowMs: number): LoadForecast {
-    const { told } = this
-    const flow = told?.flows[key] ?? { asked: 0, sent: 0, ended: 0 }
-    const present = endpoints.reduce((sum, { endpoint }) => sum + (told?.inFlight[endpoint] ?? 0), 0)
+  private forecast ({ key, endpoints, loadAtLatency }: LoadPool, nowMs: number): LoadForecast {
+    const { fleetObservation } = this
+    const flow = fleetObservation?.flows[key] ?? { asked: 0, sent: 0, ended: 0 }
+    const present = endpoints.reduce((sum, { endpoint }) => sum + (fleetObservation?.inFlight[endpoint] ?? 0), 0)
     const endedPerMs = ratePerMs(flow.ended, FLOW_HALF_LIFE_MS)
-    const sinceToldMs = told === null ? 0 : nowMs - this.toldAtMs
-    return new LoadForecast(endpoints.map(({ endpoint, slowness, mostPerMs }) => ({
-      endpoint, slowness, mostPerMs, present: told?.inFlight[endpoint] ?? 0, own: this.ownTold.get(endpoint) ?? 0
-    })), loadWithin, {
-      askedPerMs: ratePerMs(flow.asked, FLOW_HALF_LIFE_MS),
-      arrivalsPerMs: ratePerMs(flow.sent, FLOW_HALF_LIFE_MS),
-      ownArrivalsPerMs: ratePerMs(this.pool(key).sent.at(nowMs), FLOW_HALF_LIFE_MS),
+    const sinceReceivedMs = fleetObservation === null ? 0 : nowMs - this.receivedAtMs
+    return new LoadForecast(endpoints.map(({ endpoint, slowness, maxPerMs }) => ({
+      endpoint, slowness, maxPerMs, present: fleetObservation?.inFlight[endpoint] ?? 0, own: this.reportedInFlight.get(endpoint) ?? 0
+    })), loadAtLatency, {
+      offeredPerMs: ratePerMs(flow.asked, FLOW_HALF_LIFE_MS),
+      dispatchedPerMs: ratePerMs(flow.sent, FLOW_HALF_LIFE_MS),
+      ownDispatchedPerMs: ratePerMs(this.pool(key).sent.at(nowMs), FLOW_HALF_LIFE_MS),
       holdMs: endedPerMs === 0 ? Infinity : present / endedPerMs,
-      ageMs: (told?.ageMs ?? 0) + sinceToldMs,
-      intervalMs: Math.max(0, (told?.intervalMs ?? 0) - sinceToldMs)
+      ageMs: (fleetObservation?.ageMs ?? 0) + sinceReceivedMs,
+      intervalMs: Math.max(0, (fleetObservation?.intervalMs ?? 0) - sinceReceivedMs)
     }, nowMs)
   }
 
@@ -200,7 +200,7 @@
   private pool (key: PoolKey): PoolState {
     let pool = this.pools.get(key)
     if (pool === undefined) {
-      pool = { own: 0, asked: new FadedSum(FLOW_HALF_LIFE_MS), sent: new FadedSum(FLOW_HALF_LIFE_MS), ended: new FadedSum(FLOW_HALF_LIFE_MS), forecast: null }
+      pool = { own: 0, asked: new DecayedSum(FLOW_HALF_LIFE_MS), sent: new DecayedSum(FLOW_HALF_LIFE_MS), ended: new DecayedSum(FLOW_HALF_LIFE_MS), forecast: null }
       this.pools.set(key, pool)
     }
     return pool
--- a/packages/dotterelspur/src/request/dispatch/TargetPool.ts
+++ b/packages/dotterelspur/src/request/dispatch/TargetPool.ts
@@ -1,7 +1,7 @@
 import type { EndpointId, FailureDomainId, ModelId, ServiceId } from '../../process/ids.js'
 import { takesRequests, type EndpointRecord } from '../../version/formation/Endpoint.js'
 import type { EngineSpec } from '../../version/manifest/Manifest.js'
-import type { EndpointNeeds } from '../need/EndpointNeeds.js'
+import type { EndpointBackpressure } from '../backpressure/EndpointBackpressure.js'
 import type { EndpointSpeeds } from './EndpointSpeeds.js'
 import { loadCurve, paceOf } from './EngineTimes.js'
 import type { PoolKey } from './FleetObservation.js'
@@ -34,17 +34,17 @@
   return model === null ? service : `${service}/${model}`
 }
 
-export function poolOf ({ service, model }: DispatchTarget): PoolKey {
+export function poolKeyOf ({ service, model }: DispatchTarget): PoolKey {
   return poolKey(service, model)
 }
 
 /** The endpoints that take requests, by pool. All nodes that know the same endpoints get the same order. */
-export function arrangePools (endpoints: Iterable<EndpointRecord>, engineOf: (service: ServiceId) => EngineSpec | null): Map<PoolKey, TargetPool> {
+export function buildPools (endpoints: Iterable<EndpointRecord>, engineOf: (service: ServiceId) => EngineSpec | null): Map<PoolKey, TargetPool> {
   const targetsByPool = new Map<PoolKey, DispatchTarget[]>()
   for (const record of endpoints) {
     if (!takesRequests(record)) continue
     const target = targetOf(record)
-    const key = poolOf(target)
+    const key = poolKeyOf(target)
     const targets = targetsByPool.get(key)
     if (targets === undefined) targetsByPool.set(key, [target])
     else targets.push(target)
@@ -56,11 +56,11 @@
 }
 
 /** How much each endpoint of a pool takes, for the forecast of its load. */
-export function loadPool ({ key, targets, engine }: TargetPool, speeds: EndpointSpeeds, needs: EndpointNeeds, nowMs: number): LoadPool {
+export function loadPool ({ key, targets, engine }: TargetPool, speeds: EndpointSpeeds, backpressure: EndpointBackpressure, nowMs: number): LoadPool {
   const [first] = targets.values()
-  const endpoints = [...targets.keys()].map((endpoint) => ({ endpoint, slowness: speeds.slowness(endpoint, nowMs), mostPerMs: needs.mostPerMs(endpoint, nowMs) }))
-  if (engine === null || first === undefined) return { key, endpoints, loadWithin: (timeMs) => timeMs / PLAIN_REQUEST_MS * (first?.slots ?? 1) }
-  return { key, endpoints, loadWithin: loadCurve(engine, paceOf(engine, first), engine.usualPromptTokens) }
+  const endpoints = [...targets.keys()].map((endpoint) => ({ endpoint, slowness: speeds.slowness(endpoint, nowMs), maxPerMs: backpressure.maxPerMs(endpoint, nowMs) }))
+  if (engine === null || first === undefined) return { key, endpoints, loadAtLatency: (timeMs) => timeMs / PLAIN_REQUEST_MS * (first?.slots ?? 1) }
+  return { key, endpoints, loadAtLatency: loadCurve(engine, paceOf(engine, first), engine.usualPromptTokens) }
 }
 
 function targetOf (record: EndpointRecord): DispatchTarget {
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/DeadlineHistory.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/DeadlineHistory.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { createRandom, type Random } from '../../../../process/Random.js'
 import { DeadlineHistory } from '../../DeadlineHistory.js'
-import { NOTHING_LEARNED } from '../../DeadlinesSeen.js'
+import { NO_DEADLINES_OBSERVED } from '../../DeadlineObservation.js'
 
 const BUDGET_MS = 6_000
 const REQUESTS = 400
@@ -26,8 +26,8 @@
   for (let request = 0; request < REQUESTS; request++) {
     const isReturn = random.next() < RETURN_SHARE
     const deadlineMs = budgets(random) * (isReturn ? 0.65 + 0.2 * random.next() : 1)
-    if (random.next() < RETURN_SHARE) history.noteSentAway('draft')
-    const saysReturn = history.noteSpentMs('draft', deadlineMs) > 0
+    if (random.next() < RETURN_SHARE) history.noteRefusal('draft')
+    const saysReturn = history.noteDeadline('draft', deadlineMs) > 0
     if (request < LEARNED) continue
     verdicts[isReturn ? 'returns' : 'first'] += 1
     if (saysReturn) verdicts[isReturn ? 'returnSeen' : 'firstTakenForReturn'] += 1
@@ -56,54 +56,54 @@
 
   it('says how much of its time a caller has spent', () => {
     const history = new DeadlineHistory()
-    for (let request = 0; request < 20; request++) history.noteSpentMs('draft', BUDGET_MS)
-    history.noteSentAway('draft')
-    expect(history.noteSpentMs('draft', BUDGET_MS - 1_500)).to.equal(1_500)
-    expect(history.noteSpentMs('other', 100)).to.equal(0)
+    for (let request = 0; request < 20; request++) history.noteDeadline('draft', BUDGET_MS)
+    history.noteRefusal('draft')
+    expect(history.noteDeadline('draft', BUDGET_MS - 1_500)).to.equal(1_500)
+    expect(history.noteDeadline('other', 100)).to.equal(0)
   })
 
   it('knows no returns where nobody was sent away', () => {
     const history = new DeadlineHistory()
-    for (let request = 0; request < 100; request++) history.noteSpentMs('draft', BUDGET_MS)
-    expect(history.noteSpentMs('draft', BUDGET_MS / 2)).to.equal(0)
+    for (let request = 0; request < 100; request++) history.noteDeadline('draft', BUDGET_MS)
+    expect(history.noteDeadline('draft', BUDGET_MS / 2)).to.equal(0)
   })
 
   it('forgets routes that are not declared any more', () => {
     const history = new DeadlineHistory()
-    for (let request = 0; request < 20; request++) history.noteSpentMs('draft', BUDGET_MS)
+    for (let request = 0; request < 20; request++) history.noteDeadline('draft', BUDGET_MS)
     history.retain(new Set())
-    expect(history.noteSpentMs('draft', 100)).to.equal(0)
+    expect(history.noteDeadline('draft', 100)).to.equal(0)
   })
 
   // Guards against callers that lost all nodes at once and are taken for first ones: they were served before those that could be on time.
   it('knows callers that come back from a node\'s first request on, by what all nodes have seen', () => {
     const history = new DeadlineHistory()
-    history.noteTold({ usual: { draft: { usualSumMs: 80 * BUDGET_MS, nodes: 80 } }, leastShare: { sum: 80 * 0.9, nodes: 80 } })
-    expect(history.noteSpentMs('draft', BUDGET_MS / 2)).to.equal(BUDGET_MS / 2)
-    expect(history.noteSpentMs('draft', BUDGET_MS * 0.95)).to.equal(0)
-    expect(history.noteSpentMs('other', 100)).to.equal(0)
+    history.applyFleetObservation({ usual: { draft: { usualSumMs: 80 * BUDGET_MS, nodes: 80 } }, leastShare: { sum: 80 * 0.9, nodes: 80 } })
+    expect(history.noteDeadline('draft', BUDGET_MS / 2)).to.equal(BUDGET_MS / 2)
+    expect(history.noteDeadline('draft', BUDGET_MS * 0.95)).to.equal(0)
+    expect(history.noteDeadline('other', 100)).to.equal(0)
   })
 
   it('judges a route that it has hardly seen by the least part that callers of others state', () => {
     const seen = new DeadlineHistory()
     const random = createRandom(1)
-    for (let request = 0; request < 200; request++) seen.noteSpentMs('draft', BUDGET_MS * (0.85 + 0.15 * random.next()))
-    for (let request = 0; request < 3; request++) seen.noteSpentMs('rare', 2_000)
+    for (let request = 0; request < 200; request++) seen.noteDeadline('draft', BUDGET_MS * (0.85 + 0.15 * random.next()))
+    for (let request = 0; request < 3; request++) seen.noteDeadline('rare', 2_000)
     const history = new DeadlineHistory()
-    history.noteTold(seen.observed(10 * BUDGET_MS))
-    expect(history.noteSpentMs('rare', 1_900)).to.equal(0)
-    expect(history.noteSpentMs('rare', 1_400)).to.be.greaterThan(0)
+    history.applyFleetObservation(seen.localObservation(10 * BUDGET_MS))
+    expect(history.noteDeadline('rare', 1_900)).to.equal(0)
+    expect(history.noteDeadline('rare', 1_400)).to.be.greaterThan(0)
   })
 
   it('tells nothing while most of its callers may have lost another node', () => {
     const history = new DeadlineHistory(0)
-    for (let request = 0; request < 50; request++) history.noteSpentMs('draft', BUDGET_MS / 2)
-    expect(history.observed(1_000)).to.deep.equal(NOTHING_LEARNED)
+    for (let request = 0; request < 50; request++) history.noteDeadline('draft', BUDGET_MS / 2)
+    expect(history.localObservation(1_000)).to.deep.equal(NO_DEADLINES_OBSERVED)
   })
 
   it('tells of a bounded number of routes', () => {
     const history = new DeadlineHistory()
-    for (let request = 0; request < 300; request++) history.noteSpentMs(`r${request % 100}`, BUDGET_MS)
-    expect(Object.keys(history.observed(10 * BUDGET_MS).usual)).to.have.lengthOf(8)
+    for (let request = 0; request < 300; request++) history.noteDeadline(`r${request % 100}`, BUDGET_MS)
+    expect(Object.keys(history.localObservation(10 * BUDGET_MS).usual)).to.have.lengthOf(8)
   })
 })
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/EventCursor.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/EventCursor.test.ts
@@ -15,7 +15,7 @@
       let at = 0
       for (let index = 0; at < text.length; index++) {
         const size = cuts[index % cuts.length]!
-        const whole = cursor.take(Buffer.from(text.slice(at, at + size)))
+        const whole = cursor.push(Buffer.from(text.slice(at, at + size)))
         at += size
         if (whole === null) continue
         expect(whole.toString().endsWith('\n\n')).to.equal(true)
@@ -30,10 +30,10 @@
     // Symptom: a stream with a spoilt event. Sequence: an endpoint dies in the middle of an event, another goes on
     // after the last whole one. Cause: the half event was handed on, or kept before the continuation's bytes.
     const cursor = new EventCursor(null)
-    cursor.take(Buffer.from(event(1) + 'id: 2\nda'))
-    cursor.dropRest()
+    cursor.push(Buffer.from(event(1) + 'id: 2\nda'))
+    cursor.dropPartialEvent()
     expect(cursor.lastEventId).to.equal('1')
-    expect(cursor.take(Buffer.from(event(2)))?.toString()).to.equal(event(2))
+    expect(cursor.push(Buffer.from(event(2)))?.toString()).to.equal(event(2))
   })
 
   it('starts from what the caller already has', () => {
@@ -42,7 +42,7 @@
 
   it('does not take a field inside a line for an id', () => {
     const cursor = new EventCursor(null)
-    cursor.take(Buffer.from('id: 5\ndata: id: 9\n\n'))
+    cursor.push(Buffer.from('id: 5\ndata: id: 9\n\n'))
     expect(cursor.lastEventId).to.equal('5')
   })
 })
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/FirstEventDelays.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/FirstEventDelays.test.ts
@@ -12,7 +12,7 @@
     const delays = new FirstEventDelays()
     noteDelays(delays, [110, 110])
     expect(delays.delayMs('small')).to.equal(0)
-    expect(delays.observed()).to.deep.equal({})
+    expect(delays.localObservation()).to.deep.equal({})
   })
 
   // Guards against queues that are taken for the engine's own time, after which everybody is refused.
@@ -38,7 +38,7 @@
   it('goes by the mean of all nodes, and keeps models apart', () => {
     const delays = new FirstEventDelays()
     noteDelays(delays, [300, 300, 300])
-    delays.noteTold({ small: { delaySumMs: 800, nodes: 8 } })
+    delays.applyFleetObservation({ small: { delaySumMs: 800, nodes: 8 } })
     expect(delays.delayMs('small')).to.equal(100)
     expect(delays.delayMs('large')).to.equal(0)
   })
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/FleetMemory.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/FleetMemory.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
-import { NOTHING_LEARNED } from '../../DeadlinesSeen.js'
-import { EMPTY_MEMORY, readFleetMemory, remember, type FleetMemory } from '../../FleetMemory.js'
+import { NO_DEADLINES_OBSERVED } from '../../DeadlineObservation.js'
+import { EMPTY_MEMORY, readFleetMemory, updateFleetMemory, type FleetMemory } from '../../FleetMemory.js'
 
 const MEMORY: FleetMemory = {
   deadlines: { usual: { draft: { usualSumMs: 11_000, nodes: 2 } }, leastShare: { sum: 1.8, nodes: 2 } },
@@ -10,17 +10,17 @@
 describe('FleetMemory', () => {
   // Guards against nodes that all start anew at once and overwrite what the fleet knew by what they don't know yet.
   it('keeps what nobody sees at the moment', () => {
-    expect(remember(MEMORY, { deadlines: NOTHING_LEARNED, firstEvents: {} })).to.deep.equal(MEMORY)
+    expect(updateFleetMemory(MEMORY, { deadlines: NO_DEADLINES_OBSERVED, firstEvents: {} })).to.deep.equal(MEMORY)
   })
 
   it('takes what is seen now in place of what was seen before', () => {
     const seen = { deadlines: { usual: { draft: { usualSumMs: 5_000, nodes: 1 } }, leastShare: { sum: 0.5, nodes: 1 } }, firstEvents: { large: { delaySumMs: 90, nodes: 1 } } }
-    expect(remember(MEMORY, seen)).to.deep.equal({ deadlines: seen.deadlines, firstEvents: { ...MEMORY.firstEvents, ...seen.firstEvents } })
+    expect(updateFleetMemory(MEMORY, seen)).to.deep.equal({ deadlines: seen.deadlines, firstEvents: { ...MEMORY.firstEvents, ...seen.firstEvents } })
   })
 
   it('remembers a bounded number of routes, those that most nodes see', () => {
     const usual = Object.fromEntries(Array.from({ length: 100 }, (_unused, index) => [`r${index}`, { usualSumMs: 1_000, nodes: index + 1 }]))
-    const memory = remember(EMPTY_MEMORY, { deadlines: { usual, leastShare: { sum: 1, nodes: 1 } }, firstEvents: {} })
+    const memory = updateFleetMemory(EMPTY_MEMORY, { deadlines: { usual, leastShare: { sum: 1, nodes: 1 } }, firstEvents: {} })
     expect(Object.keys(memory.deadlines.usual)).to.have.lengthOf(16).that.includes('r99')
   })
 
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/FleetObservation.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/FleetObservation.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { NOTHING_LEARNED } from '../../DeadlinesSeen.js'
-import { FadedSum, ratePerMs } from '../../FadedSum.js'
-import { FleetLedger, roundMs, type NodeObservation } from '../../FleetObservation.js'
+import { NO_DEADLINES_OBSERVED } from '../../DeadlineObservation.js'
+import { DecayedSum, ratePerMs } from '../../DecayedSum.js'
+import { FleetAggregator, roundMs, type NodeObservation } from '../../FleetObservation.js'
 
-const NOTHING: NodeObservation = { inFlight: {}, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NOTHING_LEARNED, limits: {}, rests: {}, leaving: [] }
+const NOTHING: NodeObservation = { inFlight: {}, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NO_DEADLINES_OBSERVED, limits: {}, rests: {}, leaving: [] }
 const INTERVAL_MS = 200
 
 function observe (changes: Partial<NodeObservation>): NodeObservation {
@@ -19,7 +19,7 @@
     // Symptom: a group counts as full for ever. Sequence: a node tells, is told twice for, restarts under its name. Cause:
     // sums of differences, of which one was lost or taken twice.
     fc.assert(fc.property(fc.array(happening, { maxLength: 40 }), (happenings) => {
-      const ledger = new FleetLedger()
+      const ledger = new FleetAggregator()
       const last = new Map<string, { count: number, atMs: number }>()
       let nowMs = 0
       for (const { node, count, closes, afterMs } of happenings) {
@@ -34,7 +34,7 @@
           last.set(name, { count, atMs: nowMs })
         }
         const valid = [...last.values()].filter(({ atMs }) => nowMs - atMs <= 4 * INTERVAL_MS)
-        const sum = ledger.sum(observe({ inFlight: { g1: 2 } }), INTERVAL_MS, nowMs)
+        const sum = ledger.aggregate(observe({ inFlight: { g1: 2 } }), INTERVAL_MS, nowMs)
         expect(sum.inFlight).to.deep.equal({ g1: 2 + valid.reduce((total, other) => total + other.count, 0) })
         expect(sum.nodes).to.equal(1 + valid.length)
       }
@@ -42,7 +42,7 @@
   })
 
   it('adds up demand, flows and pauses, and tells only speeds that say something', () => {
-    const ledger = new FleetLedger()
+    const ledger = new FleetAggregator()
     const seen = observe({
       flows: { 'llm/small': { asked: 3, sent: 2, ended: 1 } },
       demand: { small: { groupTimeMs: 100, requests: 4 } },
@@ -50,7 +50,7 @@
       pauses: { small: { longestSumMs: 80, nodes: 1 } }
     })
     ledger.note('n1', seen, 0)
-    const sum = ledger.sum({ ...seen, pauses: { small: { longestSumMs: 120, nodes: 1 } } }, INTERVAL_MS, 50)
+    const sum = ledger.aggregate({ ...seen, pauses: { small: { longestSumMs: 120, nodes: 1 } } }, INTERVAL_MS, 50)
     expect(sum.flows).to.deep.equal({ 'llm/small': { asked: 6, sent: 4, ended: 2 } })
     expect(sum.demand).to.deep.equal({ small: { groupTimeMs: 200, requests: 8 } })
     expect(sum.speeds).to.deep.equal({ slow: { ratioSum: 60, pauses: 20 } })
@@ -59,10 +59,10 @@
   })
 
   it('knows which nodes have requests at a group', () => {
-    const ledger = new FleetLedger()
+    const ledger = new FleetAggregator()
     ledger.note('n1', observe({ inFlight: { g1: 2 } }), 0)
     ledger.note('n2', observe({ inFlight: { g2: 1 } }), 0)
-    expect(ledger.sendersTo('g1')).to.equal(1)
+    expect(ledger.senderCount('g1')).to.equal(1)
   })
 })
 
@@ -74,7 +74,7 @@
 
 describe('FadedSum', () => {
   it('tells how many come in a millisecond', () => {
-    const sum = new FadedSum(700)
+    const sum = new DecayedSum(700)
     for (let atMs = 0; atMs < 10_000; atMs += 20) sum.add(1, atMs)
     expect(ratePerMs(sum.at(10_000), 700)).to.be.within(0.045, 0.055)
   })
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/Placement.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/Placement.test.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai'
 import { createRandom } from '../../../../process/Random.js'
-import { NOTHING_LEARNED } from '../../DeadlinesSeen.js'
+import { NO_DEADLINES_OBSERVED } from '../../DeadlineObservation.js'
 import { firstEventMs } from '../../EngineTimes.js'
 import { EndpointHealth } from '../../EndpointHealth.js'
 import { EndpointSpeeds } from '../../EndpointSpeeds.js'
-import { EndpointNeeds } from '../../../need/EndpointNeeds.js'
-import { NO_NEED } from '../../../need/StatedNeed.js'
+import { EndpointBackpressure } from '../../../backpressure/EndpointBackpressure.js'
+import { NO_BACKPRESSURE } from '../../../backpressure/ReportedBackpressure.js'
 import { place, RefusalReason, type PlacementQuery, type PlacementRefusal } from '../../Placement.js'
 import { TargetLoad } from '../../TargetLoad.js'
 import { loadPool, poolKey, type DispatchTarget, type TargetPool } from '../../TargetPool.js'
@@ -14,7 +14,7 @@
 const SEEDS = [1, 2, 3, 4, 5]
 
 const SURGE: SurgeOptions = {
-  seed: 1, nodes: 8, groups: 8, loadSteps: [0.6, 1.7, 1.7, 1.7, 0.7, 0.5], stepMs: 2_000, targetMs: 300, deadlineMs: 6_000, refuses: true, tells: true
+  seed: 1, nodes: 8, groups: 8, loadSteps: [0.6, 1.7, 1.7, 1.7, 0.7, 0.5], stepMs: 2_000, targetMs: 300, deadlineMs: 6_000, refuses: true, sharesObservations: true
 }
 
 /** What callers ask for, as multiples of what all groups can serve. */
@@ -48,13 +48,13 @@
   readonly load = new TargetLoad()
   readonly health = new EndpointHealth()
   readonly speeds = new EndpointSpeeds()
-  readonly needs = new EndpointNeeds('n1')
+  readonly backpressure = new EndpointBackpressure('n1')
 
   place (targets: readonly DispatchTarget[], query = createQuery(), nowMs = 0, nodes = 1, firstEventDelayMs = 0): DispatchTarget | PlacementRefusal {
-    const { load, health, speeds, needs } = this
+    const { load, health, speeds, backpressure } = this
     const pool: TargetPool = { key: POOL, targets: new Map(targets.map((target) => [target.endpoint, target])), engine: ENGINE }
-    load.arrange([loadPool(pool, speeds, needs, nowMs)], nowMs)
-    return place(query, { pool, load, health, speeds, needs, firstEventDelayMs, nodes, sender: { domainFrom: 0, domainWidth: 1, start: 0 }, ownFailureDomain: 'a', random: createRandom(1), nowMs })
+    load.updateForecasts([loadPool(pool, speeds, backpressure, nowMs)], nowMs)
+    return place(query, { pool, load, health, speeds, backpressure, firstEventDelayMs, nodes, sender: { domainFrom: 0, domainWidth: 1, start: 0 }, ownFailureDomain: 'a', random: createRandom(1), nowMs })
   }
 }
 
@@ -79,11 +79,11 @@
   it('sends callers back no sooner than the first endpoint may be asked again', () => {
     const world = new PlacementWorld()
     const targets = [createTarget('g0'), createTarget('g1')]
-    world.needs.note('g0', { ...NO_NEED, restMs: 3_000 }, 0)
-    world.needs.note('g1', { ...NO_NEED, restMs: 5_000 }, 0)
+    world.backpressure.note('g0', { ...NO_BACKPRESSURE, restMs: 3_000 }, 0)
+    world.backpressure.note('g1', { ...NO_BACKPRESSURE, restMs: 5_000 }, 0)
     for (let nowMs = 0; nowMs < 3_000; nowMs += 500) {
       const refusal = world.place(targets, createQuery({ leftMs: 1_500 }), nowMs) as PlacementRefusal
-      expect(refusal).to.deep.include({ reason: RefusalReason.Resting, inNeed: ['g0', 'g1'] })
+      expect(refusal).to.deep.include({ reason: RefusalReason.BackingOff, inNeed: ['g0', 'g1'] })
       expect(nowMs + refusal.retryAfterMs).to.be.within(3_000, 3_500)
     }
     expect(world.place(targets, createQuery(), 3_000)).to.deep.include({ endpoint: 'g0' })
@@ -95,7 +95,7 @@
     for (const seed of SEEDS) {
       const nearFull = { ...SURGE, seed, nodes: 91, loadSteps: [0.9, 0.9, 0.9, 0.9] }
       const told = new SurgeReplay(nearFull).run()
-      const alone = new SurgeReplay({ ...nearFull, tells: false }).run()
+      const alone = new SurgeReplay({ ...nearFull, sharesObservations: false }).run()
       expect(told.asked - told.onTime).to.be.below(0.75 * (alone.asked - alone.onTime))
     }
   })
@@ -116,7 +116,7 @@
 
   it('loses little when a tenth of the words are lost', () => {
     const loadSteps = [0.9, 0.9, 0.9]
-    expect(onTimeShare(91, loadSteps, { lostShare: 0.1 })).to.be.greaterThan(onTimeShare(91, loadSteps) - 0.05)
+    expect(onTimeShare(91, loadSteps, { lostMessageShare: 0.1 })).to.be.greaterThan(onTimeShare(91, loadSteps) - 0.05)
   })
 
   // Guards against engines that take longer for a first event than they declare: requests were sent that could only be late.
@@ -132,7 +132,7 @@
     // Symptom: after the coordinating node is lost half of all answers is late near what groups serve. Sequence: nobody tells;
     // each node goes on by a forecast that knows nothing of what came since. Cause: the last word was relied on for 10 s.
     const silent = (nodes: number, load: number): number => {
-      const outcomes = FLEET_SEEDS.map((seed) => new SurgeReplay({ ...SURGE, seed, nodes, groups: 27, loadSteps: [load, load, load], silentFromMs: 2_000 }).run())
+      const outcomes = FLEET_SEEDS.map((seed) => new SurgeReplay({ ...SURGE, seed, nodes, groups: 27, loadSteps: [load, load, load], coordinatorLostAtMs: 2_000 }).run())
       return outcomes.reduce((sum, { onTime }) => sum + onTime, 0) / outcomes.reduce((sum, { asked }) => sum + asked, 0)
     }
     for (const nodes of [8, 91, 195]) {
@@ -183,7 +183,7 @@
 
   it('says what a refusal was decided by', () => {
     const world = new PlacementWorld()
-    world.load.noteTold({ inFlight: { g0: 60 }, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NOTHING_LEARNED, limits: {}, rests: {}, leaving: [], nodes: 8, ageMs: 0, intervalMs: 200 }, 0)
+    world.load.applyFleetObservation({ inFlight: { g0: 60 }, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NO_DEADLINES_OBSERVED, limits: {}, rests: {}, leaving: [], nodes: 8, ageMs: 0, intervalMs: 200 }, 0)
     const refusal = world.place([createTarget('g0')], createQuery(), 250) as PlacementRefusal
     expect(refusal.basis?.loadAgeMs).to.equal(250)
     expect(refusal.basis?.limitMs).to.equal(300)
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/StreamPauses.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/StreamPauses.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { eventGapMs, longestPassMs } from '../../EngineTimes.js'
+import { eventGapMs, maxPassMs } from '../../EngineTimes.js'
 import { StreamPauses } from '../../StreamPauses.js'
 import { ENGINE } from '../fixtures/SurgeReplay.js'
 
@@ -9,7 +9,7 @@
 describe('StreamPauses', () => {
   it('allows the longest pass that an engine makes while nothing has been seen', () => {
     const limitMs = new StreamPauses().limitMs('small', ENGINE, PACE, PRESENT, 0)
-    expect(limitMs).to.be.within(longestPassMs(ENGINE, PACE), longestPassMs(ENGINE, PACE) * 1.2)
+    expect(limitMs).to.be.within(maxPassMs(ENGINE, PACE), maxPassMs(ENGINE, PACE) * 1.2)
   })
 
   it('comes down to a few passes of a model whose streams hardly pause', () => {
@@ -28,7 +28,7 @@
     pauses.noteGap('small', 4 * usualMs, 10)
     expect(pauses.limitMs('small', ENGINE, PACE, PRESENT, 10)).to.be.greaterThan(1.2 * calmMs)
     pauses.noteGap('small', 5_000, 20)
-    expect(pauses.limitMs('small', ENGINE, PACE, PRESENT, 20)).to.be.at.most(longestPassMs(ENGINE, PACE) * 1.2)
+    expect(pauses.limitMs('small', ENGINE, PACE, PRESENT, 20)).to.be.at.most(maxPassMs(ENGINE, PACE) * 1.2)
   })
 
   it('goes by what all nodes have seen, which does not rise with their number', () => {
@@ -38,7 +38,7 @@
     const limitMs = (nodes: number): number => {
       const pauses = new StreamPauses()
       pauses.noteGap('small', 2 * usualMs, 0)
-      pauses.noteTold({ small: { longestSumMs: nodes * 2.5 * usualMs, nodes } })
+      pauses.applyFleetObservation({ small: { longestSumMs: nodes * 2.5 * usualMs, nodes } })
       return pauses.limitMs('small', ENGINE, PACE, PRESENT, 0)
     }
     expect(limitMs(195)).to.be.closeTo(limitMs(9), 0.001)
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/runDispatch.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/runDispatch.test.ts
@@ -2,12 +2,12 @@
 import { EXCHANGE_RULES, ExchangeEnd } from '../../ExchangeEnd.js'
 import { RefusalReason, type PlacementRefusal } from '../../Placement.js'
 import type { DispatchTarget } from '../../TargetPool.js'
-import { DispatchEffectKind, DispatchEndKind, runDispatch, type DispatchEnd, type DispatchOrder, type ExchangeReport } from '../../runDispatch.js'
+import { DispatchEffectKind, DispatchEndKind, runDispatch, type DispatchEnd, type DispatchOptions, type ExchangeReport } from '../../runDispatch.js'
 
 const FULL: PlacementRefusal = { reason: RefusalReason.Full, retryAfterMs: 100, basis: null, inNeed: [] }
 
 interface Script {
-  readonly order: DispatchOrder
+  readonly order: DispatchOptions
   readonly exchanges: readonly ExchangeReport[]
   /** Endpoints that can be placed before the refusal comes. */
   readonly endpoints?: number
@@ -29,22 +29,22 @@
   let step = steps.next()
   while (step.done !== true) {
     if (step.value.kind === DispatchEffectKind.Place) step = steps.next(placed < endpoints ? createTarget(`e${++placed}`) : FULL)
-    else if (step.value.kind === DispatchEffectKind.SpendRepeat) step = steps.next(spent++ < budget)
+    else if (step.value.kind === DispatchEffectKind.SpendRetry) step = steps.next(spent++ < budget)
     else if (step.value.kind === DispatchEffectKind.JudgeLoss) step = steps.next(judged++ < trustedLosses)
     else {
       sent.push(step.value.target.endpoint)
-      step = steps.next(exchanges[sent.length - 1] ?? { end: ExchangeEnd.Answered, callerHasPart: false })
+      step = steps.next(exchanges[sent.length - 1] ?? { end: ExchangeEnd.Answered, hasPartialResponse: false })
     }
   }
   return { end: step.value, sent }
 }
 
-function ended (end: ExchangeEnd, callerHasPart = false): ExchangeReport {
-  return { end, callerHasPart }
+function ended (end: ExchangeEnd, hasPartialResponse = false): ExchangeReport {
+  return { end, hasPartialResponse }
 }
 
-const ONCE: DispatchOrder = { repeatable: false, maxAttempts: 3 }
-const REPEATABLE: DispatchOrder = { repeatable: true, maxAttempts: 3 }
+const ONCE: DispatchOptions = { retryable: false, maxAttempts: 3 }
+const REPEATABLE: DispatchOptions = { retryable: true, maxAttempts: 3 }
 
 describe('runDispatch', () => {
   for (const end of Object.values(ExchangeEnd)) {
@@ -52,7 +52,7 @@
 
     it(`sends a request that runs at most once again after ${end} only when it proves not run`, () => {
       const { sent } = play({ order: ONCE, exchanges: [ended(end)] })
-      expect(sent.length).to.equal(rule.provesNotRun && rule.mayTryElsewhere ? 2 : 1)
+      expect(sent.length).to.equal(rule.provesNotRun && rule.mayRetryElsewhere ? 2 : 1)
     })
 
     it(`never says not run after ${end} that does not prove it`, () => {
--- a/packages/dotterelspur/src/request/dispatch/runDispatch.ts
+++ b/packages/dotterelspur/src/request/dispatch/runDispatch.ts
@@ -7,7 +7,7 @@
   Place = 'place',
   Exchange = 'exchange',
   JudgeLoss = 'judge-loss',
-  SpendRepeat = 'spend-repeat'
+  SpendRetry = 'spend-repeat'
 }
 
 /** Chooses an endpoint, or says why none is to be had. */
@@ -21,12 +21,12 @@
   readonly kind: DispatchEffectKind.Exchange
   readonly target: DispatchTarget
   /** Another exchange may follow if this one is given up. */
-  readonly mayMove: boolean
+  readonly mayRetry: boolean
 }
 
 /** Takes one repeat from the budget; false when it is spent. */
-export interface SpendRepeatEffect extends Effect<DispatchEffectKind.SpendRepeat, boolean> {
-  readonly kind: DispatchEffectKind.SpendRepeat
+export interface TakeRetryEffect extends Effect<DispatchEffectKind.SpendRetry, boolean> {
+  readonly kind: DispatchEffectKind.SpendRetry
 }
 
 /** Asks whether the request may go to another endpoint; false when it seems to be what ended the one before. */
@@ -34,17 +34,17 @@
   readonly kind: DispatchEffectKind.JudgeLoss
 }
 
-export type DispatchEffects = PlaceEffect | ExchangeEffect | JudgeLossEffect | SpendRepeatEffect
+export type DispatchEffects = PlaceEffect | ExchangeEffect | JudgeLossEffect | TakeRetryEffect
 
 export interface ExchangeReport {
   readonly end: ExchangeEnd
   /** Part of the answer is with the caller: no other answer can be given any more. */
-  readonly callerHasPart: boolean
+  readonly hasPartialResponse: boolean
 }
 
-export interface DispatchOrder {
+export interface DispatchOptions {
   /** May run more than once. */
-  readonly repeatable: boolean
+  readonly retryable: boolean
   readonly maxAttempts: number
 }
 
@@ -75,24 +75,24 @@
  * One request of a caller, from its first endpoint to its end. An endpoint is tried after another only where the
  * request may run again, or where each one before has proved that it did not run.
  */
-export function * runDispatch (order: DispatchOrder): Procedure<DispatchEffects, DispatchEnd> {
+export function * runDispatch (order: DispatchOptions): Procedure<DispatchEffects, DispatchEnd> {
   const excluded: DispatchTarget[] = []
   let mayHaveRun = false
   let last: ExchangeReport | null = null
   for (let attempt = 1; ; attempt++) {
     const placed = yield * perform<PlaceEffect>({ kind: DispatchEffectKind.Place, excluded })
     if (!('endpoint' in placed)) return conclude(last, mayHaveRun, attempt - 1, placed)
-    const mayMove = order.repeatable && attempt < order.maxAttempts
-    last = yield * perform<ExchangeEffect>({ kind: DispatchEffectKind.Exchange, target: placed, mayMove })
+    const mayRetry = order.retryable && attempt < order.maxAttempts
+    last = yield * perform<ExchangeEffect>({ kind: DispatchEffectKind.Exchange, target: placed, mayRetry })
     const rule = EXCHANGE_RULES[last.end]
     mayHaveRun ||= !rule.provesNotRun
     excluded.push(placed)
-    const allowed = rule.mayTryElsewhere && (order.repeatable || !mayHaveRun) && attempt < order.maxAttempts
+    const allowed = rule.mayRetryElsewhere && (order.retryable || !mayHaveRun) && attempt < order.maxAttempts
     if (!allowed) return conclude(last, mayHaveRun, attempt, null)
     const trusted = yield * perform<JudgeLossEffect>({ kind: DispatchEffectKind.JudgeLoss })
     if (!trusted) return conclude(last, mayHaveRun, attempt, null)
-    const paid = yield * perform<SpendRepeatEffect>({ kind: DispatchEffectKind.SpendRepeat })
-    if (!paid) return conclude(last, mayHaveRun, attempt, null)
+    const withinBudget = yield * perform<TakeRetryEffect>({ kind: DispatchEffectKind.SpendRetry })
+    if (!withinBudget) return conclude(last, mayHaveRun, attempt, null)
   }
 }
 
@@ -103,7 +103,7 @@
 function kindOf (last: ExchangeReport | null, mayHaveRun: boolean): DispatchEndKind {
   if (last?.end === ExchangeEnd.Answered) return DispatchEndKind.Delivered
   if (last?.end === ExchangeEnd.CallerLeft) return DispatchEndKind.CallerLeft
-  if (last !== null && last.callerHasPart) return DispatchEndKind.CutOff
+  if (last !== null && last.hasPartialResponse) return DispatchEndKind.CutOff
   if (last?.end === ExchangeEnd.Failed) return DispatchEndKind.DeliverFailure
   return mayHaveRun ? DispatchEndKind.Unknown : DispatchEndKind.NotRun
 }
--- a/packages/dotterelspur/src/request/need/index.ts
+++ /dev/null
@@ -1,5 +0,0 @@
-export * from './EndpointLimits.js'
-export * from './EndpointNeeds.js'
-export * from './EndpointRests.js'
-export * from './LimitSample.js'
-export * from './StatedNeed.js'
--- a/packages/dotterelspur/src/request/routing/Router.ts
+++ b/packages/dotterelspur/src/request/routing/Router.ts
@@ -2,7 +2,7 @@
 import { invariant } from '../../process/invariant.js'
 import type { Random } from '../../process/Random.js'
 import { failed, success, type Result } from '../../process/Result.js'
-import { EndpointRests } from '../need/EndpointRests.js'
+import { EndpointBackoffs } from '../backpressure/EndpointBackoffs.js'
 import { AttemptEnd, type RouteAttempt } from './Attempt.js'
 import { selectCandidates } from './candidates.js'
 import { chooseTarget } from './choose.js'
@@ -25,7 +25,7 @@
 export class Router {
   private readonly records = new Map<TargetId, TargetRecord>()
   private readonly lanes = new Map<string, Lane>()
-  private readonly rests = new EndpointRests()
+  private readonly rests = new EndpointBackoffs()
   private started = false
 
   constructor (private readonly options: RoutingOptions) {}
@@ -67,7 +67,7 @@
   /** The attempt counts as load on the target until `end`; call it right before the send. */
   begin (target: RouteTarget, nowMs: number): RouteAttempt {
     this.records.get(target.id)?.inFlight.change(1, nowMs)
-    this.rests.take(target.id, nowMs)
+    this.rests.noteSent(target.id, nowMs)
     return { targetId: target.id, startedAtMs: nowMs, firstTokenAtMs: null, ended: false }
   }
 
--- a/packages/dotterelspur/src/request/routing/candidates.ts
+++ b/packages/dotterelspur/src/request/routing/candidates.ts
@@ -1,5 +1,5 @@
 import { failed, success, type Result } from '../../process/Result.js'
-import type { EndpointRests } from '../need/EndpointRests.js'
+import type { EndpointBackoffs } from '../backpressure/EndpointBackoffs.js'
 import { RouteRefusalKind, type RouteQuery, type RouteRefusal } from './RouteQuery.js'
 import { TargetKind, type RouteTarget } from './RouteTarget.js'
 import type { RoutingOptions } from './RoutingOptions.js'
@@ -21,7 +21,7 @@
   query: RouteQuery,
   nowMs: number,
   options: RoutingOptions,
-  rests: EndpointRests
+  rests: EndpointBackoffs
 ): Result<Candidates, RouteRefusal> {
   const able = records.filter((record) => canServe(record.target, query))
   if (able.length === 0) return refuse(RouteRefusalKind.NoReplica, 'no replica that fits', options)
