--- a/packages/dotterelspur-entry/src/process/PoisonKeeper.ts
+++ b/packages/dotterelspur-entry/src/process/PoisonKeeper.ts
@@ -3,7 +3,7 @@
   CallEventKind, homeOf, NodeState, QUARANTINE_PREFIX, rendezvousOrder,
   type Clock, type HomeId, type MeshApi, type MeshDocument, type ObjectStore, type PoisonLimits, type PoisonRecord, type QuarantineObject, type RequestContent, type RequestFingerprint, type StoredObject, type Teardown
 } from 'dotterelspur'
-import { EndedEndpoints, PoisonGuard, QuarantineKeeper } from 'dotterelspur-poison'
+import { TerminationProbe, PoisonGuard, QuarantineRegistry } from 'dotterelspur-poison'
 
 const debug = createDebug('dotterelspur:poison')
 const NOTE_METHOD = 'poison.note'
@@ -38,8 +38,8 @@
  */
 export class PoisonKeeper {
   readonly guard: PoisonGuard
-  private readonly quarantine: QuarantineKeeper
-  private readonly ended: EndedEndpoints
+  private readonly quarantine: QuarantineRegistry
+  private readonly ended: TerminationProbe
   /** What its home has not confirmed yet. */
   private readonly untold = new Map<RequestFingerprint, PoisonRecord>()
   private readonly telling = new Set<RequestFingerprint>()
@@ -47,19 +47,19 @@
 
   constructor (private readonly parts: PoisonKeeperParts) {
     const { clock, mesh, store, limits, hasEnded } = parts
-    this.ended = new EndedEndpoints(hasEnded)
-    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.homeOf(fingerprint) === homeOf(mesh.self), learned: (record) => { this.learn(record) } })
-    this.quarantine = new QuarantineKeeper({
-      store, node: mesh.self.node, mostEntries: limits.mostRecords, clock, onWritten: (object) => { mesh.offerDocument(object) }, onProblem: (fingerprint, reason) => { debug('decision on %s not written: %s', fingerprint, reason) }
+    this.ended = new TerminationProbe(hasEnded)
+    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.homeOf(fingerprint) === homeOf(mesh.self), onEvidence: (record) => { this.learn(record) } })
+    this.quarantine = new QuarantineRegistry({
+      store, node: mesh.self.node, maxEntries: limits.mostRecords, clock, onWritten: (object) => { mesh.offerDocument(object) }, onProblem: (fingerprint, reason) => { debug('decision on %s not written: %s', fingerprint, reason) }
     })
     this.quarantine.registerListener({
-      decided: (fingerprint, { outline, ends }) => {
+      onQuarantined: (fingerprint, { outline, ends }) => {
         debug('%s is in quarantine after %d ends', fingerprint, ends)
         this.guard.ledger.noteDecision(fingerprint, outline)
       },
-      paroled: (fingerprint) => {
+      onReleased: (fingerprint) => {
         debug('%s may run again', fingerprint)
-        this.guard.ledger.noteParole(fingerprint, clock.nowMs())
+        this.guard.ledger.noteQuarantineLifted(fingerprint, clock.nowMs())
       }
     })
   }
@@ -67,8 +67,8 @@
   start (): Teardown {
     const { mesh } = this.parts
     const unregisterHandler = mesh.registerCallHandler(NOTE_METHOD, (record) => this.takeNote(record as PoisonRecord))
-    const unregisterDocuments = mesh.registerDocumentListener(QUARANTINE_PREFIX, (document) => { this.quarantine.offer(document as StoredObject<QuarantineObject>) })
-    for (const document of mesh.documents(QUARANTINE_PREFIX)) this.quarantine.offer(document as MeshDocument & StoredObject<QuarantineObject>)
+    const unregisterDocuments = mesh.registerDocumentListener(QUARANTINE_PREFIX, (document) => { this.quarantine.applyObject(document as StoredObject<QuarantineObject>) })
+    for (const document of mesh.documents(QUARANTINE_PREFIX)) this.quarantine.applyObject(document as MeshDocument & StoredObject<QuarantineObject>)
     this.schedule()
     return () => {
       this.cancelTimer()
@@ -79,10 +79,10 @@
 
   /** Finds out whether the endpoint has ended; if so, that counts against the request once this resolves. */
   async noteLoss ({ content, endpoint, url, tokens }: LostRun): Promise<void> {
-    const ended = await this.ended.hasEnded(addressOf(url))
+    const ended = await this.ended.hasTerminated(addressOf(url))
     debug('%s lost in the middle of a request, %s', endpoint, ended ? 'has ended' : 'still listens or is silent')
     if (!ended) return
-    this.guard.noteEnd(content, endpoint, tokens)
+    this.guard.noteTermination(content, endpoint, tokens)
     await this.tellHomes()
   }
 
@@ -98,7 +98,7 @@
     if (ledger.isEmpty) return
     ledger.expire(this.parts.clock.nowMs())
     const own = [...ledger.quarantined].filter((fingerprint) => this.homeOf(fingerprint) === homeOf(this.parts.mesh.self))
-    this.quarantine.keep(own.flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
+    this.quarantine.persist(own.flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
     this.tellHomes().catch((error: unknown) => { debug('evidence not told: %s', String(error)) })
   }
 
--- a/packages/dotterelspur-entry/src/request/ModelRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ModelRunner.ts
@@ -4,7 +4,7 @@
   type ChunkKind, type EffectHandlers, type EndpointError, type GenerateRequest, type GroupTarget, type GroupView, type ModelEffects, type ModelResult, type NextEvent, type Outcome, type RequestContent, type Result,
   type RouteAttempt, type RouteRefusal, type SendEffect
 } from 'dotterelspur'
-import type { ExchangeNote } from 'dotterelspur-poison'
+import type { ExchangeTracker } from 'dotterelspur-poison'
 import type { EntryContext } from '../process/EntryContext.js'
 import { teamScoped } from '../process/FleetView.js'
 import { AttemptStream, waitOrInterrupt, type RequestInterrupt } from './AttemptStream.js'
@@ -29,7 +29,7 @@
   private readonly content: RequestContent
   /** Resolves once it is known whether the last endpoint that was lost has ended. */
   private lossNoted: Promise<void> = Promise.resolve()
-  private exchange: ExchangeNote | null = null
+  private exchange: ExchangeTracker | null = null
   firstTokenAtMs: number | null = null
   overloaded = false
 
@@ -72,7 +72,7 @@
     [LifecycleEffectKind.Lookup]: ({ group }) => this.context.engines.lookup(group.leaderAddress, this.request.requestId, this.context.timing.lookupTimeoutMs),
     [LifecycleEffectKind.JudgeRequest]: async () => {
       await this.lossNoted
-      return this.context.poison.guard.maySendAgain(this.content)
+      return this.context.poison.guard.mayRetry(this.content)
     },
     [LifecycleEffectKind.SpendRetry]: () => this.spendRetry(),
     [LifecycleEffectKind.Wait]: ({ durationMs }) => waitOrInterrupt(this.context.clock, durationMs, this.interrupt),
@@ -144,7 +144,7 @@
     this.group = group
     this.route = router.begin(this.target!, nowMs)
     this.attemptTokens = 0
-    this.exchange = this.context.poison.guard.begin(this.content)
+    this.exchange = this.context.poison.guard.trackExchange(this.content)
     this.attemptEnd = AttemptEnd.Cancelled
     this.open((signal) => engines.generate(group.leaderAddress, generate, signal))
     return true
--- a/packages/dotterelspur-entry/src/request/ServiceRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ServiceRunner.ts
@@ -35,7 +35,7 @@
     [LifecycleEffectKind.CallService]: (effect) => this.call(effect),
     [LifecycleEffectKind.JudgeRequest]: async () => {
       await this.lossNoted
-      return this.context.poison.guard.maySendAgain(this.content)
+      return this.context.poison.guard.mayRetry(this.content)
     },
     [LifecycleEffectKind.SpendRetry]: () => {
       const allowed = this.context.retries.tryRetry(this.request.team)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FirstKnowledge.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FirstKnowledge.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { ManualClock } from 'dotterelspur'
-import { QuarantineKeeper } from 'dotterelspur-poison'
+import { QuarantineRegistry } from 'dotterelspur-poison'
 import { EndpointKeeper } from '../../process/EndpointKeeper.js'
 import { FirstKnowledge } from '../../process/FirstKnowledge.js'
 import { ManifestKeeper } from '../../process/ManifestKeeper.js'
@@ -8,12 +8,12 @@
 import { MemoryStore } from '../fixtures/MemoryStore.js'
 
 describe('FirstKnowledge', () => {
-  function createParts (): { clock: ManualClock, store: MemoryStore, manifest: ManifestKeeper, endpoints: EndpointKeeper, quarantine: QuarantineKeeper, knowledge: FirstKnowledge } {
+  function createParts (): { clock: ManualClock, store: MemoryStore, manifest: ManifestKeeper, endpoints: EndpointKeeper, quarantine: QuarantineRegistry, knowledge: FirstKnowledge } {
     const clock = new ManualClock()
     const manifest = new ManifestKeeper(createLog(clock))
     const endpoints = new EndpointKeeper(clock, createLog(clock))
     const store = new MemoryStore()
-    const quarantine = new QuarantineKeeper({ store, node: 'n1', mostEntries: 10, clock, onProblem: () => {} })
+    const quarantine = new QuarantineRegistry({ store, node: 'n1', maxEntries: 10, clock, onProblem: () => {} })
     return { clock, store, manifest, endpoints, quarantine, knowledge: new FirstKnowledge(clock, manifest, endpoints, [quarantine]) }
   }
 
--- a/packages/dotterelspur-gateway/src/process/Gateway.ts
+++ b/packages/dotterelspur-gateway/src/process/Gateway.ts
@@ -1,6 +1,6 @@
 import type { Server } from 'node:http'
 import { createRandom, hashText, sleep, StallVotes, type Clock, type EndpointId, type EndpointRecord, type LeaseIdentity, type NodeId, type StoredObject, type Teardown } from 'dotterelspur'
-import { QuarantineKeeper } from 'dotterelspur-poison'
+import { QuarantineRegistry } from 'dotterelspur-poison'
 import { CallerListener, type OpenedPort } from '../connection/CallerListener.js'
 import { Suspicion } from '../connection/PeerFrame.js'
 import { PeerLinks } from '../connection/PeerLinks.js'
@@ -56,7 +56,7 @@
   private readonly lease: FleetLease
   private readonly formations: FormationKeeper
   private readonly dispatch: Dispatch
-  private readonly quarantine: QuarantineKeeper
+  private readonly quarantine: QuarantineRegistry
   private readonly poison: PoisonKeeper
   private readonly callers: CallerListener
   private readonly peers: PeerLinks
@@ -91,7 +91,7 @@
     const { store } = this
     this.manifest = new ManifestKeeper(log)
     this.endpoints = new EndpointKeeper(clock, log, (service) => this.manifest.serves(service))
-    this.quarantine = new QuarantineKeeper({ store, node: settings.node, mostEntries: settings.poison.mostRecords, clock, onProblem: (fingerprint, reason) => { log.write(LogKind.Unexpected, { where: 'quarantine', fingerprint, reason }) } })
+    this.quarantine = new QuarantineRegistry({ store, node: settings.node, maxEntries: settings.poison.mostRecords, clock, onProblem: (fingerprint, reason) => { log.write(LogKind.Unexpected, { where: 'quarantine', fingerprint, reason }) } })
     this.nodes = new NodeKeeper(store, nodeRecord(settings, incarnation), clock, log)
     this.lease = new FleetLease(store, { node: settings.node, incarnation }, clock, random, log, (holder) => { this.dropNode(holder) }, () => this.nodes.nodes().length, {
       read: () => ({ learned: this.dispatch.knowledge.memory, suspects: this.poison.suspects() }),
--- a/packages/dotterelspur-gateway/src/process/PoisonKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/PoisonKeeper.ts
@@ -1,8 +1,8 @@
 import {
-  concernsOthers, PoisonState, readPoisonRecords, rendezvousOrder,
+  isWorthSharing, PoisonState, readPoisonRecords, rendezvousOrder,
   type Clock, type DispatchTarget, type NodeId, type PoisonLimits, type PoisonRecord, type RequestContent, type RequestFingerprint, type Teardown
 } from 'dotterelspur'
-import { EndedEndpoints, fingerprintOf, PoisonGuard, type QuarantineKeeper } from 'dotterelspur-poison'
+import { TerminationProbe, fingerprintOf, PoisonGuard, type QuarantineRegistry } from 'dotterelspur-poison'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 import type { EndpointKeeper } from './EndpointKeeper.js'
 
@@ -38,7 +38,7 @@
   readonly node: NodeId
   readonly nodes: () => ReadonlyArray<{ readonly node: NodeId }>
   readonly endpoints: EndpointKeeper
-  readonly quarantine: QuarantineKeeper
+  readonly quarantine: QuarantineRegistry
   /** Whether this node decides: then it writes down what is in quarantine. */
   readonly decides: () => boolean
   /** Tells other nodes: `all` to the one that adds up, `shared` to those that this node adds up for. */
@@ -53,17 +53,17 @@
  */
 export class PoisonKeeper {
   readonly guard: PoisonGuard
-  private readonly ended = new EndedEndpoints()
+  private readonly ended = new TerminationProbe()
   private readonly states = new Map<RequestFingerprint, PoisonState>()
   private toldAtMs = -Infinity
   private cancelTimer: Teardown = () => {}
 
   constructor (private readonly parts: PoisonKeeperParts) {
     const { clock, limits, quarantine } = parts
-    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.isHome(fingerprint), learned: (record) => { this.tell([record]) } })
+    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.isHome(fingerprint), onEvidence: (record) => { this.tell([record]) } })
     quarantine.registerListener({
-      decided: (fingerprint, { outline }) => { this.guard.ledger.noteDecision(fingerprint, outline) },
-      paroled: (fingerprint) => { this.guard.ledger.noteParole(fingerprint, clock.nowMs()) }
+      onQuarantined: (fingerprint, { outline }) => { this.guard.ledger.noteDecision(fingerprint, outline) },
+      onReleased: (fingerprint) => { this.guard.ledger.noteQuarantineLifted(fingerprint, clock.nowMs()) }
     })
   }
 
@@ -84,8 +84,8 @@
     const record = this.parts.endpoints.current.get(target.endpoint)
     // One that leaves, or is on no list, ends because it was told to.
     const mayBlame = record !== undefined && !record.leaving
-    const ended = await this.ended.hasEnded(target.address)
-    if (ended && mayBlame) this.guard.noteEnd(content, target.endpoint, events)
+    const ended = await this.ended.hasTerminated(target.address)
+    if (ended && mayBlame) this.guard.noteTermination(content, target.endpoint, events)
     this.logLoss(loss, ended, mayBlame)
   }
 
@@ -94,7 +94,7 @@
     const records = readPoisonRecords(told)
     if (records.length === 0) return
     const changed = this.guard.ledger.merge(records, this.parts.clock.nowMs())
-    if (changed.length > 0) this.parts.tell([], changed.filter(concernsOthers))
+    if (changed.length > 0) this.parts.tell([], changed.filter(isWorthSharing))
   }
 
   /** What should be known when all nodes start anew: requests of which one end more shows what they are. */
@@ -107,7 +107,7 @@
 
   /** What a node that has just been linked is told; all of it where that node adds up. */
   known (all: boolean): PoisonRecord[] {
-    const records = this.guard.ledger.told(this.parts.clock.nowMs(), all)
+    const records = this.guard.ledger.exportRecords(this.parts.clock.nowMs(), all)
     return records.sort((left, right) => right.ends.length - left.ends.length).slice(0, MOST_TOLD)
   }
 
@@ -122,10 +122,10 @@
     if (ledger.isEmpty && this.states.size === 0) return
     ledger.expire(nowMs)
     this.noteStates()
-    if (this.parts.decides()) this.parts.quarantine.keep([...ledger.quarantined].flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
+    if (this.parts.decides()) this.parts.quarantine.persist([...ledger.quarantined].flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
     if (nowMs - this.toldAtMs < RETELL_INTERVAL_MS) return
     this.toldAtMs = nowMs
-    this.tell(ledger.told(nowMs, true).filter(({ ageMs }) => ageMs < RETELL_AGE_MS).slice(-MOST_TOLD))
+    this.tell(ledger.exportRecords(nowMs, true).filter(({ ageMs }) => ageMs < RETELL_AGE_MS).slice(-MOST_TOLD))
   }
 
   /** Each change of what is believed of a request has one line. */
@@ -146,7 +146,7 @@
   }
 
   private tell (records: readonly PoisonRecord[]): void {
-    if (records.length > 0) this.parts.tell(records, records.filter(concernsOthers))
+    if (records.length > 0) this.parts.tell(records, records.filter(isWorthSharing))
   }
 
   private logState (fingerprint: RequestFingerprint, before: PoisonState, state: PoisonState): void {
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -94,7 +94,7 @@
 
   private async mayGoOn (): Promise<boolean> {
     await this.lossNoted
-    return this.parts.poison.guard.maySendAgain(this.admitted.content)
+    return this.parts.poison.guard.mayRetry(this.admitted.content)
   }
 
   private startDeadline (): Teardown {
@@ -124,7 +124,7 @@
     this.events = 0
     const { dispatch, clock } = this.parts
     const sentAtMs = clock.nowMs()
-    const note = this.parts.poison.guard.begin(this.admitted.content)
+    const note = this.parts.poison.guard.trackExchange(this.admitted.content)
     this.noteProgress = note.noteProgress
     const end = await new Promise<ExchangeEnd>((resolve) => { this.send(target, mayRetry, resolve) })
     this.call = null
--- a/packages/dotterelspur-poison/src/__tests__/unit/PoisonReplay.test.ts
+++ b/packages/dotterelspur-poison/src/__tests__/unit/PoisonReplay.test.ts
@@ -12,7 +12,7 @@
 const SEEDS = [1, 2, 3, 4]
 
 const QUIET: PoisonScenario = {
-  nodes: 8, endpoints: 20, poisons: 0, poisonsPerSecond: 0, usualPerSecond: 60, popularShare: 0.02, crashesPerSecond: 0, domainCrashesPerSecond: 0, lostShare: 0, takeoversAtMs: [], restartsAtMs: []
+  nodes: 8, endpoints: 20, poisons: 0, poisonsPerSecond: 0, usualPerSecond: 60, popularShare: 0.02, crashesPerSecond: 0, domainCrashesPerSecond: 0, lostMessageShare: 0, failoversAtMs: [], restartsAtMs: []
 }
 
 const CULPRITS: ReadonlyArray<readonly [string, Partial<PoisonScenario>]> = [
@@ -24,8 +24,8 @@
 
 const STRAINS: ReadonlyArray<readonly [string, Partial<PoisonScenario>]> = [
   ['nothing else', {}],
-  ['a third of the messages lost', { lostShare: 0.3 }],
-  ['the node that adds up lost twice', { takeoversAtMs: [1_000, 6_000] }],
+  ['a third of the messages lost', { lostMessageShare: 0.3 }],
+  ['the node that adds up lost twice', { failoversAtMs: [1_000, 6_000] }],
   ['all nodes killed three times', { restartsAtMs: [2_000, 5_000, 11_000] }],
   ['an endpoint crashing each second', { crashesPerSecond: 1 }]
 ]
@@ -41,8 +41,8 @@
     for (const [beside, strain] of STRAINS) {
       it(`keeps ${who} from endpoints, beside ${beside}`, () => {
         for (const seed of SEEDS) {
-          const { stories } = replay({ ...culprits, ...strain }, seed)
-          for (const { lateSends } of stories.values()) expect(lateSends, `seed ${seed}`).to.be.at.most(MOST_LATE_SENDS)
+          const { tallies } = replay({ ...culprits, ...strain }, seed)
+          for (const { lateSends } of tallies.values()) expect(lateSends, `seed ${seed}`).to.be.at.most(MOST_LATE_SENDS)
         }
       })
     }
--- a/packages/dotterelspur-poison/src/index.ts
+++ b/packages/dotterelspur-poison/src/index.ts
@@ -1,5 +1,5 @@
-export * from './connection/EndedEndpoints.js'
+export * from './connection/TerminationProbe.js'
 export * from './connection/refusesConnections.js'
 export * from './process/PoisonGuard.js'
-export * from './process/QuarantineKeeper.js'
+export * from './process/QuarantineRegistry.js'
 export * from './request/fingerprint.js'
--- a/packages/dotterelspur-poison/src/process/PoisonGuard.ts
+++ b/packages/dotterelspur-poison/src/process/PoisonGuard.ts
@@ -1,5 +1,5 @@
 import {
-  furthestPieces, outlineOf, PoisonLedger, PoisonState, sleep,
+  maxPieces, outlineOf, PoisonLedger, PoisonState, sleep,
   type Clock, type EndpointId, type PoisonLimits, type PoisonRecord, type RequestContent, type RequestFingerprint, type Teardown
 } from 'dotterelspur'
 import { fingerprintOf } from '../request/fingerprint.js'
@@ -21,7 +21,7 @@
   readonly release: Teardown
 }
 
-export interface PoisonGuardParts {
+export interface PoisonGuardOptions {
   readonly clock: Clock
   readonly limits: PoisonLimits
   /**
@@ -30,11 +30,11 @@
    */
   readonly isHome: (fingerprint: RequestFingerprint) => boolean
   /** What this node has learned itself, to be told to the others. */
-  readonly learned: (record: PoisonRecord) => void
+  readonly onEvidence: (record: PoisonRecord) => void
 }
 
 /** An exchange with an endpoint that is under way. */
-export interface ExchangeNote {
+export interface ExchangeTracker {
   /** A piece of the answer came. */
   noteProgress (): void
   end (): void
@@ -43,19 +43,19 @@
 /** Its outline and fingerprint are made once, and only where they are asked for. */
 class Exchange {
   pieces = 0
-  private knownOutline: number | null = null
-  private knownFingerprint: RequestFingerprint | null = null
+  private cachedOutline: number | null = null
+  private cachedFingerprint: RequestFingerprint | null = null
 
   constructor (readonly content: RequestContent) {}
 
   get outline (): number {
-    this.knownOutline ??= outlineOf(this.content)
-    return this.knownOutline
+    this.cachedOutline ??= outlineOf(this.content)
+    return this.cachedOutline
   }
 
   get fingerprint (): RequestFingerprint {
-    this.knownFingerprint ??= fingerprintOf(this.content)
-    return this.knownFingerprint
+    this.cachedFingerprint ??= fingerprintOf(this.content)
+    return this.cachedFingerprint
   }
 }
 
@@ -63,9 +63,9 @@
 export const SUSPECT_WAIT_MS = 600
 
 /** So many pieces more than at any end show that the request was not what ended them. */
-const TELLING_PIECES = 3
+const SIGNIFICANT_PIECES = 3
 
-const NOT_KNOWN: PoisonAdmission = { kind: AdmissionKind.Admitted, fingerprint: null, release: () => {} }
+const UNRECORDED: PoisonAdmission = { kind: AdmissionKind.Admitted, fingerprint: null, release: () => {} }
 
 /**
  * Keeps requests that end endpoints away from them. Most requests pay for it with one comparison of their outline; a fingerprint is
@@ -76,7 +76,7 @@
   private readonly running = new Set<RequestFingerprint>()
   private readonly exchanges = new Set<Exchange>()
 
-  constructor (private readonly parts: PoisonGuardParts) {
+  constructor (private readonly parts: PoisonGuardOptions) {
     this.ledger = new PoisonLedger(parts.limits)
   }
 
@@ -85,29 +85,29 @@
    * what it is before another node sends it, and then goes as well, since a harmless one must not be refused.
    */
   async admit (content: RequestContent): Promise<PoisonAdmission> {
-    const first = this.judge(content, false)
+    const first = this.evaluate(content, false)
     if (first.kind !== AdmissionKind.Deferred) return first
     await sleep(this.parts.clock, SUSPECT_WAIT_MS)
-    return this.judge(content, true)
+    return this.evaluate(content, true)
   }
 
   /** What would become of a request now; `hasWaited` where it has had its wait. */
-  judge (content: RequestContent, hasWaited: boolean): PoisonAdmission {
-    const fingerprint = this.knownFingerprint(content)
-    if (fingerprint === null) return NOT_KNOWN
+  evaluate (content: RequestContent, hasWaited: boolean): PoisonAdmission {
+    const fingerprint = this.fingerprintIfRecorded(content)
+    if (fingerprint === null) return UNRECORDED
     return ADMISSIONS[this.ledger.stateOf(fingerprint, this.parts.clock.nowMs())](fingerprint, hasWaited || this.parts.isHome(fingerprint), this.running)
   }
 
   /** Notes an exchange that begins; what it shows tells others of the same content apart from those that end endpoints. */
-  begin (content: RequestContent): ExchangeNote {
+  trackExchange (content: RequestContent): ExchangeTracker {
     const exchange = new Exchange(content)
     this.exchanges.add(exchange)
     return { noteProgress: () => { this.noteProgress(exchange) }, end: () => { this.exchanges.delete(exchange) } }
   }
 
   /** Whether a request that was admitted may be sent once more. */
-  maySendAgain (content: RequestContent): boolean {
-    const fingerprint = this.knownFingerprint(content)
+  mayRetry (content: RequestContent): boolean {
+    const fingerprint = this.fingerprintIfRecorded(content)
     return fingerprint === null || this.ledger.stateOf(fingerprint, this.parts.clock.nowMs()) === PoisonState.Trusted
   }
 
@@ -115,39 +115,39 @@
    * The endpoint ended while it had the request, of whose answer `pieces` had come. That says nothing against a request of which
    * another copy has come further at an endpoint that lives.
    */
-  noteEnd (content: RequestContent, endpoint: EndpointId, pieces: number): void {
-    if (this.hasComeFurther(content, pieces)) return this.noteAnswer(content)
+  noteTermination (content: RequestContent, endpoint: EndpointId, pieces: number): void {
+    if (this.hasProgressedFurther(content, pieces)) return this.noteAnswer(content)
     const { service, caller } = content
     const subject = { fingerprint: fingerprintOf(content), outline: outlineOf(content), service, caller }
-    this.tell(this.ledger.noteEnd(subject, { endpoint, pieces }, this.parts.clock.nowMs()))
+    this.publish(this.ledger.noteTermination(subject, { endpoint, pieces }, this.parts.clock.nowMs()))
   }
 
   /** A whole answer to the request came. */
   noteAnswer (content: RequestContent): void {
-    const fingerprint = this.knownFingerprint(content)
-    if (fingerprint !== null) this.tell(this.ledger.noteAnswer(fingerprint, this.parts.clock.nowMs()))
+    const fingerprint = this.fingerprintIfRecorded(content)
+    if (fingerprint !== null) this.publish(this.ledger.noteAnswer(fingerprint, this.parts.clock.nowMs()))
   }
 
   /** An answer that comes further than at any end speaks for the request as a whole one does. */
   private noteProgress (exchange: Exchange): void {
     exchange.pieces += 1
-    if (this.ledger.isEmpty || exchange.pieces < TELLING_PIECES || !this.ledger.mayKnow(exchange.outline)) return
+    if (this.ledger.isEmpty || exchange.pieces < SIGNIFICANT_PIECES || !this.ledger.mayHaveRecord(exchange.outline)) return
     const record = this.ledger.recordOf(exchange.fingerprint)
-    if (record !== undefined && exchange.pieces >= furthestPieces(record) + TELLING_PIECES) this.noteAnswer(exchange.content)
+    if (record !== undefined && exchange.pieces >= maxPieces(record) + SIGNIFICANT_PIECES) this.noteAnswer(exchange.content)
   }
 
-  private hasComeFurther (content: RequestContent, pieces: number): boolean {
+  private hasProgressedFurther (content: RequestContent, pieces: number): boolean {
     const outline = outlineOf(content)
     return [...this.exchanges].some((other) => other.pieces > pieces && other.outline === outline && other.fingerprint === fingerprintOf(content))
   }
 
   /** Null for a request of which nothing is known. */
-  private knownFingerprint (content: RequestContent): RequestFingerprint | null {
-    return this.ledger.isEmpty || !this.ledger.mayKnow(outlineOf(content)) ? null : fingerprintOf(content)
+  private fingerprintIfRecorded (content: RequestContent): RequestFingerprint | null {
+    return this.ledger.isEmpty || !this.ledger.mayHaveRecord(outlineOf(content)) ? null : fingerprintOf(content)
   }
 
-  private tell (record: PoisonRecord | null): void {
-    if (record !== null) this.parts.learned(record)
+  private publish (record: PoisonRecord | null): void {
+    if (record !== null) this.parts.onEvidence(record)
   }
 }
 
--- a/packages/dotterelspur/src/request/poison/PoisonLedger.ts
+++ b/packages/dotterelspur/src/request/poison/PoisonLedger.ts
@@ -1,6 +1,6 @@
 import type { WorkspaceId } from '../../process/ids.js'
 import { judgePoison, type PoisonJudgement } from './judgePoison.js'
-import { joinRecords, saysMore, type EndpointEnd, type PoisonRecord } from './PoisonRecord.js'
+import { mergeRecords, hasMoreEvidence, type EndpointTermination, type PoisonRecord } from './PoisonRecord.js'
 import type { RequestFingerprint } from './RequestContent.js'
 
 /** What is believed of a request. */
@@ -35,7 +35,7 @@
  */
 const SETTLE_MS = 300
 /** Requests with fewer ends concern nobody but the node that saw them, and whoever adds up. */
-const SHARED_ENDS = 2
+const MIN_SHARED_TERMINATIONS = 2
 
 interface Entry {
   record: PoisonRecord
@@ -63,7 +63,7 @@
   }
 
   /** Whether a request of this outline can be known here at all. */
-  mayKnow (outline: number): boolean {
+  mayHaveRecord (outline: number): boolean {
     this.outlines ??= new Set([...[...this.entries.values()].map(({ record }) => record.outline), ...this.decided.values()])
     return this.outlines.has(outline)
   }
@@ -90,40 +90,40 @@
   }
 
   /** An endpoint ended while it had the request; returns what is known of it now, where that is news. */
-  noteEnd (subject: PoisonSubject, end: EndpointEnd, nowMs: number): PoisonRecord | null {
+  noteTermination (subject: PoisonSubject, end: EndpointTermination, nowMs: number): PoisonRecord | null {
     const answers = this.entries.get(subject.fingerprint)?.record.answers ?? 0
-    return this.join({ ...subject, answers, ends: [end], ageMs: 0 }, nowMs)
+    return this.mergeRecord({ ...subject, answers, ends: [end], ageMs: 0 }, nowMs)
   }
 
   /** A whole answer came: what ended before ended for another reason. Returns what changed by it, if anything did. */
   noteAnswer (fingerprint: RequestFingerprint, nowMs: number): PoisonRecord | null {
     const record = this.entries.get(fingerprint)?.record
     if (record === undefined || record.ends.length === 0) return null
-    return this.join({ ...record, answers: record.answers + 1, ends: [], ageMs: 0 }, nowMs)
+    return this.mergeRecord({ ...record, answers: record.answers + 1, ends: [], ageMs: 0 }, nowMs)
   }
 
   /** Takes in what another node knows; returns the records that say more now. */
   merge (records: readonly PoisonRecord[], nowMs: number): PoisonRecord[] {
-    return records.flatMap((record) => this.join(record, nowMs) ?? [])
+    return records.flatMap((record) => this.mergeRecord(record, nowMs) ?? [])
   }
 
   /** A request is in quarantine by a lasting decision. */
   noteDecision (fingerprint: RequestFingerprint, outline: number): void {
     this.decided.set(fingerprint, outline)
-    this.changed()
+    this.invalidate()
   }
 
   /** The decision on a request was taken back: what spoke against it counts no longer. */
-  noteParole (fingerprint: RequestFingerprint, nowMs: number): void {
+  noteQuarantineLifted (fingerprint: RequestFingerprint, nowMs: number): void {
     if (!this.decided.delete(fingerprint)) return
-    this.changed()
+    this.invalidate()
     this.noteAnswer(fingerprint, nowMs)
   }
 
   /** What others should know; all that counts of it where `all`, else what concerns them. */
-  told (nowMs: number, all: boolean): PoisonRecord[] {
+  exportRecords (nowMs: number, all: boolean): PoisonRecord[] {
     return [...this.entries.values()]
-      .filter(({ record }) => all || concernsOthers(record))
+      .filter(({ record }) => all || isWorthSharing(record))
       .map(({ record, evidenceAtMs }) => ({ ...record, ageMs: nowMs - evidenceAtMs }))
   }
 
@@ -152,20 +152,20 @@
   }
 
   /** Returns the joined record where it says more than before. */
-  private join (record: PoisonRecord, nowMs: number): PoisonRecord | null {
+  private mergeRecord (record: PoisonRecord, nowMs: number): PoisonRecord | null {
     if (record.ageMs >= this.limits.memoryMs) return null
     const entry = this.entries.get(record.fingerprint)
     if (entry === undefined) {
       this.entries.set(record.fingerprint, { record, evidenceAtMs: nowMs - record.ageMs })
-      this.changed()
+      this.invalidate()
       this.prune()
       return this.entries.has(record.fingerprint) ? record : null
     }
-    const joined = joinRecords(entry.record, record)
-    if (!saysMore(joined, entry.record)) return null
+    const joined = mergeRecords(entry.record, record)
+    if (!hasMoreEvidence(joined, entry.record)) return null
     entry.record = joined
     entry.evidenceAtMs = Math.max(entry.evidenceAtMs, nowMs - record.ageMs)
-    this.changed()
+    this.invalidate()
     return joined
   }
 
@@ -173,24 +173,24 @@
     while (this.entries.size > this.limits.mostRecords) {
       const caller = largestCaller([...this.entries.values()].map(({ record }) => record))
       const own = [...this.entries.values()].filter(({ record }) => record.caller === caller)
-      const least = own.reduce((left, right) => byWorth(right, left) < 0 ? right : left)
+      const least = own.reduce((left, right) => byEvidence(right, left) < 0 ? right : left)
       this.remove(least.record.fingerprint)
     }
   }
 
   private remove (fingerprint: RequestFingerprint): void {
-    if (this.entries.delete(fingerprint)) this.changed()
+    if (this.entries.delete(fingerprint)) this.invalidate()
   }
 
-  private changed (): void {
+  private invalidate (): void {
     this.judgement = null
     this.outlines = null
   }
 }
 
 /** Whether a record is worth a message to every node. */
-export function concernsOthers ({ answers, ends }: PoisonRecord): boolean {
-  return answers > 0 || ends.length >= SHARED_ENDS
+export function isWorthSharing ({ answers, ends }: PoisonRecord): boolean {
+  return answers > 0 || ends.length >= MIN_SHARED_TERMINATIONS
 }
 
 function largestCaller (records: readonly PoisonRecord[]): WorkspaceId | null {
@@ -200,6 +200,6 @@
 }
 
 /** The least telling first: fewest ends, then the oldest. */
-function byWorth (left: Entry, right: Entry): number {
+function byEvidence (left: Entry, right: Entry): number {
   return left.record.ends.length - right.record.ends.length || left.evidenceAtMs - right.evidenceAtMs
 }
--- a/packages/dotterelspur/src/request/poison/__tests__/unit/PoisonLedger.test.ts
+++ b/packages/dotterelspur/src/request/poison/__tests__/unit/PoisonLedger.test.ts
@@ -14,7 +14,7 @@
 }
 
 function endAll (ledger: PoisonLedger, subject: PoisonSubject, endpoints: readonly string[], nowMs = 0): void {
-  for (const endpoint of endpoints) ledger.noteEnd(subject, { endpoint, pieces: 0 }, nowMs)
+  for (const endpoint of endpoints) ledger.noteTermination(subject, { endpoint, pieces: 0 }, nowMs)
 }
 
 describe('PoisonLedger', () => {
@@ -49,9 +49,9 @@
   it('keeps a request in quarantine by decision when nothing is known of its ends', () => {
     const ledger = new PoisonLedger(LIMITS)
     ledger.noteDecision('p', 7)
-    expect(ledger.mayKnow(7)).to.equal(true)
+    expect(ledger.mayHaveRecord(7)).to.equal(true)
     expect(ledger.stateOf('p', SETTLED_MS)).to.equal(PoisonState.Quarantined)
-    ledger.noteParole('p', 0)
+    ledger.noteQuarantineLifted('p', 0)
     expect(ledger.stateOf('p', SETTLED_MS)).to.equal(PoisonState.Trusted)
   })
 
@@ -59,7 +59,7 @@
     const ledger = new PoisonLedger(LIMITS)
     endAll(ledger, createSubject('p'), ['e1', 'e2', 'e3'])
     ledger.noteDecision('p', 1)
-    ledger.noteParole('p', 0)
+    ledger.noteQuarantineLifted('p', 0)
     expect(ledger.stateOf('p', SETTLED_MS)).to.equal(PoisonState.Trusted)
     endAll(ledger, createSubject('p'), ['e4', 'e5', 'e6'])
     ledger.stateOf('p', 0)
@@ -69,7 +69,7 @@
   it('forgets what was not seen for long, also when others tell it again', () => {
     const ledger = new PoisonLedger(LIMITS)
     endAll(ledger, createSubject('p'), ['e1', 'e2'])
-    const told = ledger.told(50_000, true)
+    const told = ledger.exportRecords(50_000, true)
     ledger.expire(60_000)
     expect(ledger.isEmpty).to.equal(true)
     ledger.merge(told, 60_000)
@@ -83,7 +83,7 @@
     for (let index = 0; index < 1_000; index++) endAll(ledger, createSubject(`p${index}`), [`a${index}`, `b${index}`, `c${index}`])
     ledger.stateOf('other', 0)
     expect(ledger.stateOf('other', SETTLED_MS)).to.equal(PoisonState.Quarantined)
-    expect(ledger.told(0, true)).to.have.lengthOf(LIMITS.mostRecords)
+    expect(ledger.exportRecords(0, true)).to.have.lengthOf(LIMITS.mostRecords)
   })
 
   it('comes to the same whatever order messages come in, how often, and which of them are lost on one of several ways', () => {
@@ -93,12 +93,12 @@
       const source = new PoisonLedger(LIMITS)
       const messages: PoisonRecord[][] = []
       for (const event of events) {
-        const changed = 'endpoint' in event ? source.noteEnd(createSubject(event.fingerprint), event, 0) : source.noteAnswer(event.fingerprint, 0)
+        const changed = 'endpoint' in event ? source.noteTermination(createSubject(event.fingerprint), event, 0) : source.noteAnswer(event.fingerprint, 0)
         if (changed !== null) messages.push([changed])
       }
       const reader = new PoisonLedger(LIMITS)
       for (const at of order) if (messages.length > 0) reader.merge(messages[at % messages.length]!, 0)
-      reader.merge(source.told(0, true), 0)
+      reader.merge(source.exportRecords(0, true), 0)
       for (const fingerprint of ['p', 'q', 'r']) expect(reader.stateOf(fingerprint, SETTLED_MS)).to.equal(source.stateOf(fingerprint, SETTLED_MS))
     }), { seed: SEED, numRuns: RUNS })
   })
--- a/packages/dotterelspur/src/request/poison/judgePoison.ts
+++ b/packages/dotterelspur/src/request/poison/judgePoison.ts
@@ -1,24 +1,24 @@
 import type { EndpointId } from '../../process/ids.js'
-import type { EndpointEnd, PoisonRecord } from './PoisonRecord.js'
+import type { EndpointTermination, PoisonRecord } from './PoisonRecord.js'
 import type { RequestFingerprint } from './RequestContent.js'
 
 /**
  * How much an end counts. A request that ends its endpoint does so as it begins to run; one that is being answered is most often
  * there by chance. Late ends count half, so that a request that ends endpoints in mid-answer is found as well.
  */
-const UNANSWERED_WEIGHT = 1
-const ANSWERING_WEIGHT = 0.5
+const BEFORE_RESPONSE_WEIGHT = 1
+const MID_RESPONSE_WEIGHT = 0.5
 /** An end at which a request in quarantine was as well counts so much: most often that one was the cause, but two can be. */
-const EXPLAINED_SHARE = 0.5
+const EXPLAINED_FACTOR = 0.5
 /** Two requests that were at the same ends can't be told apart; with so much more neither is sent any more. */
-const SURE_MARGIN = 1
+const CERTAINTY_MARGIN = 1
 
 interface Candidate {
   readonly fingerprint: RequestFingerprint
-  readonly ends: readonly EndpointEnd[]
+  readonly ends: readonly EndpointTermination[]
 }
 
-interface Weighed extends Candidate {
+interface WeightedCandidate extends Candidate {
   readonly weight: number
 }
 
@@ -53,22 +53,22 @@
   }
 }
 
-function isCause (candidate: Weighed, all: readonly Weighed[], quarantineEnds: number): boolean {
+function isCause (candidate: WeightedCandidate, all: readonly WeightedCandidate[], quarantineEnds: number): boolean {
   if (candidate.weight < quarantineEnds) return false
-  if (candidate.weight >= quarantineEnds + SURE_MARGIN) return true
+  if (candidate.weight >= quarantineEnds + CERTAINTY_MARGIN) return true
   return !all.some((other) => other !== candidate && other.weight >= candidate.weight && coversAll(other.ends, candidate.ends))
 }
 
-function weightOf (ends: readonly EndpointEnd[], explained: ReadonlySet<EndpointId>): number {
-  return ends.reduce((sum, { endpoint, pieces }) => sum + (pieces === 0 ? UNANSWERED_WEIGHT : ANSWERING_WEIGHT) * (explained.has(endpoint) ? EXPLAINED_SHARE : 1), 0)
+function weightOf (ends: readonly EndpointTermination[], explained: ReadonlySet<EndpointId>): number {
+  return ends.reduce((sum, { endpoint, pieces }) => sum + (pieces === 0 ? BEFORE_RESPONSE_WEIGHT : MID_RESPONSE_WEIGHT) * (explained.has(endpoint) ? EXPLAINED_FACTOR : 1), 0)
 }
 
-function coversAll (ends: readonly EndpointEnd[], others: readonly EndpointEnd[]): boolean {
+function coversAll (ends: readonly EndpointTermination[], others: readonly EndpointTermination[]): boolean {
   const endpoints = new Set<EndpointId>(ends.map(({ endpoint }) => endpoint))
   return others.every(({ endpoint }) => endpoints.has(endpoint))
 }
 
 /** The heaviest first; nodes that know the same judge the same. */
-function byWeight (left: Weighed, right: Weighed): number {
+function byWeight (left: WeightedCandidate, right: WeightedCandidate): number {
   return right.weight - left.weight || (left.fingerprint < right.fingerprint ? -1 : 1)
 }
