--- a/packages/dotterelspur/src/request/backpressure/EndpointBackoffs.ts
+++ b/packages/dotterelspur/src/request/backpressure/EndpointBackoffs.ts
@@ -21,10 +21,10 @@
 
   /** What an endpoint says with an answer to this node; null where it asks for no rest. */
   note (endpoint: string, restMs: number | null, nowMs: number): void {
-    const known = this.backoffs.get(endpoint)
-    if (restMs !== null) this.backoffs.set(endpoint, { untilMs: Math.max(known?.untilMs ?? 0, nowMs + restMs), probeSentAtMs: null })
+    const backoff = this.backoffs.get(endpoint)
+    if (restMs !== null) this.backoffs.set(endpoint, { untilMs: Math.max(backoff?.untilMs ?? 0, nowMs + restMs), probeSentAtMs: null })
     // Before the end of a rest it is the answer to a request that was sent before it.
-    else if (known !== undefined && nowMs >= known.untilMs) this.backoffs.delete(endpoint)
+    else if (backoff !== undefined && nowMs >= backoff.untilMs) this.backoffs.delete(endpoint)
   }
 
   /** Takes in for how much longer endpoints have asked other nodes for rest. */
--- a/packages/dotterelspur/src/request/backpressure/EndpointRateLimits.ts
+++ b/packages/dotterelspur/src/request/backpressure/EndpointRateLimits.ts
@@ -12,7 +12,7 @@
 /** While an endpoint says nothing, its owners pass it on after this time, and after this many of their usual pauses. */
 const MIN_TURN_MS = 6_000
 const TURN_PAUSES = 6
-/** Without others' words for so long, that an endpoint says nothing to this node is no sign that it says nothing at all. */
+/** Without others' limits for so long, that an endpoint says nothing to this node is no sign that it says nothing at all. */
 const FLEET_OBSERVATION_TTL_MS = 2_000
 const SECOND_MS = 1_000
 
@@ -27,7 +27,7 @@
  * The load that this answers: an endpoint in need takes one request a second from all nodes, of which there may be hundreds. An even
  * part for each node would let one of them all send at once, or none of them. So a limit has a few owners among the nodes by rendezvous, each
  * with a part that is worth sending, and the others leave the endpoint to them. Who owns it follows from the nodes that all know;
- * nothing is agreed. The limit itself is told to all, so that nodes which no answer has told keep to it as well.
+ * nothing is agreed. The limit itself is fleet to all, so that nodes which no answer has fleet keep to it as well.
  */
 export class EndpointRateLimits {
   /** What endpoints said to this node. */
@@ -60,16 +60,16 @@
   applyFleetObservation (samples: Readonly<Record<EndpointId, RateLimitSample>>, nowMs: number): void {
     this.fleetObservedAtMs = nowMs
     for (const [endpoint, { requestsPerSecond, ageMs }] of Object.entries(samples)) {
-      const word = { requestsPerSecond, statedAtMs: nowMs - ageMs }
-      const known = this.fleetLimits.get(endpoint)
-      if (known === undefined || isNewer(word, known)) this.fleetLimits.set(endpoint, word)
+      const limit = { requestsPerSecond, statedAtMs: nowMs - ageMs }
+      const previous = this.fleetLimits.get(endpoint)
+      if (previous === undefined || isNewer(limit, previous)) this.fleetLimits.set(endpoint, limit)
       this.updatedAllowance(endpoint, nowMs)
     }
     this.dropExpired(this.localLimits, nowMs)
     this.dropExpired(this.fleetLimits, nowMs)
   }
 
-  /** What this node was told by endpoints themselves. What others told isn't told on: its age would shrink on each way. */
+  /** What this node was fleet by endpoints themselves. What others fleet isn't fleet on: its age would shrink on each way. */
   localObservation (nowMs: number): Record<EndpointId, RateLimitSample> {
     return Object.fromEntries([...this.localLimits].map(([endpoint, { requestsPerSecond, statedAtMs }]) => [endpoint, { requestsPerSecond, ageMs: nowMs - statedAtMs }]))
   }
@@ -104,10 +104,10 @@
 
   /** Until this node may send a request there; where others own the endpoint, until one of them may on average. */
   waitMs (endpoint: EndpointId, nowMs: number): number {
-    const word = this.latestLimit(endpoint)
-    if (word === undefined || word.requestsPerSecond === null) return 0
-    const perSecond = Math.max(PROBES_PER_SECOND, word.requestsPerSecond)
-    const silentMs = nowMs - this.fleetObservedAtMs > FLEET_OBSERVATION_TTL_MS ? 0 : nowMs - word.statedAtMs
+    const limit = this.latestLimit(endpoint)
+    if (limit === undefined || limit.requestsPerSecond === null) return 0
+    const perSecond = Math.max(PROBES_PER_SECOND, limit.requestsPerSecond)
+    const silentMs = nowMs - this.fleetObservedAtMs > FLEET_OBSERVATION_TTL_MS ? 0 : nowMs - limit.statedAtMs
     const isOwner = this.isOwner(endpoint, perSecond, silentMs)
     return isOwner ? this.updatedAllowance(endpoint, nowMs).waitMs(1, nowMs) : SECOND_MS / perSecond
   }
@@ -156,15 +156,15 @@
   }
 
   private latestLimit (endpoint: EndpointId): ReportedRateLimit | undefined {
-    const heard = this.localLimits.get(endpoint)
-    const told = this.fleetLimits.get(endpoint)
-    if (heard === undefined || told === undefined) return heard ?? told
-    return isNewer(told, heard) ? told : heard
+    const local = this.localLimits.get(endpoint)
+    const fleet = this.fleetLimits.get(endpoint)
+    if (local === undefined || fleet === undefined) return local ?? fleet
+    return isNewer(fleet, local) ? fleet : local
   }
 
-  private dropExpired (words: Map<EndpointId, ReportedRateLimit>, nowMs: number): void {
-    for (const [endpoint, { statedAtMs }] of words) {
-      if (nowMs - statedAtMs > BACKPRESSURE_TTL_MS) words.delete(endpoint)
+  private dropExpired (limits: Map<EndpointId, ReportedRateLimit>, nowMs: number): void {
+    for (const [endpoint, { statedAtMs }] of limits) {
+      if (nowMs - statedAtMs > BACKPRESSURE_TTL_MS) limits.delete(endpoint)
     }
   }
 }
--- a/packages/dotterelspur/src/request/dispatch/DeadlineHistory.ts
+++ b/packages/dotterelspur/src/request/dispatch/DeadlineHistory.ts
@@ -1,68 +1,75 @@
 import { NO_DEADLINES_OBSERVED, type DeadlineObservation } from './DeadlineObservation.js'
 
-/** Deadlines that are remembered of each route: a minute of a busy node, long against a surge of callers that come back. */
+/**
+ * Deadlines kept for each route: about a minute of traffic on a busy node, which is long compared with a surge of
+ * caller retries.
+ */
 const MAX_DEADLINES_PER_ROUTE = 256
-/** Below this nothing can be told of the least that callers state first. */
+/** With fewer samples, the minimum deadline of first attempts cannot be estimated. */
 const MIN_SAMPLES_FOR_MINIMUM = 16
-/** Below this nothing can be told of what they usually state. */
+/** With fewer samples, the typical deadline of a route cannot be estimated. */
 const MIN_SAMPLES_FOR_MEDIAN = 3
-/** Routes that a node tells others of: those with most requests. */
+/** A node reports only the routes with the most requests. */
 const MAX_REPORTED_ROUTES = 8
-/** Callers' own timers and the way here: less than this part of the usual deadline shows nothing. */
+/**
+ * Callers' own timers and network latency: a deadline that is shorter than the usual one by less than this share proves
+ * nothing.
+ */
 const TOLERANCE = 0.02
-/** Nodes send away about as many callers as each other, but not exactly. */
+/** Nodes refuse about the same share of callers, but not exactly. */
 const REFUSAL_MARGIN = 1.3
-/** Beyond this share the lowest deadlines are no longer mostly those of returns. */
+/** Above this share, the lowest deadlines no longer belong mostly to retries. */
 const MAX_RETRY_SHARE = 0.6
 
 interface ExpectedDeadlines {
   readonly usualMs: number
-  /** Less than this is stated by callers that come back. */
+  /** Retries state less than this. */
   readonly minFirstAttemptMs: number
 }
 
 interface RouteHistory {
   readonly deadlinesMs: number[]
-  /** Callers sent away lately; fades as requests come. */
+  /** Recently refused callers; decays with each request. */
   refusals: number
 }
 
 /**
- * Tells callers that come back from those that come first. A caller states what is left of its time, and one that was
- * sent away states less than it did first. What first ones state may differ from caller to caller, so the lowest
- * deadlines are taken for returns only as far as callers have been sent away at all, and only where they lie below
- * what the others' spread explains. Compared with the longest deadline, most first attempts of callers that differ would
- * be taken for returns.
+ * Distinguishes caller retries from first attempts. A caller states its remaining time as the deadline, so a caller
+ * that retries after a refusal states less than it did first. First attempts may state different deadlines, so the
+ * lowest deadlines count as retries only up to the share of callers that were refused, and only where the spread of the
+ * other deadlines does not explain them. A comparison with the longest deadline alone would classify most first
+ * attempts as retries when callers differ.
  *
- * A node of a large fleet sees few requests of most routes, and one that has just started none. So nodes tell each other what
- * callers usually state for each route, and which part of that they state at least, which hardly differs from route to route.
+ * A node of a large fleet receives few requests of most routes, and a node that has just started has received none.
+ * Nodes therefore exchange the usual deadline of each route, and the smallest share of it that first attempts state,
+ * which hardly differs between routes.
  */
 export class DeadlineHistory {
   private readonly routes = new Map<string, RouteHistory>()
   private fleetDeadlines: DeadlineObservation = NO_DEADLINES_OBSERVED
 
-  /** @param sinceMs when the process started: all callers that come soon after it may have lost another node. */
+  /** @param sinceMs when the process started: the callers that arrive soon afterwards may all have lost another node. */
   constructor (private readonly sinceMs = 0) {}
 
-  /** Takes in one request of a route; returns how much of its time the caller has spent, by comparison. */
+  /** Records one request of a route; returns an estimate of the time that its caller has already spent. */
   noteDeadline (route: string, deadlineMs: number): number {
     const expected = this.expectedDeadlines(route, this.record(route, deadlineMs))
     return expected !== null && deadlineMs < expected.minFirstAttemptMs ? expected.usualMs - deadlineMs : 0
   }
 
-  /** Takes in what all nodes together have seen. */
-  applyFleetObservation (told: DeadlineObservation): void {
-    this.fleetDeadlines = told
+  /** Applies the aggregate of all nodes' observations. */
+  applyFleetObservation (fleetDeadlines: DeadlineObservation): void {
+    this.fleetDeadlines = fleetDeadlines
   }
 
-  /** What this node has seen, to be told; nothing while those who lost another node may be most of its callers. */
+  /** What this node reports to the others; nothing while most of its callers may have lost another node. */
   localObservation (nowMs: number): DeadlineObservation {
-    const known = [...this.routes]
+    const sampled = [...this.routes]
       .filter(([, { deadlinesMs }]) => deadlinesMs.length >= MIN_SAMPLES_FOR_MEDIAN)
       .map(([route, history]) => ({ route, history, usualMs: medianOf(history.deadlinesMs) }))
-    const longestMs = Math.max(0, ...known.map(({ usualMs }) => usualMs))
+    const longestMs = Math.max(0, ...sampled.map(({ usualMs }) => usualMs))
     if (nowMs - this.sinceMs < longestMs) return NO_DEADLINES_OBSERVED
-    const busiest = known.sort((left, right) => right.history.deadlinesMs.length - left.history.deadlinesMs.length).slice(0, MAX_REPORTED_ROUTES)
+    const busiest = sampled.sort((left, right) => right.history.deadlinesMs.length - left.history.deadlinesMs.length).slice(0, MAX_REPORTED_ROUTES)
     const [leading] = busiest
     const expected = leading === undefined ? null : estimateExpected(leading.history)
     return {
@@ -79,13 +86,13 @@
     return { usualMs, minFirstAttemptMs: usualMs * leastShare.sum / leastShare.nodes }
   }
 
-  /** A caller of the route was sent away, and may come back. */
+  /** A caller of the route was refused, and may retry. */
   noteRefusal (route: string): void {
     const history = this.routes.get(route)
     if (history !== undefined) history.refusals += 1
   }
 
-  /** Forgets routes that are not declared any more. */
+  /** Drops routes that are no longer declared. */
   retain (routes: ReadonlySet<string>): void {
     for (const route of this.routes.keys()) {
       if (!routes.has(route)) this.routes.delete(route)
@@ -102,7 +109,7 @@
   }
 }
 
-/** What callers state first, by what this node has seen of a route; null while that is too little. */
+/** The deadlines that first attempts state, from this node's samples of a route; null while there are too few. */
 function estimateExpected ({ deadlinesMs, refusals }: RouteHistory): ExpectedDeadlines | null {
   if (deadlinesMs.length < MIN_SAMPLES_FOR_MINIMUM) return null
   const returnShare = Math.min(MAX_RETRY_SHARE, REFUSAL_MARGIN * refusals / deadlinesMs.length)
--- a/packages/dotterelspur/src/request/dispatch/DeadlineObservation.ts
+++ b/packages/dotterelspur/src/request/dispatch/DeadlineObservation.ts
@@ -1,16 +1,16 @@
-/** What callers of a route usually state, summed over nodes. */
+/** The deadline that callers of a route usually state, summed over nodes. */
 export interface UsualDeadline {
   readonly usualSumMs: number
   readonly nodes: number
 }
 
-/** Which part of the usual deadline callers that come first state at least, summed over nodes. */
+/** The smallest share of the usual deadline that first attempts state, summed over nodes. */
 export interface LeastDeadlineShare {
   readonly sum: number
   readonly nodes: number
 }
 
-/** What nodes have seen of callers' deadlines. */
+/** Callers' deadlines as observed by one node or by several. */
 export interface DeadlineObservation {
   /** By name of the route. */
   readonly usual: Readonly<Record<string, UsualDeadline>>
--- a/packages/dotterelspur/src/request/dispatch/DecayedSum.ts
+++ b/packages/dotterelspur/src/request/dispatch/DecayedSum.ts
@@ -1,6 +1,7 @@
 /**
- * A sum whose parts lose half their weight in each half-life. What several processes counted this way can be added up
- * at any moment: each tells a state, not what happened, so a message lost or sent twice changes nothing.
+ * An exponentially decayed sum: each addend loses half its weight in each half-life. Sums of several processes can be
+ * added up at any moment. Each process sends its current state rather than changes, so a lost or duplicated message
+ * does no harm.
  */
 export class DecayedSum {
   private sum = 0
@@ -18,7 +19,7 @@
   }
 }
 
-/** How many parts of 1 come in each millisecond, by the faded sum of their count. */
+/** The rate of events in each millisecond, from the decayed sum of their count. */
 export function ratePerMs (decayedCount: number, halfLifeMs: number): number {
   return decayedCount * Math.LN2 / halfLifeMs
 }
--- a/packages/dotterelspur/src/request/dispatch/EndpointHealth.ts
+++ b/packages/dotterelspur/src/request/dispatch/EndpointHealth.ts
@@ -1,23 +1,26 @@
 import type { EndpointId } from '../../process/ids.js'
 
-/** A silent or broken endpoint is passed over for this long, then tried again by single requests. */
+/** A silent or failed endpoint is avoided for this long, and then tried again with single requests. */
 const HOLD_OFF_MS = 1_500
 const MAX_HOLD_OFF_MS = 6_000
-/** One that others say has stopped is passed over for this long; the word is repeated three times in it while it holds. */
+/**
+ * An endpoint that peers report as stalled is avoided for this long; while the stall lasts, the report is repeated
+ * three times within it.
+ */
 const SUSPICION_MS = 1_000
 
 interface HealthState {
   holdOffUntilMs: number
-  /** It is silent; bytes from it end this at once. */
+  /** The endpoint is silent; bytes from it clear this at once. */
   suspectedUntilMs: number
   consecutiveFailures: number
 }
 
-/** Which endpoints are passed over for a while, because they failed or have stopped. */
+/** Tracks which endpoints are avoided for a while, because they failed or stalled. */
 export class EndpointHealth {
   private readonly states = new Map<EndpointId, HealthState>()
 
-  /** Bytes came: it lives. */
+  /** Bytes arrived, so the endpoint is alive. */
   noteProgress (endpoint: EndpointId): void {
     const state = this.states.get(endpoint)
     if (state === undefined) return
@@ -25,19 +28,19 @@
     state.suspectedUntilMs = 0
   }
 
-  /** It failed in a way that speaks against it: others go first for a while, longer each time. */
+  /** The endpoint failed by its own fault: others are preferred for a while, longer with each consecutive failure. */
   noteFailure (endpoint: EndpointId, nowMs: number): void {
     const state = this.state(endpoint)
     state.holdOffUntilMs = nowMs + nextHoldOffMs(state)
   }
 
-  /** An exchange was given up for its silence. */
+  /** An exchange was abandoned because the endpoint was silent. */
   noteSilence (endpoint: EndpointId, nowMs: number): void {
     const state = this.state(endpoint)
     state.suspectedUntilMs = nowMs + nextHoldOffMs(state)
   }
 
-  /** Others say that it has stopped. */
+  /** Peers report that the endpoint has stalled. */
   noteSuspicion (endpoint: EndpointId, nowMs: number): void {
     const state = this.state(endpoint)
     state.suspectedUntilMs = Math.max(state.suspectedUntilMs, nowMs + SUSPICION_MS)
@@ -48,7 +51,7 @@
     return state !== undefined && nowMs < Math.max(state.holdOffUntilMs, state.suspectedUntilMs)
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Drops endpoints that are gone. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     for (const endpoint of this.states.keys()) {
       if (!endpoints.has(endpoint)) this.states.delete(endpoint)
@@ -65,7 +68,7 @@
   }
 }
 
-/** Counts one more failure; each in a row is held against the endpoint for longer. */
+/** Counts one more failure; each consecutive failure extends the hold-off. */
 function nextHoldOffMs (state: HealthState): number {
   state.consecutiveFailures += 1
   return Math.min(MAX_HOLD_OFF_MS, HOLD_OFF_MS * state.consecutiveFailures)
--- a/packages/dotterelspur/src/request/dispatch/EndpointSpeeds.ts
+++ b/packages/dotterelspur/src/request/dispatch/EndpointSpeeds.ts
@@ -2,14 +2,14 @@
 import { DecayedSum } from './DecayedSum.js'
 import { SPEED_HALF_LIFE_MS, type SpeedSample } from './FleetObservation.js'
 
-/** Bounds of what one pause can say: a burst after a stall says nothing of the speed. */
+/** Bounds of a single pause's ratio: a burst of events after a stall says nothing about the endpoint's speed. */
 const MIN_RATIO = 0.7
 const MAX_RATIO = 8
-/** An endpoint counts as being as fast as its engine should be until this many pauses say otherwise; one answer's start. */
+/** Weight of the prior that an endpoint is as fast as its engine declares, in pauses; about the start of one answer. */
 const PRIOR_PAUSES = 10
-/** Below this what was seen is not worth telling. */
+/** Samples with fewer pauses are not reported. */
 const MIN_REPORTED_PAUSES = 0.5
-/** What differs less from a sound endpoint's speed isn't told to all. */
+/** Endpoints that differ less than this from their declared speed are left out of the broadcast to all nodes. */
 const MIN_REPORTED_DEVIATION = 0.1
 
 interface Pauses {
@@ -18,42 +18,43 @@
 }
 
 /**
- * How fast endpoints are, by the pauses between events against those that their engine should make. A node of a large
- * fleet sees few streams of each, so what all have seen is told and goes before the own part.
+ * Estimates endpoints' speed: the measured pauses between events, relative to those that the engine declares. A node of
+ * a large fleet receives few streams of each endpoint, so nodes share their samples, and the aggregate takes precedence
+ * over the local one.
  */
 export class EndpointSpeeds {
   private readonly pauses = new Map<EndpointId, Pauses>()
   private fleetSpeeds: Readonly<Record<EndpointId, SpeedSample>> | null = null
 
-  /** A pause between two events of one stream, and the one that its engine should make at its load. */
+  /** A pause between two events of one stream, and the pause that the engine declares for the endpoint's load. */
   noteGap (endpoint: EndpointId, gapMs: number, expectedMs: number, nowMs: number): void {
-    let known = this.pauses.get(endpoint)
-    if (known === undefined) {
-      known = { ratios: new DecayedSum(SPEED_HALF_LIFE_MS), count: new DecayedSum(SPEED_HALF_LIFE_MS) }
-      this.pauses.set(endpoint, known)
+    let pauses = this.pauses.get(endpoint)
+    if (pauses === undefined) {
+      pauses = { ratios: new DecayedSum(SPEED_HALF_LIFE_MS), count: new DecayedSum(SPEED_HALF_LIFE_MS) }
+      this.pauses.set(endpoint, pauses)
     }
-    known.ratios.add(Math.max(MIN_RATIO, Math.min(MAX_RATIO, gapMs / expectedMs)), nowMs)
-    known.count.add(1, nowMs)
+    pauses.ratios.add(Math.max(MIN_RATIO, Math.min(MAX_RATIO, gapMs / expectedMs)), nowMs)
+    pauses.count.add(1, nowMs)
   }
 
-  /** Takes in what all nodes together have seen; null when that is too old. */
-  applyFleetObservation (told: Readonly<Record<EndpointId, SpeedSample>> | null): void {
-    this.fleetSpeeds = told
+  /** Applies the aggregate of all nodes' observations; null when the last one is too old. */
+  applyFleetObservation (fleetSpeeds: Readonly<Record<EndpointId, SpeedSample>> | null): void {
+    this.fleetSpeeds = fleetSpeeds
   }
 
-  /** 1 for an endpoint as fast as its engine should be; a group runs at the pace of its slowest member. */
+  /** 1 for an endpoint as fast as its engine declares; a group runs at the pace of its slowest member. */
   slowness (endpoint: EndpointId, nowMs: number): number {
     const sample = this.fleetSpeeds === null ? this.localSample(endpoint, nowMs) : this.fleetSpeeds[endpoint]
     return sample === undefined ? 1 : slownessOf(sample)
   }
 
-  /** What this node has seen, to be told. */
+  /** What this node reports to the others. */
   localObservation (nowMs: number): Record<EndpointId, SpeedSample> {
     const all = [...this.pauses.keys()].map((endpoint) => [endpoint, this.localSample(endpoint, nowMs)] as const)
     return Object.fromEntries(all.filter(([, { pauses }]) => pauses >= MIN_REPORTED_PAUSES))
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Drops endpoints that are gone. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     for (const endpoint of this.pauses.keys()) {
       if (!endpoints.has(endpoint)) this.pauses.delete(endpoint)
@@ -61,12 +62,12 @@
   }
 
   private localSample (endpoint: EndpointId, nowMs: number): SpeedSample {
-    const known = this.pauses.get(endpoint)
-    return { ratioSum: known?.ratios.at(nowMs) ?? 0, pauses: known?.count.at(nowMs) ?? 0 }
+    const pauses = this.pauses.get(endpoint)
+    return { ratioSum: pauses?.ratios.at(nowMs) ?? 0, pauses: pauses?.count.at(nowMs) ?? 0 }
   }
 }
 
-/** Those samples of all nodes' sums that say more than that an endpoint is sound. */
+/** The aggregated samples that deviate from the declared speed by enough to be broadcast. */
 export function significantSpeeds (speeds: Readonly<Record<EndpointId, SpeedSample>>): Record<EndpointId, SpeedSample> {
   return Object.fromEntries(Object.entries(speeds).filter(([, sample]) => Math.abs(slownessOf(sample) - 1) >= MIN_REPORTED_DEVIATION))
 }
--- a/packages/dotterelspur/src/request/dispatch/ExchangeEnd.ts
+++ b/packages/dotterelspur/src/request/dispatch/ExchangeEnd.ts
@@ -1,44 +1,45 @@
 /** Every way in which an exchange with an endpoint can end. */
 export enum ExchangeEnd {
-  /** The whole answer to this request arrived, also a failure of the endpoint's own that may not be repeated. */
+  /** The whole response arrived; also a failure reported by the endpoint that must not be retried. */
   Answered = 'answered',
   /** The endpoint ran the request and answered with a server error. */
   Failed = 'failed',
-  /** The endpoint says that it did not run the request. */
+  /** The endpoint states that it did not run the request. */
   Rejected = 'rejected',
-  /** Another endpoint has the address, or this one takes no requests of the kind; it did not run it. */
+  /** Another endpoint has the address, or this endpoint does not serve this kind of request; the request did not run. */
   Misdirected = 'misdirected',
-  /** No connection came about: nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   NotConnected = 'not-connected',
-  /** The connection ended before the whole answer was there. */
+  /** The connection closed before the whole response had arrived. */
   BrokenOff = 'broken-off',
-  /** The bytes were no answer in the protocol. */
+  /** The bytes received are not a valid response of the protocol. */
   Garbled = 'garbled',
-  /** The answer belongs to another request. */
+  /** The response belongs to another request. */
   Foreign = 'foreign',
-  /** Nothing came for so long that the endpoint is taken for lost. */
+  /** No bytes arrived for so long that the endpoint is considered lost. */
   Silent = 'silent',
-  /** The time that the caller or the route allows is over. */
+  /** The time that the caller or the route allows has elapsed. */
   TimedOut = 'timed-out',
   /** The caller closed its connection. */
   CallerLeft = 'caller-left'
 }
 
-/** What an end proves, and what follows for the endpoint. */
+/** What an exchange's end proves, and its consequences for the endpoint. */
 export interface ExchangeRule {
-  /** The request has not run there and will not run there later. */
+  /** The request has not run at the endpoint and will not run there later. */
   readonly provesNotRun: boolean
   /** Whether another endpoint may be tried, if the request may run again or has not run. */
   readonly mayRetryElsewhere: boolean
-  /** The endpoint is passed over for a while. */
+  /** The endpoint is avoided for a while. */
   readonly penalizesEndpoint: boolean
-  /** The endpoint may have ended, and the request may be why. */
+  /** The endpoint may have terminated, possibly because of the request. */
   readonly mayHaveCrashedEndpoint: boolean
 }
 
 /**
- * What each end means. Only an endpoint's own word, or a connection that never came about, proves that a request
- * did not run: one that was sent may be running behind a reset, a silence or a stranger's answer.
+ * The rule for each end. Only the endpoint's own statement, or a connection that was never established, proves that a
+ * request did not run: a request that was sent may be running behind a connection reset, a silence or a response that
+ * belongs to another request.
  */
 export const EXCHANGE_RULES: Readonly<Record<ExchangeEnd, ExchangeRule>> = {
   [ExchangeEnd.Answered]: { provesNotRun: false, mayRetryElsewhere: false, penalizesEndpoint: false, mayHaveCrashedEndpoint: false },
--- a/packages/dotterelspur/src/request/dispatch/FirstEventDelays.ts
+++ b/packages/dotterelspur/src/request/dispatch/FirstEventDelays.ts
@@ -1,23 +1,23 @@
 import type { ModelId } from '../../process/ids.js'
 import type { FirstEventSample } from './FleetObservation.js'
 
-/** First events that are remembered of each model: some seconds of a busy node, a minute of an idle one. */
+/** First events kept for each model: some seconds of traffic on a busy node, a minute on an idle one. */
 const MAX_SAMPLES = 15
-/** Of fewer than these, queues and stops of single groups would be taken for the engine's usual time. */
+/** With fewer samples, queueing and stalls of single groups would be mistaken for the engine's usual time. */
 const MIN_SAMPLES = 3
-/** Most first events that come later than this part of all have waited for a slot or met a stopped group. */
+/** Most first events above this quantile have waited for a slot or were sent by a stalled group. */
 const UNDELAYED_QUANTILE = 0.3
 
 /**
- * Learns what a first event takes beyond the times that its engine declares: the way there and back, and whatever the engine
- * does before it reads a prompt. Nothing of it depends on the load, so it shortens the time for which a request can wait and
- * still be on time.
+ * Learns by how much a first event exceeds the times that its engine declares: network latency in both directions, and
+ * the engine's work before it prefills a prompt. This part does not depend on the load, so it reduces the time for
+ * which a request can queue and still be on time.
  */
 export class FirstEventDelays {
   private readonly delaysByModel = new Map<ModelId, number[]>()
   private fleetSamples: Readonly<Record<ModelId, FirstEventSample>> = {}
 
-  /** A first event came after `tookMs`; its engine's declared times explain `declaredMs` of that. */
+  /** A first event arrived after `tookMs`, of which the engine's declared times explain `declaredMs`. */
   noteFirstEvent (model: ModelId, tookMs: number, declaredMs: number): void {
     const delays = this.delaysByModel.get(model) ?? []
     this.delaysByModel.set(model, delays)
@@ -25,19 +25,19 @@
     if (delays.length > MAX_SAMPLES) delays.shift()
   }
 
-  /** Takes in what all nodes have learned; it goes before this node's own few first events. */
-  applyFleetObservation (told: Readonly<Record<ModelId, FirstEventSample>>): void {
-    this.fleetSamples = told
+  /** Applies the aggregate of all nodes' observations; it takes precedence over this node's few samples. */
+  applyFleetObservation (fleetSamples: Readonly<Record<ModelId, FirstEventSample>>): void {
+    this.fleetSamples = fleetSamples
   }
 
-  /** What this node has learned, to be told. */
+  /** What this node reports to the others. */
   localObservation (): Record<ModelId, FirstEventSample> {
     return Object.fromEntries([...this.delaysByModel].flatMap(([model, delays]) => {
       return delays.length < MIN_SAMPLES ? [] : [[model, { delaySumMs: typicalDelayMs(delays), nodes: 1 }] as const]
     }))
   }
 
-  /** Zero while nothing is known of the model. */
+  /** Zero while there are no samples of the model. */
   delayMs (model: ModelId): number {
     const sample = this.fleetSamples[model] ?? this.localObservation()[model]
     return sample === undefined ? 0 : sample.delaySumMs / sample.nodes
--- a/packages/dotterelspur/src/request/dispatch/FleetMemory.ts
+++ b/packages/dotterelspur/src/request/dispatch/FleetMemory.ts
@@ -3,8 +3,8 @@
 import type { ModelId } from '../../process/ids.js'
 
 /**
- * What the fleet has learned and what a node that starts can't see for itself in time. The load that this answers: all nodes start
- * anew, and callers that lost them come back together with those that come first.
+ * Observations of the fleet that a starting node cannot make by itself in time. They matter when all nodes restart at
+ * once: the callers that lost them retry at the same time as other callers send their first attempts.
  */
 export interface FleetMemory {
   readonly deadlines: DeadlineObservation
@@ -13,10 +13,10 @@
 
 export const EMPTY_MEMORY: FleetMemory = { deadlines: NO_DEADLINES_OBSERVED, firstEvents: {} }
 
-/** Routes that are remembered: those that most nodes have told of. */
+/** Routes that are kept: those reported by most nodes. */
 const MAX_ROUTES = 16
 
-/** What is remembered after all nodes have told what they see: what nobody sees at the moment stays as it was. */
+/** The memory after another round of observations: entries that no node observes at the moment stay as they were. */
 export function updateFleetMemory (memory: FleetMemory, { deadlines, firstEvents }: Pick<FleetObservation, 'deadlines' | 'firstEvents'>): FleetMemory {
   const usual = Object.entries({ ...memory.deadlines.usual, ...deadlines.usual })
   const kept = usual.sort(([, left], [, right]) => right.nodes - left.nodes).slice(0, MAX_ROUTES)
@@ -26,7 +26,7 @@
   }
 }
 
-/** Reads a memory that others have written; null where it is none. */
+/** Parses a memory written by another process; null where it is malformed. */
 export function readFleetMemory (written: unknown): FleetMemory | null {
   const { deadlines, firstEvents } = fieldsOf(written)
   const { usual, leastShare } = fieldsOf(deadlines)
--- a/packages/dotterelspur/src/request/dispatch/FleetObservation.ts
+++ b/packages/dotterelspur/src/request/dispatch/FleetObservation.ts
@@ -3,59 +3,59 @@
 import { NO_DEADLINES_OBSERVED, type DeadlineObservation } from './DeadlineObservation.js'
 import { significantSpeeds } from './EndpointSpeeds.js'
 
-/** Names the endpoints that can serve the same requests: those of one plain service, or the groups of one model. */
+/** Identifies the endpoints that can serve the same requests: those of one plain service, or the groups of one model. */
 export type PoolKey = string
 
-/** Requests for a pool, those of them that were sent, and those that ended there; they fade with `FLOW_HALF_LIFE_MS`. */
+/** Arrivals for a pool, those of them that were dispatched, and those that completed there; decays with `FLOW_HALF_LIFE_MS`. */
 export interface FlowSample {
   readonly asked: number
   readonly sent: number
   readonly ended: number
 }
 
-/** What callers ask for of a model; fades with `DEMAND_HALF_LIFE_MS`. */
+/** Callers' demand for a model; decays with `DEMAND_HALF_LIFE_MS`. */
 export interface DemandSample {
-  /** Group time of what was asked for. */
+  /** Group time of the requests. */
   readonly groupTimeMs: number
   readonly requests: number
 }
 
-/** Pauses between events against those that the engine should make, summed; fades with `SPEED_HALF_LIFE_MS`. */
+/** Pauses between events, relative to those that the engine declares, summed; decays with `SPEED_HALF_LIFE_MS`. */
 export interface SpeedSample {
   readonly ratioSum: number
   readonly pauses: number
 }
 
 /**
- * The longest pause between two events that a node has seen lately, summed over nodes. Their mean is about the longest of
- * a thousand pauses, in a fleet of any size; the longest of all nodes' would rise with their number.
+ * The longest recent pause between two events on each node, summed over nodes. The mean over nodes is about the longest
+ * of a thousand pauses in a fleet of any size; the maximum over nodes would grow with their number.
  */
 export interface PauseSample {
   readonly longestSumMs: number
   readonly nodes: number
 }
 
-/** What first events take beyond the times that their engine declares, summed over nodes. */
+/** By how much first events exceed the times that their engine declares, summed over nodes. */
 export interface FirstEventSample {
   readonly delaySumMs: number
   readonly nodes: number
 }
 
-/** Flow is averaged over this time: about the time of an answer, and two or three rounds of a large fleet. */
+/** Flows are averaged over this time: about the duration of an answer, and two or three rounds of a large fleet. */
 export const FLOW_HALF_LIFE_MS = 700
 
-/** What callers ask for is averaged over this time: long against a burst, short against a day. */
+/** Demand is averaged over this time: long compared with a burst, short compared with a day. */
 export const DEMAND_HALF_LIFE_MS = 10_000
 
-/** What was learned of an endpoint's speed fades in this time, so that a slow one is tried again. */
+/** Speed samples decay with this half-life, so that a slow endpoint is eventually tried again. */
 export const SPEED_HALF_LIFE_MS = 4_000
 
 /**
- * What one node has seen of the fleet. All of it is a state at the moment of telling, never a difference to what was
- * told before: a message that is lost, repeated or overtaken leaves nothing behind.
+ * One node's observation of the fleet. It holds the state at the time of sending, never a difference from an earlier
+ * observation, so a lost, duplicated or reordered message has no lasting effect.
  */
 export interface NodeObservation {
-  /** Requests under way, by endpoint. */
+  /** Requests in flight, by endpoint. */
   readonly inFlight: Readonly<Record<EndpointId, number>>
   readonly flows: Readonly<Record<PoolKey, FlowSample>>
   readonly demand: Readonly<Record<ModelId, DemandSample>>
@@ -63,35 +63,38 @@
   readonly pauses: Readonly<Record<ModelId, PauseSample>>
   readonly firstEvents: Readonly<Record<ModelId, FirstEventSample>>
   readonly deadlines: DeadlineObservation
-  /** Limits that endpoints named, or took back, in answers to the teller. */
+  /** Rate limits that endpoints stated, or withdrew, in responses to this node. */
   readonly limits: Readonly<Record<EndpointId, RateLimitSample>>
-  /** For how much longer endpoints have asked for rest. */
+  /** Remaining back-off that endpoints requested. */
   readonly rests: Readonly<Record<EndpointId, number>>
-  /** Endpoints that have said in answers to the teller that they leave. */
+  /** Endpoints that have announced in responses to this node that they are leaving. */
   readonly leaving: readonly EndpointId[]
 }
 
-/** What all nodes together have seen. Every node gets the same one, and takes its own part off by itself. */
+/** The aggregate of all nodes' observations. Every node receives the same one and subtracts its own part itself. */
 export interface FleetObservation extends NodeObservation {
-  /** Nodes whose word is in it. */
+  /** Nodes whose observations are included. */
   readonly nodes: number
-  /** Mean age of what they told. */
+  /** Mean age of the observations. */
   readonly ageMs: number
-  /** Until the next one. */
+  /** Time until the next aggregate. */
   readonly intervalMs: number
 }
 
-/** Between two words to all nodes; what nodes do in between they only forecast. */
+/** Between two aggregates; nodes only forecast each other's actions in between. */
 const MIN_ROUND_MS = 150
-/** Longer in a large fleet, so that the node that adds up takes and sends at most 800 frames a second. */
+/** Rounds are longer in a large fleet, so that the aggregating node receives and sends at most 800 frames a second. */
 const ROUND_PER_NODE_MS = 1.25
 
-/** Between two words of the node that adds up. */
+/** Time between two aggregates. */
 export function roundMs (nodes: number): number {
   return Math.max(MIN_ROUND_MS, ROUND_PER_NODE_MS * nodes)
 }
 
-/** Rounds for which a node's last word stands: beyond, it is frozen or cut off, and its requests have ended. */
+/**
+ * Rounds for which a node's last observation is used: after that, the node is frozen or disconnected, and its requests
+ * have ended.
+ */
 const VALID_ROUNDS = 4
 
 interface ReceivedObservation {
@@ -99,7 +102,7 @@
   readonly atMs: number
 }
 
-/** The last word of each node, at the one that adds them up. */
+/** The last observation of each node, at the node that aggregates them. */
 export class FleetAggregator {
   private readonly received = new Map<NodeId, ReceivedObservation>()
 
@@ -111,12 +114,12 @@
     this.received.delete(node)
   }
 
-  /** Nodes that had requests under way at an endpoint when they last told. */
+  /** Nodes that had requests in flight at an endpoint when they last reported. */
   senderCount (endpoint: EndpointId): number {
     return [...this.received.values()].filter(({ observation }) => (observation.inFlight[endpoint] ?? 0) > 0).length
   }
 
-  /** The sum of what all nodes told and of `own`, what the caller itself has seen. */
+  /** The sum of all nodes' observations and `own`, that of the aggregating node. */
   aggregate (own: NodeObservation, intervalMs: number, nowMs: number): FleetObservation {
     const valid = [...this.received.values()].filter(({ atMs }) => nowMs - atMs <= VALID_ROUNDS * intervalMs)
     const ageSumMs = valid.reduce((sum, { atMs }) => sum + nowMs - atMs, 0)
@@ -156,8 +159,8 @@
   const sum: Record<string, Value> = {}
   for (const record of records) {
     for (const [key, value] of Object.entries(record)) {
-      const known = sum[key]
-      sum[key] = known === undefined ? value : add(known, value)
+      const previous = sum[key]
+      sum[key] = previous === undefined ? value : add(previous, value)
     }
   }
   return sum
--- a/packages/dotterelspur/src/request/dispatch/LoadForecast.ts
+++ b/packages/dotterelspur/src/request/dispatch/LoadForecast.ts
@@ -1,69 +1,75 @@
 import type { EndpointId } from '../../process/ids.js'
 import type { SenderPosition } from './SenderPosition.js'
 
-/** Turns of an even sequence: whatever number of points is taken of it, they lie about evenly between 0 and 1. */
+/** Step of a low-discrepancy sequence: any number of consecutive points lies about evenly between 0 and 1. */
 const GOLDEN_RATIO_STEP = (Math.sqrt(5) - 1) / 2
 
-/** One endpoint of a pool as it was told. */
+/** One endpoint of a pool, from the last aggregate. */
 export interface ForecastEndpoint {
   readonly endpoint: EndpointId
-  /** Requests of all nodes there. */
+  /** Requests of all nodes at the endpoint. */
   readonly present: number
   /** This node's part of them. */
   readonly own: number
-  /** Times there are this multiple of those of a sound endpoint. */
+  /** Times at this endpoint are this multiple of those at an endpoint that runs at its declared speed. */
   readonly slowness: number
-  /** Requests that it takes from all nodes together; infinite where nothing bounds them. */
+  /** The most requests that the endpoint takes from all nodes together; infinite where nothing bounds them. */
   readonly maxPerMs: number
 }
 
-/** The load at which a usual request takes a given time at a sound endpoint; rises with the time. */
+/** The load at which a usual request takes a given time at an endpoint that runs at its declared speed; rises with the time. */
 export type LoadAtLatency = (timeMs: number) => number
 
-/** What is told of a pool's flow besides. */
+/** The flow of a pool, from the last aggregate. */
 export interface PoolFlow {
-  /** Requests that all nodes were asked to send to the pool, whether they did or not. */
+  /** Requests for the pool that arrived at all nodes, whether dispatched or not. */
   readonly offeredPerMs: number
-  /** Requests that all nodes send to the pool, and those that this one does. */
+  /** Requests that all nodes dispatch to the pool, and those that this node does. */
   readonly dispatchedPerMs: number
   readonly ownDispatchedPerMs: number
   /** How long a request stays at an endpoint. */
   readonly holdMs: number
-  /** Age of what was told when it came. */
+  /** Age of the aggregate when it was received. */
   readonly ageMs: number
-  /** Until it will be told again. */
+  /** Time until the next aggregate. */
   readonly intervalMs: number
 }
 
-/** Bounds of the time that a request stays, where too few have ended to tell. */
+/** Bounds of the time for which a request stays at an endpoint, where too few have completed to measure it. */
 const MIN_HOLD_MS = 10
 const MAX_HOLD_MS = 10_000
-/** The search for the level: from no time at all to one at which no request is sent, to a hundredth of a millisecond. */
+/**
+ * The binary search for the latency level: from zero to a level at which no request is dispatched, with a resolution of
+ * a hundredth of a millisecond.
+ */
 const MAX_LEVEL_MS = 20_000
 const LEVEL_STEPS = 22
-/** A forecast is used for this long before it is made for a later moment. */
+/** A forecast is used for this long before a newer one is computed. */
 const STEP_MS = 20
-/** Requests of the whole fleet for each endpoint that are spread at a time; fewer go to the emptiest only. */
+/**
+ * Requests of the whole fleet for each endpoint that are distributed at a time; with fewer, only the emptiest endpoints
+ * get any.
+ */
 const LOOKAHEAD_PER_ENDPOINT = 1
 
 /** The forecast for one moment, by index of the endpoint. */
 interface ForecastPoint {
   readonly atMs: number
-  /** Part of what was told that is still there. */
+  /** Share of the requests in the aggregate that are still there. */
   readonly remainingShare: number
-  /** Requests of all nodes that have come since. */
+  /** Requests of all nodes that have arrived since. */
   readonly arrivals: readonly number[]
-  /** Running sum of the parts that the endpoints get of the next requests. */
+  /** Running sum of the shares of the next requests that the endpoints get. */
   readonly cumulativeShares: readonly number[]
 }
 
 /**
- * What other nodes have at each endpoint of a pool, from when it was told until it is told again.
+ * Forecasts the requests of other nodes at each endpoint of a pool between two aggregates.
  *
- * All nodes are told the same, so each knows how the others will choose: their requests go where one takes least time,
- * which raises the emptiest endpoints to the level of the next ones, and so on. From that follows what has come to an
- * endpoint since, and from how long requests stay what has left it. No node concludes anything from its own few
- * requests, which in a large fleet are mostly chance.
+ * All nodes receive the same aggregate, so each can predict the choices of the others: requests go where they take the
+ * least time, which raises the emptiest endpoints to the level of the next ones, and so on. This yields the arrivals at
+ * each endpoint since the aggregate; the time for which requests stay yields the departures. No node extrapolates from
+ * its own few requests, which in a large fleet are mostly chance.
  */
 export class LoadForecast {
   private readonly indexes: ReadonlyMap<EndpointId, number>
@@ -80,7 +86,7 @@
     this.othersShare = flow.dispatchedPerMs === 0 ? 1 : Math.max(0, 1 - flow.ownDispatchedPerMs / flow.dispatchedPerMs)
   }
 
-  /** Requests of other nodes at an endpoint now; null for one that nothing was told of. */
+  /** Requests of other nodes at an endpoint now; null for an endpoint that is not in the aggregate. */
   othersInFlight (endpoint: EndpointId, nowMs: number): number | null {
     const index = this.indexes.get(endpoint)
     if (index === undefined) return null
@@ -89,22 +95,23 @@
   }
 
   /**
-   * Part of the requests that may be sent so that the endpoints hold at most `mostLoad` each on average when all are told
-   * again. In an overload each node sends this part and refuses the rest. Were all sent until the average is reached, and
-   * then none, all nodes would refuse everybody and send everything by turns, from one word to the next.
+   * The share of requests that may be dispatched so that each endpoint holds at most `mostLoad` on average when the
+   * next aggregate arrives. In an overload each node dispatches this share and refuses the rest. If nodes dispatched
+   * everything until the average is reached and nothing afterwards, all of them would alternate between refusing all
+   * and dispatching all, from one aggregate to the next.
    */
   admitted (mostLoad: number): number {
-    const kept = Math.exp(-(this.flow.ageMs + this.flow.intervalMs) / this.holdMs)
-    const asked = this.flow.offeredPerMs * this.holdMs * (1 - kept)
-    const room = this.endpoints.reduce((sum, { present, maxPerMs }) => sum + Math.min(mostLoad - present * kept, this.maxRemaining(maxPerMs, kept)), 0)
-    return asked <= 0 ? 1 : Math.max(0, Math.min(1, room / asked))
+    const remainingShare = Math.exp(-(this.flow.ageMs + this.flow.intervalMs) / this.holdMs)
+    const offered = this.flow.offeredPerMs * this.holdMs * (1 - remainingShare)
+    const room = this.endpoints.reduce((sum, { present, maxPerMs }) => sum + Math.min(mostLoad - present * remainingShare, this.maxRemaining(maxPerMs, remainingShare)), 0)
+    return offered <= 0 ? 1 : Math.max(0, Math.min(1, room / offered))
   }
 
   /**
-   * The next endpoint, by the shares; null where the pool is empty. Not by chance: the draws of one node, and the first,
-   * second and later ones of all nodes, are spread evenly, so that what comes to an endpoint in a round varies less than
-   * half as much. The pool being in the order of failure domains, requests stay in their own as far as its endpoints
-   * take them.
+   * The next endpoint, by the computed shares; null where the pool is empty. The draws are not random: those of one
+   * node, and the first, second and later draws of all nodes, are spread evenly, so that the arrivals at an endpoint
+   * within a round vary less than half as much. The pool is ordered by failure domain, so requests stay in their own
+   * domain as far as its endpoints take them.
    */
   draw ({ domainFrom, domainWidth, start }: SenderPosition, nowMs: number): EndpointId | null {
     const { cumulativeShares } = this.pointAt(nowMs)
@@ -129,7 +136,7 @@
     return { atMs: nowMs, remainingShare, arrivals, cumulativeShares }
   }
 
-  /** How many of the arrivals go to each endpoint, so that those that get any take the same time afterwards. */
+  /** How many of the arrivals go to each endpoint, so that all endpoints that get any take the same time afterwards. */
   private fill (remainingShare: number, arrivals: number): number[] {
     let leastMs = 0
     let mostMs = MAX_LEVEL_MS
@@ -148,7 +155,7 @@
     })
   }
 
-  /** What is there of all that an endpoint's limit lets come since it was told. */
+  /** The most requests that can be present of those that the endpoint's rate limit has admitted since the aggregate. */
   private maxRemaining (maxPerMs: number, remainingShare: number): number {
     return maxPerMs === Infinity ? Infinity : maxPerMs * this.holdMs * (1 - remainingShare)
   }
@@ -162,7 +169,7 @@
   return values.reduce((sum, value) => sum + value, 0)
 }
 
-/** Index of the first element above `at`, by halving; the last one where there is none. */
+/** Index of the first element above `at`, by binary search; the last one where there is none. */
 function firstAbove (rising: readonly number[], at: number): number {
   let least = 0
   let most = rising.length - 1
--- a/packages/dotterelspur/src/request/dispatch/Placement.ts
+++ b/packages/dotterelspur/src/request/dispatch/Placement.ts
@@ -11,21 +11,21 @@
 export enum RefusalReason {
   /** No endpoint of the service, or no group of the model, takes requests. */
   NoEndpoint = 'no-endpoint',
-  /** All of them are so full that the request would be served too late. */
+  /** All of them are so loaded that the request would be served too late. */
   Full = 'full',
-  /** All that are not so full have named limits, which are used up for the moment. */
+  /** All that have capacity have stated rate limits, which are used up for the moment. */
   RateLimited = 'limited',
-  /** All of them have asked this node for rest. */
+  /** All of them have asked this node to back off. */
   BackingOff = 'resting'
 }
 
-/** Why a request is turned away, and when it is worth coming back. */
+/** Why a request is refused, and when a retry makes sense. */
 export interface PlacementRefusal {
   readonly reason: RefusalReason
   readonly retryAfterMs: number
-  /** What it was decided by, for the log; null where there is no endpoint. */
+  /** The values that the decision was based on, for the log; null where there is no endpoint. */
   readonly basis: PlacementBasis | null
-  /** Endpoints that would have taken it but for their need, the first ones that may be asked again. */
+  /** Endpoints that were ruled out by their backpressure, sorted by when they may be tried again, the earliest first. */
   readonly inNeed: readonly EndpointId[]
 }
 
@@ -33,9 +33,9 @@
 export interface PlacementBasis {
   /** Expected time to the first event there. */
   readonly expectedMs: number
-  /** The longest with which it would have been sent. */
+  /** The longest expected time with which the request would have been dispatched. */
   readonly limitMs: number
-  /** Age of what other nodes told of their requests; null where they told nothing. */
+  /** Age of the last aggregate of other nodes' requests; null where none was received. */
   readonly loadAgeMs: number | null
 }
 
@@ -43,11 +43,11 @@
   readonly promptTokens: number
   /** The time to the first event within which the answer has its full value. */
   readonly targetMs: number
-  /** The longest pause between events that is on time; null where there are none. */
+  /** The longest pause between events that is on time; null where there is no target. */
   readonly targetGapMs: number | null
-  /** The caller has come back, or waited so long elsewhere, that its answer will be late in any case. */
+  /** The caller has retried, or waited so long elsewhere, that its answer will be late in any case. */
   readonly alreadyLate: boolean
-  /** What is left until the caller gives up. */
+  /** Time left until the caller gives up. */
   readonly leftMs: number
   readonly excluded: readonly DispatchTarget[]
 }
@@ -58,7 +58,7 @@
   readonly health: EndpointHealth
   readonly speeds: EndpointSpeeds
   readonly backpressure: EndpointBackpressure
-  /** What a first event takes beyond the engine's declared times. */
+  /** By how much a first event exceeds the engine's declared times. */
   readonly firstEventDelayMs: number
   /** Nodes that send requests, this one included. */
   readonly nodes: number
@@ -68,34 +68,40 @@
   readonly nowMs: number
 }
 
-/** Another failure domain costs bytes between domains; about a tenth of a usual time to the first event. */
+/**
+ * Traffic to another failure domain uses bandwidth between domains; the penalty is about a tenth of a usual time to the
+ * first event.
+ */
 const REMOTE_DOMAIN_PENALTY_MS = 8
-/** All nodes see about the same readings; a little chance keeps them from choosing the same endpoint. */
+/** All nodes see about the same load readings; random jitter keeps them from choosing the same endpoint. */
 const JITTER_MS = 12
 /**
- * Endpoints that are drawn as all nodes spread their requests, of which the better is taken: by the failure domain, and
- * by what this node itself has sent there. With more, all nodes would choose the same ones.
+ * Endpoints drawn from the distribution of all nodes' requests, of which the better is chosen: by failure domain, and
+ * by this node's own requests there. With more draws, all nodes would choose the same endpoints.
  */
 const CHOICES = 2
-/** Draws until there are as many; where none can be used, all endpoints are looked at. */
+/** Draws until `CHOICES` usable endpoints are found; where none is usable, all endpoints are considered. */
 const MAX_DRAWS = 6
-/** Cost of an endpoint that failed lately, or has asked other nodes for rest: it is tried when all others would be much later. */
+/**
+ * Cost of an endpoint that failed recently, or has asked other nodes to back off: it is tried when all others would be
+ * much later.
+ */
 const HELD_OFF_PENALTY_MS = 2_000
 /** Cost of a stream whose every pause will be late; a full group elsewhere is better than that. */
 const SLOW_STREAM_PENALTY_MS = 400
-/** How far beyond its target a request may be expected to start and still be sent. */
+/** Multiple of the target within which a request must be expected to start to be dispatched. */
 const TARGET_SLACK = 1
-/** A prompt so long that it can't make the target is given this multiple of its time at an idle group. */
+/** A prompt too long to meet the target is allowed this multiple of its time at an idle group. */
 const IDLE_FACTOR = 2
-/** A group may form, or be mended, within about this time. */
+/** A group may be formed or repaired within about this time. */
 const NO_ENDPOINT_RETRY_MS = 1_000
-/** Plain services: waiting requests that an endpoint may have before it is passed over, as a multiple of its slots. */
+/** Plain services: queued requests with which an endpoint is still chosen, as a multiple of its slots. */
 const PLAIN_QUEUE_FACTOR = 2
-/** Callers come back after a refusal when this part of their time has passed, spread by chance over the rest of a third. */
+/** Callers are asked to retry after a share of their remaining time that is chosen at random between these bounds. */
 const RETRY_AFTER_SHARE = { least: 0.12, most: 0.3 } as const
-/** Callers that endpoints' backpressure hold back come back over this time: the first of them shows whether the need is over. */
+/** Callers refused for backpressure retry over this period: the first of them finds out whether the backpressure has ended. */
 const RETRY_AFTER_JITTER_MS = 500
-/** Endpoints in need that a refusal names. */
+/** Most endpoints that a refusal lists in `inNeed`. */
 const MAX_REPORTED_ENDPOINTS = 4
 
 interface Candidate {
@@ -107,10 +113,10 @@
 /**
  * Chooses the endpoint with the shortest expected time, or refuses at once where none is worth waiting for.
  *
- * The load that this answers: more requests than all groups can serve, as in a burst while groups are lost. Were all
- * of them taken, queues would grow until every answer is late. So a request is sent only where it is expected to
- * start in time, and one that will be late in any case only where a slot is free: it never delays one that can still
- * be on time. Who is refused is told so at once, and may come back once the burst has passed.
+ * This handles more requests than all groups can serve, as in a burst while groups are lost. If all of them were
+ * accepted, queues would grow until every answer is late. A request is therefore dispatched only where it is expected
+ * to start in time, and a request that will be late in any case only where a slot is free, so that it never delays one
+ * that can still be on time. Refused callers receive the refusal at once, and may retry once the burst has passed.
  */
 export function place (query: PlacementQuery, input: PlacementInput): DispatchTarget | PlacementRefusal {
   const targets = suitableTargets(query, input)
@@ -132,7 +138,10 @@
   return excluded.some((other) => other.endpoint === endpoint)
 }
 
-/** The best of the next draws; null where it would be too late there, so that all others are looked at before anybody is refused. */
+/**
+ * The best of the next draws; null where it would be too late there, so that all other endpoints are considered before
+ * a request is refused.
+ */
 function bestDrawn (query: PlacementQuery, input: PlacementInput): Candidate | null {
   const drawn = drawTargets(query, input)
   if (drawn.length === 0) return null
@@ -140,7 +149,7 @@
   return best.expectedMs <= limitMs(best.target, query, input) ? best : null
 }
 
-/** The next endpoints as all nodes spread their requests; none where the next ones can't be used. */
+/** The next endpoints in the distribution of all nodes' requests; none where they are unusable. */
 function drawTargets (query: PlacementQuery, input: PlacementInput): DispatchTarget[] {
   const { pool, load, health, backpressure, sender, nowMs } = input
   const drawn: DispatchTarget[] = []
@@ -153,7 +162,10 @@
   return [...drawn, ...rateLimitedTargets(query, input)]
 }
 
-/** Endpoints with limits are drawn by those that own parts of them, as often as others are by all nodes: even draws would leave most of a limit unused. */
+/**
+ * Endpoints with rate limits are drawn by the nodes that own shares of the limit, as often as other endpoints are drawn
+ * by all nodes: even draws by all nodes would leave most of a limit unused.
+ */
 function rateLimitedTargets (query: PlacementQuery, { pool: { targets }, health, backpressure, random, nowMs }: PlacementInput): DispatchTarget[] {
   return backpressure.rateLimits.limited
     .map((endpoint) => targets.get(endpoint))
@@ -170,12 +182,12 @@
 }
 
 /**
- * Whether the pool has room for one more. The endpoint that seems emptiest is most often one of which this node knows
- * least; the load of all is known better.
+ * Whether the pool has capacity for one more request. The endpoint that seems emptiest is usually the one with the
+ * least recent load data, while the pool's total load is known better.
  */
 function hasCapacity (target: DispatchTarget, longestMs: number, query: PlacementQuery, input: PlacementInput): boolean {
   const { pool: { engine, key, targets }, load, backpressure, firstEventDelayMs, nodes, random, nowMs } = input
-  // Its own limit has admitted the request.
+  // The endpoint's own rate limit has already admitted the request.
   if (backpressure.rateLimits.limitOf(target.endpoint) !== null) return true
   if (engine === null || query.excluded.length > 0) return true
   const mostLoad = loadCurve(engine, paceOf(engine, target), query.promptTokens)(longestMs - firstEventDelayMs)
@@ -186,9 +198,9 @@
   return sum / targets.size <= mostLoad
 }
 
-/** The longest expected time to the first event with which a request is still sent. */
+/** The longest expected time to the first event with which a request is still dispatched. */
 function limitMs (target: DispatchTarget, query: PlacementQuery, { pool: { engine }, firstEventDelayMs }: PlacementInput): number {
-  // One that was lost at another endpoint goes on wherever it can: what was spent on it would be wasted.
+  // A request that lost its endpoint continues wherever it can: the work already spent on it would be wasted.
   if (engine === null || query.excluded.length > 0) return query.leftMs
   const pace = paceOf(engine, target)
   const idleMs = firstEventMs(engine, pace, 0, query.promptTokens)
@@ -208,7 +220,7 @@
   return { target, expectedMs, cost: expectedMs + heldOffMs + remoteDomainMs + slowStreamMs + JITTER_MS * input.random.next() }
 }
 
-/** Whether the pauses between a stream's events will be longer than what is on time. */
+/** Whether the pauses between a stream's events will be longer than the target. */
 function isTooSlow (target: DispatchTarget, present: number, slowness: number, { targetGapMs }: PlacementQuery, { pool: { engine } }: PlacementInput): boolean {
   if (engine === null || targetGapMs === null) return false
   return eventGapMs(engine, paceOf(engine, target), present) * slowness > targetGapMs
@@ -219,7 +231,10 @@
   return load / target.slots * PLAIN_REQUEST_MS
 }
 
-/** Callers come back once the first endpoint may be asked again, spread as after any refusal, also where that is later than they will wait: earlier nobody can serve them. */
+/**
+ * Callers retry once the first endpoint may be tried again, with the usual jitter, even where that is later than they
+ * will wait: nobody can serve them earlier.
+ */
 function refuseForBackpressure (targets: readonly DispatchTarget[], query: PlacementQuery, input: PlacementInput): PlacementRefusal {
   const { backpressure, random, nowMs } = input
   const waits = targets.map(({ endpoint }) => ({ endpoint, waitMs: backpressure.waitMs(endpoint, nowMs) })).sort((left, right) => left.waitMs - right.waitMs)
@@ -233,8 +248,8 @@
 }
 
 /**
- * Callers honour up to a third of the time that they have left. They are sent away for long, and spread: one that came
- * back into the same burst would only be refused again.
+ * Callers honour a delay of up to a third of their remaining time. The delay is long and jittered: a caller that
+ * retried into the same burst would only be refused again.
  */
 function jitteredRetryAfterMs ({ leftMs }: PlacementQuery, { random }: PlacementInput): number {
   return leftMs * (RETRY_AFTER_SHARE.least + (RETRY_AFTER_SHARE.most - RETRY_AFTER_SHARE.least) * random.next())
--- a/packages/dotterelspur/src/request/dispatch/RetryWindow.ts
+++ b/packages/dotterelspur/src/request/dispatch/RetryWindow.ts
@@ -2,13 +2,16 @@
 
 export interface RetryWindowOptions {
   readonly windowMs: number
-  /** Repeats for each request of the window. */
+  /** Retries allowed for each request of the window. */
   readonly ratio: number
-  /** Repeats of the whole system in one window beyond that. */
+  /** Additional retries of the whole system in one window. */
   readonly extra: number
 }
 
-/** Kept back from this node's part: windows slide, and nodes that come and go count each other late. */
+/**
+ * Share of this node's budget that may be used: windows slide, and nodes notice late that others
+ * joined or left.
+ */
 const SAFETY_SHARE = 0.8
 
 interface ServiceWindow {
@@ -17,16 +20,16 @@
 }
 
 /**
- * The budget of repeats that all nodes share, without a counter of their own: each node keeps to the ratio for its
- * own requests and to its even part of the extra. A node that has just started spends none of the extra for one
- * window, since its former life may have spent it.
+ * The retry budget that all nodes share without a common counter: each node keeps to the ratio for its own requests and
+ * to its even share of the extra. A node that has just started uses none of the extra for one window, since its
+ * previous incarnation may have used it.
  */
 export class RetryWindow {
   private readonly services = new Map<ServiceId, ServiceWindow>()
 
   constructor (private options: RetryWindowOptions, private readonly extraFromMs: number) {}
 
-  /** Puts other options in force; what has been spent stays spent. */
+  /** Applies new options; retries already made still count. */
   configure (options: RetryWindowOptions): void {
     this.options = options
   }
@@ -37,19 +40,19 @@
     requestTimesMs.push(nowMs)
   }
 
-  /** Requests of a service that are remembered. */
+  /** Requests of a service that are kept in the window. */
   requestCount (service: ServiceId): number {
     return this.window(service).requestTimesMs.length
   }
 
-  /** Takes one repeat; false when this node's part is spent. `nodes` share the extra. */
+  /** Takes one retry; false when this node's share is used up. `nodes` share the extra. */
   trySpend (service: ServiceId, nodes: number, nowMs: number): boolean {
     if (!this.hasLeft(service, nodes, nowMs)) return false
     this.window(service).retryTimesMs.push(nowMs)
     return true
   }
 
-  /** Whether a repeat could be taken now. */
+  /** Whether a retry could be taken now. */
   hasLeft (service: ServiceId, nodes: number, nowMs: number): boolean {
     const { requestTimesMs, retryTimesMs } = this.window(service)
     dropBefore(requestTimesMs, nowMs - this.options.windowMs)
--- a/packages/dotterelspur/src/request/dispatch/SenderPosition.ts
+++ b/packages/dotterelspur/src/request/dispatch/SenderPosition.ts
@@ -1,10 +1,13 @@
 import type { FailureDomainId, NodeId } from '../../process/ids.js'
 
-/** A node's place among all that send requests: of the line from 0 to 1, the part that belongs to its failure domain. */
+/**
+ * A node's position among all nodes that send requests: the part of the interval from 0 to 1 that belongs to its
+ * failure domain.
+ */
 export interface SenderPosition {
   readonly domainFrom: number
   readonly domainWidth: number
-  /** Where in that part it begins; the nodes of a failure domain begin evenly spread. */
+  /** Where in that part the node's draws start; the nodes of a failure domain start evenly spread. */
   readonly start: number
 }
 
@@ -14,7 +17,7 @@
   readonly failureDomain: FailureDomainId
 }
 
-/** The place of `self`, one of `senders`. Nodes that know the same list find places that fit together without talking. */
+/** The position of `self`, one of `senders`. Nodes with the same list compute consistent positions without coordination. */
 export function senderPosition (senders: readonly Sender[], self: Sender): SenderPosition {
   const before = senders.filter(({ failureDomain }) => failureDomain < self.failureDomain).length
   const sameDomain = senders.filter(({ failureDomain }) => failureDomain === self.failureDomain)
--- a/packages/dotterelspur/src/request/dispatch/StallVotes.ts
+++ b/packages/dotterelspur/src/request/dispatch/StallVotes.ts
@@ -1,30 +1,33 @@
 import type { EndpointId, NodeId } from '../../process/ids.js'
 
-/** Streams of a group that stopped all pause at the same moment: nodes that notice it do so within this time. */
+/** All streams of a stalled group pause at the same moment: the nodes that notice it vote within this time. */
 const VOTE_TTL_MS = 600
-/** Part of the nodes with requests at a group whose word condemns it; others may still wait for their first event. */
+/**
+ * Share of the nodes with requests at a group whose votes are enough; the other nodes may still be waiting for their
+ * first event.
+ */
 const STALL_QUORUM_SHARE = 0.4
 
 /**
- * Gathers which nodes say that their streams at a group have paused for too long. In a large fleet a node has one
- * stream there, and one stream may pause for reasons of its own: on one word each, sound groups would be passed over
- * again and again. A group that has really stopped is silent for all who have streams there.
+ * Counts the nodes that report a long pause of their streams at a group. In a large fleet a node has one stream at a
+ * group, and one stream may pause for reasons of its own: if a single vote were enough, healthy groups would be avoided
+ * again and again. A group that has really stalled is silent for all nodes that have streams there.
  */
 export class StallVotes {
   private readonly votes = new Map<EndpointId, Map<NodeId, number>>()
 
-  /** Takes in a node's word; returns whether it is enough, `senders` being the nodes that have requests there. */
+  /** Records a node's vote; returns whether the votes are enough, with `senders` nodes that have requests there. */
   note (endpoint: EndpointId, node: NodeId, senders: number, nowMs: number): boolean {
-    const known = this.votes.get(endpoint) ?? new Map<NodeId, number>()
-    this.votes.set(endpoint, known)
-    known.set(node, nowMs)
-    for (const [voter, atMs] of known) {
-      if (nowMs - atMs > VOTE_TTL_MS) known.delete(voter)
+    const votes = this.votes.get(endpoint) ?? new Map<NodeId, number>()
+    this.votes.set(endpoint, votes)
+    votes.set(node, nowMs)
+    for (const [voter, atMs] of votes) {
+      if (nowMs - atMs > VOTE_TTL_MS) votes.delete(voter)
     }
-    return known.size >= Math.max(1, STALL_QUORUM_SHARE * senders)
+    return votes.size >= Math.max(1, STALL_QUORUM_SHARE * senders)
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Drops endpoints that are gone. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     for (const endpoint of this.votes.keys()) {
       if (!endpoints.has(endpoint)) this.votes.delete(endpoint)
--- a/packages/dotterelspur/src/request/dispatch/TargetLoad.ts
+++ b/packages/dotterelspur/src/request/dispatch/TargetLoad.ts
@@ -4,7 +4,7 @@
 import { LoadForecast, type LoadAtLatency, type ForecastEndpoint } from './LoadForecast.js'
 import type { SenderPosition } from './SenderPosition.js'
 
-/** What an endpoint said of its load with an answer. */
+/** The load that an endpoint states with a response. */
 export interface LoadReading {
   readonly running: number
   readonly waiting: number
@@ -14,21 +14,22 @@
 const READING_HALF_LIFE_MS = 700
 
 /**
- * What all nodes have under way is told again and again; when this many words are missing a node goes by endpoints' own
- * words, spread as evenly as before: forecasts that go on without news send more and more to the wrong endpoints.
+ * The requests of all nodes in flight are broadcast in rounds. After this many missed rounds a node uses the load that
+ * endpoints state in their responses instead, with requests spread evenly as before: forecasts without updates send
+ * more and more requests to the wrong endpoints.
  */
 const VALID_INTERVALS = 3
 
-/** Without any word of others a group is taken for filled to this part: most fleets run below half of what they can. */
+/** Assumed utilization of a group without any observation of other nodes: most fleets run below half of their capacity. */
 const PRIOR_UTILIZATION = 0.4
-/** How much that guess weighs, in requests under way at this node. */
+/** Weight of that assumption, in requests in flight at this node. */
 const PRIOR_WEIGHT = 2
 
 interface TargetState {
   own: number
   reading: LoadReading | null
   readingAtMs: number
-  /** Own requests in flight when the reading came. */
+  /** Own requests in flight when the reading arrived. */
   ownAtReading: number
 }
 
@@ -40,7 +41,7 @@
   forecast: LoadForecast | null
 }
 
-/** A pool as it is now: its endpoints, and how much each can take. */
+/** The current endpoints of a pool, and how much each can take. */
 export interface LoadPool {
   readonly key: PoolKey
   readonly endpoints: ReadonlyArray<Pick<ForecastEndpoint, 'endpoint' | 'slowness' | 'maxPerMs'>>
@@ -48,8 +49,9 @@
 }
 
 /**
- * What this node knows of the load of each endpoint: its own requests exactly, other nodes' by a forecast from what all
- * were told. Without their word, everybody's by the endpoint's last word, which fades as it ages into a guess.
+ * This node's view of each endpoint's load: its own requests exactly, those of other nodes by a forecast from the last
+ * aggregate. Without a recent aggregate, the load of all nodes is taken from the endpoint's last reading, which is
+ * gradually replaced by an estimate as it ages.
  */
 export class TargetLoad {
   private readonly states = new Map<EndpointId, TargetState>()
@@ -57,21 +59,21 @@
   private readonly poolByEndpoint = new Map<EndpointId, PoolKey>()
   private fleetObservation: FleetObservation | null = null
   private receivedAtMs = -Infinity
-  /** This node's own part of what was told. */
+  /** This node's own requests in flight as included in the last report. */
   private reportedInFlight: ReadonlyMap<EndpointId, number> = new Map()
 
-  /** Takes in what all nodes together have under way. Call `arrange` after it. */
-  applyFleetObservation (told: FleetObservation, nowMs: number): void {
-    this.fleetObservation = told
+  /** Applies the aggregate of all nodes' observations. Call `updateForecasts` after it. */
+  applyFleetObservation (observation: FleetObservation, nowMs: number): void {
+    this.fleetObservation = observation
     this.receivedAtMs = nowMs
   }
 
-  /** Since it was last told what all nodes have under way; null where it never was. */
+  /** Time since the last aggregate was received; null where none was. */
   observationAgeMs (nowMs: number): number | null {
     return this.fleetObservation === null ? null : nowMs - this.receivedAtMs
   }
 
-  /** Whether what was told is recent enough to be relied on. */
+  /** Whether the last aggregate is recent enough to be used. */
   hasFreshObservation (nowMs: number): boolean {
     return this.fleetObservation !== null && nowMs - this.receivedAtMs <= VALID_INTERVALS * this.fleetObservation.intervalMs
   }
@@ -81,18 +83,18 @@
     return this.states.get(endpoint)?.own ?? 0
   }
 
-  /** This node's own requests under way, by endpoint, which it is about to tell. */
+  /** This node's own requests in flight by endpoint, for its next report. */
   reportInFlight (): Record<EndpointId, number> {
     this.reportedInFlight = new Map([...this.states].filter(([, { own }]) => own > 0).map(([endpoint, { own }]) => [endpoint, own]))
     return Object.fromEntries(this.reportedInFlight)
   }
 
-  /** What this node sends to each pool, to be told. */
+  /** This node's flow to each pool, for its next report. */
   localFlows (nowMs: number): Record<PoolKey, FlowSample> {
     return Object.fromEntries([...this.pools].map(([key, { asked, sent, ended }]) => [key, { asked: asked.at(nowMs), sent: sent.at(nowMs), ended: ended.at(nowMs) }]))
   }
 
-  /** Forecasts anew for the pools as they are now; called when something was told and when the list changed. */
+  /** Recomputes the forecasts for the current pools; called when an aggregate arrives and when the list of endpoints changes. */
   updateForecasts (pools: readonly LoadPool[], nowMs: number): void {
     this.poolByEndpoint.clear()
     const listed = new Set(pools.map(({ key }) => key))
@@ -105,14 +107,14 @@
     }
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Drops endpoints that are gone. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     for (const endpoint of this.states.keys()) {
       if (!endpoints.has(endpoint)) this.states.delete(endpoint)
     }
   }
 
-  /** A request for the pool came, whatever becomes of it. */
+  /** Records an arrival for the pool, whether it is dispatched or not. */
   noteArrival (pool: PoolKey, nowMs: number): void {
     this.pool(pool).asked.add(1, nowMs)
   }
@@ -127,9 +129,9 @@
   end (pool: PoolKey, endpoint: EndpointId, nowMs: number): void {
     const state = this.states.get(endpoint)
     if (state !== undefined) state.own = Math.max(0, state.own - 1)
-    const known = this.pool(pool)
-    known.own = Math.max(0, known.own - 1)
-    known.ended.add(1, nowMs)
+    const poolState = this.pool(pool)
+    poolState.own = Math.max(0, poolState.own - 1)
+    poolState.ended.add(1, nowMs)
   }
 
   noteReading (endpoint: EndpointId, reading: LoadReading, nowMs: number): void {
@@ -139,7 +141,7 @@
     state.ownAtReading = state.own
   }
 
-  /** Requests there now, of all nodes. */
+  /** Requests at an endpoint now, of all nodes. */
   estimate (endpoint: EndpointId, usual: number, nowMs: number): number {
     const state = this.states.get(endpoint)
     const own = state?.own ?? 0
@@ -152,20 +154,23 @@
     return weight * read + (1 - weight) * guessed
   }
 
-  /** Part of the requests for a pool that may be sent if its endpoints are to hold `mostLoad` each; null where nothing was told. */
+  /**
+   * The share of the requests for a pool that may be dispatched if its endpoints are to hold `mostLoad` each; null
+   * without a recent aggregate.
+   */
   admitted (pool: PoolKey, mostLoad: number, nowMs: number): number | null {
     return this.hasFreshObservation(nowMs) ? this.pools.get(pool)?.forecast?.admitted(mostLoad) ?? null : null
   }
 
-  /** The next endpoint of the pool, as all nodes spread their requests: evenly where nothing was told. */
+  /** The next endpoint of the pool in the distribution of all nodes' requests; evenly spread without a recent aggregate. */
   draw (pool: PoolKey, sender: SenderPosition, nowMs: number): EndpointId | null {
     return this.pools.get(pool)?.forecast?.draw(sender, nowMs) ?? null
   }
 
   /**
-   * What an endpoint of a pool has on average while nobody tells: this node's own requests there times the nodes, drawn
-   * towards a usual load by as much as a few requests can say: else the first request of each node of a large fleet would
-   * make its groups look full.
+   * The average load of an endpoint of a pool without a recent aggregate: this node's own requests there times the
+   * number of nodes, shrunk towards a usual load in proportion to how little a few requests prove. Otherwise the first
+   * request of each node of a large fleet would make its groups look full.
    */
   usual (pool: PoolKey, slots: number, endpoints: number, nodes: number): number {
     const own = this.pools.get(pool)?.own ?? 0
--- a/packages/dotterelspur/src/request/dispatch/TargetPool.ts
+++ b/packages/dotterelspur/src/request/dispatch/TargetPool.ts
@@ -18,16 +18,16 @@
   readonly slots: number
 }
 
-/** All targets that can serve the same requests, in the order of failure domains. */
+/** All targets that can serve the same requests, ordered by failure domain. */
 export interface TargetPool {
   readonly key: PoolKey
-  /** None for a pool that nobody serves at the moment. */
+  /** Empty for a pool without endpoints at the moment. */
   readonly targets: ReadonlyMap<EndpointId, DispatchTarget>
   /** Null for plain services. */
   readonly engine: EngineSpec | null
 }
 
-/** Plain services say nothing of their times; this orders endpoints by load alone. */
+/** Plain services declare no times; this constant orders their endpoints by load alone. */
 export const PLAIN_REQUEST_MS = 60
 
 export function poolKey (service: ServiceId, model: ModelId | null): PoolKey {
@@ -38,7 +38,7 @@
   return poolKey(service, model)
 }
 
-/** The endpoints that take requests, by pool. All nodes that know the same endpoints get the same order. */
+/** The endpoints that take requests, by pool. All nodes with the same list of endpoints get the same order. */
 export function buildPools (endpoints: Iterable<EndpointRecord>, engineOf: (service: ServiceId) => EngineSpec | null): Map<PoolKey, TargetPool> {
   const targetsByPool = new Map<PoolKey, DispatchTarget[]>()
   for (const record of endpoints) {
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/DeadlineHistory.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/DeadlineHistory.test.ts
@@ -5,56 +5,56 @@
 
 const BUDGET_MS = 6_000
 const REQUESTS = 400
-const RETURN_SHARE = 0.2
-/** Requests after which the first verdicts are judged. */
-const LEARNED = 60
+const RETRY_SHARE = 0.2
+/** Requests after which the estimates are checked. */
+const WARMUP_REQUESTS = 60
 
 type Budgets = (random: Random) => number
 
-interface Verdicts {
-  firstTakenForReturn: number
+interface Classification {
+  firstAsRetry: number
   first: number
-  returnSeen: number
-  returns: number
+  retryDetected: number
+  retries: number
 }
 
-/** Callers that come first, and some that come back with 65 to 85 in 100 of what they had. */
-function judge (budgets: Budgets, seed: number): Verdicts {
+/** First attempts of callers, and some retries with 65 to 85 % of the caller's first deadline. */
+function judge (budgets: Budgets, seed: number): Classification {
   const random = createRandom(seed)
   const history = new DeadlineHistory()
-  const verdicts: Verdicts = { firstTakenForReturn: 0, first: 0, returnSeen: 0, returns: 0 }
+  const counts: Classification = { firstAsRetry: 0, first: 0, retryDetected: 0, retries: 0 }
   for (let request = 0; request < REQUESTS; request++) {
-    const isReturn = random.next() < RETURN_SHARE
-    const deadlineMs = budgets(random) * (isReturn ? 0.65 + 0.2 * random.next() : 1)
-    if (random.next() < RETURN_SHARE) history.noteRefusal('draft')
-    const saysReturn = history.noteDeadline('draft', deadlineMs) > 0
-    if (request < LEARNED) continue
-    verdicts[isReturn ? 'returns' : 'first'] += 1
-    if (saysReturn) verdicts[isReturn ? 'returnSeen' : 'firstTakenForReturn'] += 1
+    const isRetry = random.next() < RETRY_SHARE
+    const deadlineMs = budgets(random) * (isRetry ? 0.65 + 0.2 * random.next() : 1)
+    if (random.next() < RETRY_SHARE) history.noteRefusal('draft')
+    const classifiedAsRetry = history.noteDeadline('draft', deadlineMs) > 0
+    if (request < WARMUP_REQUESTS) continue
+    counts[isRetry ? 'retries' : 'first'] += 1
+    if (classifiedAsRetry) counts[isRetry ? 'retryDetected' : 'firstAsRetry'] += 1
   }
-  return verdicts
+  return counts
 }
 
 describe('DeadlineHistory', () => {
-  const cases: ReadonlyArray<{ readonly name: string, readonly budgets: Budgets, readonly leastSeen: number }> = [
-    { name: 'equal', budgets: () => BUDGET_MS, leastSeen: 0.6 },
-    { name: 'spread evenly over 85 to 100 in 100', budgets: (random) => BUDGET_MS * (0.85 + 0.15 * random.next()), leastSeen: 0.6 },
-    { name: 'skewed to short ones', budgets: (random) => BUDGET_MS * (0.3 + 0.7 * random.next() ** 3), leastSeen: 0 },
-    { name: 'of two kinds', budgets: (random) => random.next() < 0.6 ? BUDGET_MS : 0.8 * BUDGET_MS, leastSeen: 0 }
+  const cases: ReadonlyArray<{ readonly name: string, readonly budgets: Budgets, readonly minDetectedShare: number }> = [
+    { name: 'equal', budgets: () => BUDGET_MS, minDetectedShare: 0.6 },
+    { name: 'spread evenly over 85 to 100 %', budgets: (random) => BUDGET_MS * (0.85 + 0.15 * random.next()), minDetectedShare: 0.6 },
+    { name: 'skewed to short ones', budgets: (random) => BUDGET_MS * (0.3 + 0.7 * random.next() ** 3), minDetectedShare: 0 },
+    { name: 'of two kinds', budgets: (random) => random.next() < 0.6 ? BUDGET_MS : 0.8 * BUDGET_MS, minDetectedShare: 0 }
   ]
-  for (const { name, budgets, leastSeen } of cases) {
-    it(`takes hardly any first attempt for a return when callers' budgets are ${name}`, () => {
-      // Symptom: demand of models is never learned, and first attempts are refused as if they were late in any case.
-      // Sequence: each caller states a budget of its own. Cause: whoever stated less than the longest one seen was taken
-      // for a caller that comes back.
-      const verdicts = [1, 2, 3, 4, 5].map((seed) => judge(budgets, seed))
-      const sum = (count: (verdict: Verdicts) => number): number => verdicts.reduce((total, verdict) => total + count(verdict), 0)
-      for (const { firstTakenForReturn, first } of verdicts) expect(firstTakenForReturn / first).to.be.below(0.03)
-      expect(sum(({ returnSeen }) => returnSeen) / sum(({ returns }) => returns)).to.be.at.least(leastSeen)
+  for (const { name, budgets, minDetectedShare } of cases) {
+    it(`classifies hardly any first attempt as a retry when callers' budgets are ${name}`, () => {
+      // Guards against first attempts that are refused as if they were late in any case, and a demand of models that is
+      // never learned: callers have budgets of their own, and each that stated less than the longest one observed was
+      // classified as a retry.
+      const counts = [1, 2, 3, 4, 5].map((seed) => judge(budgets, seed))
+      const sum = (count: (verdict: Classification) => number): number => counts.reduce((total, verdict) => total + count(verdict), 0)
+      for (const { firstAsRetry, first } of counts) expect(firstAsRetry / first).to.be.below(0.03)
+      expect(sum(({ retryDetected }) => retryDetected) / sum(({ retries }) => retries)).to.be.at.least(minDetectedShare)
     })
   }
 
-  it('says how much of its time a caller has spent', () => {
+  it('estimates how much of its time a caller has spent', () => {
     const history = new DeadlineHistory()
     for (let request = 0; request < 20; request++) history.noteDeadline('draft', BUDGET_MS)
     history.noteRefusal('draft')
@@ -62,21 +62,22 @@
     expect(history.noteDeadline('other', 100)).to.equal(0)
   })
 
-  it('knows no returns where nobody was sent away', () => {
+  it('detects no retries where no caller was refused', () => {
     const history = new DeadlineHistory()
     for (let request = 0; request < 100; request++) history.noteDeadline('draft', BUDGET_MS)
     expect(history.noteDeadline('draft', BUDGET_MS / 2)).to.equal(0)
   })
 
-  it('forgets routes that are not declared any more', () => {
+  it('drops routes that are no longer declared', () => {
     const history = new DeadlineHistory()
     for (let request = 0; request < 20; request++) history.noteDeadline('draft', BUDGET_MS)
     history.retain(new Set())
     expect(history.noteDeadline('draft', 100)).to.equal(0)
   })
 
-  // Guards against callers that lost all nodes at once and are taken for first ones: they were served before those that could be on time.
-  it('knows callers that come back from a node\'s first request on, by what all nodes have seen', () => {
+  // Guards against callers that lost all nodes at once and are mistaken for first attempts: they were served before
+  // callers that could still be on time.
+  it('detects retries from a node\'s first request on, by the aggregate of all nodes', () => {
     const history = new DeadlineHistory()
     history.applyFleetObservation({ usual: { draft: { usualSumMs: 80 * BUDGET_MS, nodes: 80 } }, leastShare: { sum: 80 * 0.9, nodes: 80 } })
     expect(history.noteDeadline('draft', BUDGET_MS / 2)).to.equal(BUDGET_MS / 2)
@@ -84,24 +85,24 @@
     expect(history.noteDeadline('other', 100)).to.equal(0)
   })
 
-  it('judges a route that it has hardly seen by the least part that callers of others state', () => {
-    const seen = new DeadlineHistory()
+  it('judges a route with few samples by the smallest share that callers of other routes state', () => {
+    const peer = new DeadlineHistory()
     const random = createRandom(1)
-    for (let request = 0; request < 200; request++) seen.noteDeadline('draft', BUDGET_MS * (0.85 + 0.15 * random.next()))
-    for (let request = 0; request < 3; request++) seen.noteDeadline('rare', 2_000)
+    for (let request = 0; request < 200; request++) peer.noteDeadline('draft', BUDGET_MS * (0.85 + 0.15 * random.next()))
+    for (let request = 0; request < 3; request++) peer.noteDeadline('rare', 2_000)
     const history = new DeadlineHistory()
-    history.applyFleetObservation(seen.localObservation(10 * BUDGET_MS))
+    history.applyFleetObservation(peer.localObservation(10 * BUDGET_MS))
     expect(history.noteDeadline('rare', 1_900)).to.equal(0)
     expect(history.noteDeadline('rare', 1_400)).to.be.greaterThan(0)
   })
 
-  it('tells nothing while most of its callers may have lost another node', () => {
+  it('reports nothing while most of its callers may have lost another node', () => {
     const history = new DeadlineHistory(0)
     for (let request = 0; request < 50; request++) history.noteDeadline('draft', BUDGET_MS / 2)
     expect(history.localObservation(1_000)).to.deep.equal(NO_DEADLINES_OBSERVED)
   })
 
-  it('tells of a bounded number of routes', () => {
+  it('reports a bounded number of routes', () => {
     const history = new DeadlineHistory()
     for (let request = 0; request < 300; request++) history.noteDeadline(`r${request % 100}`, BUDGET_MS)
     expect(Object.keys(history.localObservation(10 * BUDGET_MS).usual)).to.have.lengthOf(8)
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/EventCursor.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/EventCursor.test.ts
@@ -7,7 +7,7 @@
 }
 
 describe('EventCursor', () => {
-  it('hands on the same bytes whatever way they are cut, in whole events only', () => {
+  it('returns the same bytes however they are split, in complete events only', () => {
     fc.assert(fc.property(fc.integer({ min: 1, max: 30 }), fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1, maxLength: 60 }), (count, cuts) => {
       const text = Array.from({ length: count }, (_unused, index) => event(index + 1)).join('')
       const cursor = new EventCursor(null)
@@ -26,9 +26,9 @@
     }), { seed: 20261202, numRuns: 300 })
   })
 
-  it('goes on after the last whole event when a sender stops in the middle of one', () => {
-    // Symptom: a stream with a spoilt event. Sequence: an endpoint dies in the middle of an event, another goes on
-    // after the last whole one. Cause: the half event was handed on, or kept before the continuation's bytes.
+  it('continues after the last complete event when a sender stops in the middle of one', () => {
+    // Guards against a stream with a corrupt event: an endpoint dies in the middle of an event, another continues after
+    // the last complete one, and the partial event was already forwarded or was kept before the continuation's bytes.
     const cursor = new EventCursor(null)
     cursor.push(Buffer.from(event(1) + 'id: 2\nda'))
     cursor.dropPartialEvent()
@@ -36,11 +36,11 @@
     expect(cursor.push(Buffer.from(event(2)))?.toString()).to.equal(event(2))
   })
 
-  it('starts from what the caller already has', () => {
+  it('starts from the last event that the caller already has', () => {
     expect(new EventCursor('12').lastEventId).to.equal('12')
   })
 
-  it('does not take a field inside a line for an id', () => {
+  it('does not mistake text inside a line for an id field', () => {
     const cursor = new EventCursor(null)
     cursor.push(Buffer.from('id: 5\ndata: id: 9\n\n'))
     expect(cursor.lastEventId).to.equal('5')
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/FleetMemory.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/FleetMemory.test.ts
@@ -8,17 +8,17 @@
 }
 
 describe('FleetMemory', () => {
-  // Guards against nodes that all start anew at once and overwrite what the fleet knew by what they don't know yet.
-  it('keeps what nobody sees at the moment', () => {
+  // Guards against nodes that all restart at once and overwrite the fleet's memory with their still empty observations.
+  it('keeps entries that no node observes at the moment', () => {
     expect(updateFleetMemory(MEMORY, { deadlines: NO_DEADLINES_OBSERVED, firstEvents: {} })).to.deep.equal(MEMORY)
   })
 
-  it('takes what is seen now in place of what was seen before', () => {
-    const seen = { deadlines: { usual: { draft: { usualSumMs: 5_000, nodes: 1 } }, leastShare: { sum: 0.5, nodes: 1 } }, firstEvents: { large: { delaySumMs: 90, nodes: 1 } } }
-    expect(updateFleetMemory(MEMORY, seen)).to.deep.equal({ deadlines: seen.deadlines, firstEvents: { ...MEMORY.firstEvents, ...seen.firstEvents } })
+  it('replaces earlier observations by current ones', () => {
+    const current = { deadlines: { usual: { draft: { usualSumMs: 5_000, nodes: 1 } }, leastShare: { sum: 0.5, nodes: 1 } }, firstEvents: { large: { delaySumMs: 90, nodes: 1 } } }
+    expect(updateFleetMemory(MEMORY, current)).to.deep.equal({ deadlines: current.deadlines, firstEvents: { ...MEMORY.firstEvents, ...current.firstEvents } })
   })
 
-  it('remembers a bounded number of routes, those that most nodes see', () => {
+  it('keeps a bounded number of routes, those that most nodes observe', () => {
     const usual = Object.fromEntries(Array.from({ length: 100 }, (_unused, index) => [`r${index}`, { usualSumMs: 1_000, nodes: index + 1 }]))
     const memory = updateFleetMemory(EMPTY_MEMORY, { deadlines: { usual, leastShare: { sum: 1, nodes: 1 } }, firstEvents: {} })
     expect(Object.keys(memory.deadlines.usual)).to.have.lengthOf(16).that.includes('r99')
@@ -29,11 +29,11 @@
     expect(readFleetMemory(EMPTY_MEMORY)).to.deep.equal(EMPTY_MEMORY)
   })
 
-  it('takes nothing that others wrote in another form', () => {
-    const broken: unknown[] = [
+  it('rejects a memory in any other form', () => {
+    const malformed: unknown[] = [
       undefined, null, 'memory', [], {}, { ...MEMORY, firstEvents: null }, { ...MEMORY, firstEvents: { small: 3 } }, { ...MEMORY, firstEvents: { small: { delaySumMs: '220', nodes: 2 } } },
       { ...MEMORY, deadlines: { usual: { draft: { usualSumMs: -1, nodes: 2 } }, leastShare: { sum: 1, nodes: 1 } } }
     ]
-    for (const written of broken) expect(readFleetMemory(written), JSON.stringify(written)).to.equal(null)
+    for (const written of malformed) expect(readFleetMemory(written), JSON.stringify(written)).to.equal(null)
   })
 })
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/Placement.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/Placement.test.ts
@@ -17,16 +17,16 @@
   seed: 1, nodes: 8, groups: 8, loadSteps: [0.6, 1.7, 1.7, 1.7, 0.7, 0.5], stepMs: 2_000, targetMs: 300, deadlineMs: 6_000, refuses: true, sharesObservations: true
 }
 
-/** What callers ask for, as multiples of what all groups can serve. */
+/** Load steps, as multiples of what all groups can serve. */
 const LOADS = [
-  { name: 'below what groups serve', loadSteps: [0.6, 0.6, 0.6] },
-  { name: 'near it', loadSteps: [0.9, 0.9, 0.9] },
-  { name: 'above it', loadSteps: [1.2, 1.2, 1.2] },
+  { name: 'below the capacity', loadSteps: [0.6, 0.6, 0.6] },
+  { name: 'near the capacity', loadSteps: [0.9, 0.9, 0.9] },
+  { name: 'above the capacity', loadSteps: [1.2, 1.2, 1.2] },
   { name: 'in a surge', loadSteps: [0.6, 1.7, 1.7, 0.7] }
 ]
 const FLEET_SEEDS = [1, 2, 3]
 
-/** Part of all requests that 27 groups answer in time. */
+/** Share of all requests that 27 groups answer in time. */
 function onTimeShare (nodes: number, loadSteps: readonly number[], changes: Partial<SurgeOptions> = {}): number {
   const outcomes = FLEET_SEEDS.map((seed) => new SurgeReplay({ ...SURGE, seed, nodes, groups: 27, loadSteps, ...changes }).run())
   return outcomes.reduce((sum, { onTime }) => sum + onTime, 0) / outcomes.reduce((sum, { asked }) => sum + asked, 0)
@@ -43,8 +43,8 @@
 
 const POOL = poolKey('llm', 'small')
 
-/** What one node knows, before three groups at most. */
-class PlacementWorld {
+/** The view of one node, with a few groups. */
+class NodeView {
   readonly load = new TargetLoad()
   readonly health = new EndpointHealth()
   readonly speeds = new EndpointSpeeds()
@@ -63,9 +63,9 @@
 }
 
 describe('place', () => {
-  it('serves more in time through a surge than when every request is sent', () => {
-    // Symptom: in a burst of 1.7 times what the groups can serve, almost every answer is late, and for seconds after.
-    // Sequence: all requests are sent, queues grow beyond the target time. Cause: nobody was turned away.
+  it('serves more requests in time through a surge than when every request is dispatched', () => {
+    // Guards against a burst of 1.7 times the groups' capacity in which almost every answer is late, and for seconds
+    // afterwards: when no request is refused, queues grow beyond the target time.
     for (const seed of SEEDS) {
       const refusing = new SurgeReplay({ ...SURGE, seed }).run()
       const sending = new SurgeReplay({ ...SURGE, seed, refuses: false }).run()
@@ -75,95 +75,99 @@
     }
   })
 
-  // Guards against callers that spend their one retry while all endpoints still rest.
-  it('sends callers back no sooner than the first endpoint may be asked again', () => {
-    const world = new PlacementWorld()
+  // Guards against callers that use up their one retry while all endpoints are still backing off.
+  it('asks callers to retry no sooner than the first endpoint may be tried again', () => {
+    const view = new NodeView()
     const targets = [createTarget('g0'), createTarget('g1')]
-    world.backpressure.note('g0', { ...NO_BACKPRESSURE, restMs: 3_000 }, 0)
-    world.backpressure.note('g1', { ...NO_BACKPRESSURE, restMs: 5_000 }, 0)
+    view.backpressure.note('g0', { ...NO_BACKPRESSURE, restMs: 3_000 }, 0)
+    view.backpressure.note('g1', { ...NO_BACKPRESSURE, restMs: 5_000 }, 0)
     for (let nowMs = 0; nowMs < 3_000; nowMs += 500) {
-      const refusal = world.place(targets, createQuery({ leftMs: 1_500 }), nowMs) as PlacementRefusal
+      const refusal = view.place(targets, createQuery({ leftMs: 1_500 }), nowMs) as PlacementRefusal
       expect(refusal).to.deep.include({ reason: RefusalReason.BackingOff, inNeed: ['g0', 'g1'] })
       expect(nowMs + refusal.retryAfterMs).to.be.within(3_000, 3_500)
     }
-    expect(world.place(targets, createQuery(), 3_000)).to.deep.include({ endpoint: 'g0' })
+    expect(view.place(targets, createQuery(), 3_000)).to.deep.include({ endpoint: 'g0' })
   })
 
-  it('serves more in time when nodes tell each other what they have in flight', () => {
-    // Symptom: a sixth of the answers is late though slots are free. Sequence: several nodes see one group's low
-    // reading and all choose it. Cause: readings come with each node's own answers only, about one a second.
+  it('serves more requests in time when nodes share their requests in flight', () => {
+    // Guards against late answers while slots are free: several nodes see the same low reading of a group and all choose
+    // it, since readings arrive only with each node's own responses, about one a second. A sixth of the answers was
+    // late.
     for (const seed of SEEDS) {
       const nearFull = { ...SURGE, seed, nodes: 91, loadSteps: [0.9, 0.9, 0.9, 0.9] }
-      const told = new SurgeReplay(nearFull).run()
+      const shared = new SurgeReplay(nearFull).run()
       const alone = new SurgeReplay({ ...nearFull, sharesObservations: false }).run()
-      expect(told.asked - told.onTime).to.be.below(0.75 * (alone.asked - alone.onTime))
+      expect(shared.asked - shared.onTime).to.be.below(0.75 * (alone.asked - alone.onTime))
     }
   })
 
   for (const { loadSteps, name } of LOADS) {
     it(`serves as many in time with 63, 91 and 195 nodes as with 8, ${name}`, () => {
-      // Symptom: with 91 nodes half of the callers are refused or late before groups that are a third used; with 8 nodes,
-      // at the same load, one in twenty. Sequence: a node sends one request to a group, and takes it for 91. Cause: what a
-      // node knew of others was its own sample times the nodes, whose error grows with them.
+      // Guards against refusals that grow with the number of nodes: a node sends one request to a group and estimates 91
+      // there, since it multiplies its own sample by the number of nodes, and the error grows with it. With 91 nodes
+      // half of the callers were refused or late while groups were a third used; with 8 nodes at the same load, one in
+      // twenty.
       const few = onTimeShare(8, loadSteps)
       for (const nodes of [63, 91, 195]) expect(onTimeShare(nodes, loadSteps), `${nodes} nodes`).to.be.greaterThan(few - 0.05)
     })
   }
 
-  it('serves nine tenths as many with 330 nodes, whose words are further apart', () => {
+  it('serves nearly as many with 330 nodes, whose rounds are longer', () => {
     for (const { loadSteps } of LOADS) expect(onTimeShare(330, loadSteps)).to.be.greaterThan(0.85 * onTimeShare(8, loadSteps))
   })
 
-  it('loses little when a tenth of the words are lost', () => {
+  it('loses little when a tenth of the aggregates are lost', () => {
     const loadSteps = [0.9, 0.9, 0.9]
     expect(onTimeShare(91, loadSteps, { lostMessageShare: 0.1 })).to.be.greaterThan(onTimeShare(91, loadSteps) - 0.05)
   })
 
-  // Guards against engines that take longer for a first event than they declare: requests were sent that could only be late.
+  // Guards against engines whose first event takes longer than they declare: requests were dispatched that could only be
+  // late.
   for (const nodes of [8, 91]) {
-    it(`loses less than a twentieth of an overload to what engines do not declare of a first event, with ${nodes} nodes`, () => {
+    it(`loses less than a twentieth of an overload to undeclared first event delays, with ${nodes} nodes`, () => {
       const overload = [1.2, 1.2, 1.2]
       const undeclared = onTimeShare(nodes, overload, { firstEventDelayMs: 110 })
       expect(undeclared).to.be.at.least(onTimeShare(nodes, overload) - 0.05)
     })
   }
 
-  it('goes on by endpoints\' own words when the coordinating node is lost, spread evenly, however many nodes there are', () => {
-    // Symptom: after the coordinating node is lost half of all answers is late near what groups serve. Sequence: nobody tells;
-    // each node goes on by a forecast that knows nothing of what came since. Cause: the last word was relied on for 10 s.
-    const silent = (nodes: number, load: number): number => {
+  it('falls back to endpoints\' own readings when the coordinator is lost, spread evenly, with any number of nodes', () => {
+    // Guards against forecasts that continue without updates: no aggregates arrive after the loss of the coordinator,
+    // and each node goes on with a forecast that misses all later arrivals. When the last aggregate was used for 10 s,
+    // half of all answers were late near the groups' capacity.
+    const withoutCoordinator = (nodes: number, load: number): number => {
       const outcomes = FLEET_SEEDS.map((seed) => new SurgeReplay({ ...SURGE, seed, nodes, groups: 27, loadSteps: [load, load, load], coordinatorLostAtMs: 2_000 }).run())
       return outcomes.reduce((sum, { onTime }) => sum + onTime, 0) / outcomes.reduce((sum, { asked }) => sum + asked, 0)
     }
     for (const nodes of [8, 91, 195]) {
-      expect(silent(nodes, 0.6), `${nodes} nodes`).to.be.greaterThan(0.98)
-      expect(silent(nodes, 0.9), `${nodes} nodes near what groups serve`).to.be.greaterThan(0.8)
+      expect(withoutCoordinator(nodes, 0.6), `${nodes} nodes`).to.be.greaterThan(0.98)
+      expect(withoutCoordinator(nodes, 0.9), `${nodes} nodes near the groups' capacity`).to.be.greaterThan(0.8)
     }
   })
 
-  it('looks at all groups before it refuses anybody', () => {
-    // Symptom: a caller is refused while a group is idle. Sequence: both groups that were drawn are full. Cause: no other
-    // one was looked at.
-    const world = new PlacementWorld()
-    for (const full of ['a', 'b', 'c']) fill(world.load, full, 12, 4)
-    fill(world.load, 'd', 0, 0)
+  it('considers all groups before it refuses a caller', () => {
+    // Guards against a caller that is refused while a group is idle: both groups drawn are full, and no other one is
+    // considered.
+    const view = new NodeView()
+    for (const full of ['a', 'b', 'c']) fill(view.load, full, 12, 4)
+    fill(view.load, 'd', 0, 0)
     const targets = ['a', 'b', 'c', 'd'].map((endpoint) => createTarget(endpoint))
-    for (let request = 0; request < 8; request++) expect(world.place(targets, createQuery({ targetMs: 400 }))).to.deep.include({ endpoint: 'd' })
+    for (let request = 0; request < 8; request++) expect(view.place(targets, createQuery({ targetMs: 400 }))).to.deep.include({ endpoint: 'd' })
   })
 
-  it('refuses nobody at idle groups while nothing is told, however many nodes there are', () => {
-    // Symptom: after all nodes have started anew, 436 of 571 callers are refused at groups that are nearly idle. Sequence:
-    // a node that has been told nothing has a request or two under way. Cause: it took them times the nodes.
+  it('refuses no caller at idle groups without an aggregate, with any number of nodes', () => {
+    // Guards against refusals at nearly idle groups after all nodes restart: a node without an aggregate has a request
+    // or two in flight and multiplied them by the number of nodes. 436 of 571 callers were refused.
     for (const nodes of [8, 91, 330]) {
-      const world = new PlacementWorld()
+      const view = new NodeView()
       const targets = Array.from({ length: 27 }, (_unused, index) => createTarget(`g${index}`))
-      world.load.begin(POOL, 'g0', 0)
-      world.load.begin(POOL, 'g1', 0)
-      expect(world.place(targets, createQuery(), 0, nodes)).to.have.property('endpoint')
+      view.load.begin(POOL, 'g0', 0)
+      view.load.begin(POOL, 'g1', 0)
+      expect(view.place(targets, createQuery(), 0, nodes)).to.have.property('endpoint')
     }
   })
 
-  it('refuses hardly anybody below what the groups can serve', () => {
+  it('refuses hardly any caller below the groups\' capacity', () => {
     for (const seed of SEEDS) {
       const calm = new SurgeReplay({ ...SURGE, seed, loadSteps: [0.6, 0.6, 0.6] }).run()
       expect(calm.onTime / calm.asked).to.be.greaterThan(0.97)
@@ -171,29 +175,29 @@
     }
   })
 
-  it('sends a caller that will be late only to a free slot', () => {
-    const world = new PlacementWorld()
-    fill(world.load, 'a', 12, 1)
+  it('dispatches a caller that will be late only to a free slot', () => {
+    const view = new NodeView()
+    fill(view.load, 'a', 12, 1)
     const target = createTarget('a')
-    expect(world.place([target])).to.equal(target)
-    expect(world.place([target], createQuery({ alreadyLate: true }))).to.deep.include({ reason: RefusalReason.Full })
-    fill(world.load, 'a', 8, 0)
-    expect(world.place([target], createQuery({ alreadyLate: true }))).to.equal(target)
+    expect(view.place([target])).to.equal(target)
+    expect(view.place([target], createQuery({ alreadyLate: true }))).to.deep.include({ reason: RefusalReason.Full })
+    fill(view.load, 'a', 8, 0)
+    expect(view.place([target], createQuery({ alreadyLate: true }))).to.equal(target)
   })
 
-  it('says what a refusal was decided by', () => {
-    const world = new PlacementWorld()
-    world.load.applyFleetObservation({ inFlight: { g0: 60 }, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NO_DEADLINES_OBSERVED, limits: {}, rests: {}, leaving: [], nodes: 8, ageMs: 0, intervalMs: 200 }, 0)
-    const refusal = world.place([createTarget('g0')], createQuery(), 250) as PlacementRefusal
+  it('reports the basis of a refusal', () => {
+    const view = new NodeView()
+    view.load.applyFleetObservation({ inFlight: { g0: 60 }, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NO_DEADLINES_OBSERVED, limits: {}, rests: {}, leaving: [], nodes: 8, ageMs: 0, intervalMs: 200 }, 0)
+    const refusal = view.place([createTarget('g0')], createQuery(), 250) as PlacementRefusal
     expect(refusal.basis?.loadAgeMs).to.equal(250)
     expect(refusal.basis?.limitMs).to.equal(300)
     expect(refusal.basis?.expectedMs).to.be.greaterThan(300)
   })
 
-  it('tells callers to come back within a third of their time', () => {
-    const world = new PlacementWorld()
-    fill(world.load, 'a', 12, 30)
-    const refusal = world.place([createTarget('a')], createQuery({ leftMs: 900 }))
+  it('asks callers to retry within a third of their remaining time', () => {
+    const view = new NodeView()
+    fill(view.load, 'a', 12, 30)
+    const refusal = view.place([createTarget('a')], createQuery({ leftMs: 900 }))
     expect(refusal).to.deep.include({ reason: RefusalReason.Full })
     expect((refusal as PlacementRefusal).retryAfterMs).to.be.greaterThan(0).and.at.most(300)
   })
@@ -202,35 +206,35 @@
     const promptTokens = 30_000
     const idleMs = firstEventMs(ENGINE, 0.6, 0, promptTokens)
     expect(idleMs).to.be.greaterThan(300)
-    expect(new PlacementWorld().place([createTarget('a')], createQuery({ promptTokens }))).to.deep.include({ endpoint: 'a' })
+    expect(new NodeView().place([createTarget('a')], createQuery({ promptTokens }))).to.deep.include({ endpoint: 'a' })
   })
 
-  it('sends what was lost elsewhere on, however full the rest is', () => {
-    const world = new PlacementWorld()
-    fill(world.load, 'b', 12, 9)
+  it('dispatches a request that lost its endpoint, however full the others are', () => {
+    const view = new NodeView()
+    fill(view.load, 'b', 12, 9)
     const lost = createTarget('a')
-    expect(world.place([lost, createTarget('b')], createQuery({ excluded: [lost], alreadyLate: true }))).to.deep.include({ endpoint: 'b' })
+    expect(view.place([lost, createTarget('b')], createQuery({ excluded: [lost], alreadyLate: true }))).to.deep.include({ endpoint: 'b' })
   })
 
-  it('leaves a slow group to others while they have room', () => {
-    const world = new PlacementWorld()
-    for (let pause = 0; pause < 40; pause++) world.speeds.noteGap('slow', 250, 30, 0)
-    fill(world.load, 'fast', 9, 0)
-    expect(world.place([createTarget('slow'), createTarget('fast')])).to.deep.include({ endpoint: 'fast' })
+  it('avoids a slow group while others have capacity', () => {
+    const view = new NodeView()
+    for (let pause = 0; pause < 40; pause++) view.speeds.noteGap('slow', 250, 30, 0)
+    fill(view.load, 'fast', 9, 0)
+    expect(view.place([createTarget('slow'), createTarget('fast')])).to.deep.include({ endpoint: 'fast' })
   })
 
   it('tries a failed endpoint again after a while', () => {
-    const world = new PlacementWorld()
-    world.health.noteFailure('a', 0)
-    fill(world.load, 'b', 3, 0)
+    const view = new NodeView()
+    view.health.noteFailure('a', 0)
+    fill(view.load, 'b', 3, 0)
     const targets = [createTarget('a'), createTarget('b')]
-    expect(world.place(targets, createQuery(), 10)).to.deep.include({ endpoint: 'b' })
-    fill(world.load, 'a', 0, 0, 7_000)
-    fill(world.load, 'b', 8, 0, 7_000)
-    expect(world.place(targets, createQuery(), 7_000)).to.deep.include({ endpoint: 'a' })
+    expect(view.place(targets, createQuery(), 10)).to.deep.include({ endpoint: 'b' })
+    fill(view.load, 'a', 0, 0, 7_000)
+    fill(view.load, 'b', 8, 0, 7_000)
+    expect(view.place(targets, createQuery(), 7_000)).to.deep.include({ endpoint: 'a' })
   })
 
-  it('says that there is no endpoint when none of the model takes requests', () => {
-    expect(new PlacementWorld().place([])).to.deep.include({ reason: RefusalReason.NoEndpoint })
+  it('refuses with NoEndpoint when no group of the model takes requests', () => {
+    expect(new NodeView().place([])).to.deep.include({ reason: RefusalReason.NoEndpoint })
   })
 })
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/RetryWindow.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/RetryWindow.test.ts
@@ -6,7 +6,7 @@
 const NODES = 8
 
 describe('RetryWindow', () => {
-  it('keeps all nodes together within the budget in every window, with all of them repeating all they can', () => {
+  it('keeps all nodes together within the budget in every window when all of them retry as often as they can', () => {
     const random = createRandom(7)
     const windows = Array.from({ length: NODES }, () => new RetryWindow(OPTIONS, 0))
     const requestTimesMs: number[] = []
@@ -24,9 +24,9 @@
     expect(retryTimesMs.length).to.be.greaterThan(0)
   })
 
-  it('spends nothing of the extra for one window after a restart', () => {
-    // Symptom: the budget of one window is exceeded. Sequence: a node spends its part, is killed, starts, and spends
-    // it again. Cause: what a former life spent is not known to the next.
+  it('uses none of the extra for one window after a restart', () => {
+    // Guards against exceeding the budget of a window: a node uses its share, is killed, restarts, and uses it again,
+    // since the new incarnation does not know what the previous one used.
     const window = new RetryWindow(OPTIONS, 10_000)
     expect(window.trySpend('s', NODES, 5_000)).to.equal(false)
     expect(window.trySpend('s', NODES, 10_000)).to.equal(true)
@@ -39,15 +39,15 @@
     expect(window.trySpend('two', NODES, 0)).to.equal(true)
   })
 
-  it('forgets requests that are older than its window, also when nothing is repeated', () => {
-    // Symptom: a node's memory grows by a few megabytes a day until it is killed. Cause: old requests were dropped only when
-    // a repeat was asked for, which a sound service never needs.
+  it('drops requests that are older than its window, also when nothing is retried', () => {
+    // Guards against memory that grows by a few megabytes a day until the node is killed: old requests were dropped only
+    // when a retry was requested, which a healthy service never needs.
     const window = new RetryWindow({ windowMs: 10_000, ratio: 0.2, extra: 0 }, 0)
     for (let nowMs = 0; nowMs < 100_000; nowMs += 10) window.noteRequest('plain', nowMs)
     expect(window.requestCount('plain')).to.be.at.most(1_001)
   })
 
-  it('keeps what was spent when its options change', () => {
+  it('keeps the retries already made when its options change', () => {
     const window = new RetryWindow({ windowMs: 10_000, ratio: 0, extra: 10 }, 0)
     for (let count = 0; count < 5; count++) expect(window.trySpend('plain', 1, 0)).to.equal(true)
     window.configure({ windowMs: 10_000, ratio: 0, extra: 5 })
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/StreamPauses.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/StreamPauses.test.ts
@@ -7,12 +7,12 @@
 const PRESENT = 6
 
 describe('StreamPauses', () => {
-  it('allows the longest pass that an engine makes while nothing has been seen', () => {
+  it('allows the longest pass of an engine while no pause has been observed', () => {
     const limitMs = new StreamPauses().limitMs('small', ENGINE, PACE, PRESENT, 0)
     expect(limitMs).to.be.within(maxPassMs(ENGINE, PACE), maxPassMs(ENGINE, PACE) * 1.2)
   })
 
-  it('comes down to a few passes of a model whose streams hardly pause', () => {
+  it('falls to a few passes for a model whose streams hardly pause', () => {
     const pauses = new StreamPauses()
     const usualMs = eventGapMs(ENGINE, PACE, PRESENT)
     for (let event = 0; event < 100; event++) pauses.noteGap('small', usualMs, event * usualMs)
@@ -20,7 +20,7 @@
     expect(limitMs).to.be.within(3 * usualMs, 4 * usualMs)
   })
 
-  it('rises at once when long prompts are read between events, and never beyond the longest pass', () => {
+  it('rises at once when long prompts are prefilled between events, but never beyond the longest pass', () => {
     const pauses = new StreamPauses()
     const usualMs = eventGapMs(ENGINE, PACE, PRESENT)
     pauses.noteGap('small', usualMs, 0)
@@ -31,9 +31,10 @@
     expect(pauses.limitMs('small', ENGINE, PACE, PRESENT, 20)).to.be.at.most(maxPassMs(ENGINE, PACE) * 1.2)
   })
 
-  it('goes by what all nodes have seen, which does not rise with their number', () => {
-    // Symptom: with 195 nodes a stop is noticed after the longest pass that is possible, 450 ms, with 9 after 300. Sequence:
-    // of 195 nodes one has always just seen an extreme pause. Cause: the longest of all nodes' pauses was told.
+  it('uses the mean of all nodes, which does not rise with their number', () => {
+    // Guards against a limit that rises with the number of nodes: when the maximum over all nodes was broadcast, one of
+    // 195 nodes had always just observed an extreme pause, so a stall was detected after 450 ms, the longest possible
+    // pass, instead of 300 ms with 9 nodes.
     const usualMs = eventGapMs(ENGINE, PACE, PRESENT)
     const limitMs = (nodes: number): number => {
       const pauses = new StreamPauses()
@@ -45,7 +46,7 @@
     expect(limitMs(9)).to.be.within(3.9 * usualMs, 4.5 * usualMs + 20)
   })
 
-  it('keeps models apart: one that reads long prompts says nothing of another', () => {
+  it('keeps models apart: one that prefills long prompts does not affect another', () => {
     const pauses = new StreamPauses()
     pauses.noteGap('small', 30, 0)
     pauses.noteGap('large', 250, 0)
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/runDispatch.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/runDispatch.test.ts
@@ -43,61 +43,61 @@
   return { end, hasPartialResponse }
 }
 
-const ONCE: DispatchOptions = { retryable: false, maxAttempts: 3 }
-const REPEATABLE: DispatchOptions = { retryable: true, maxAttempts: 3 }
+const AT_MOST_ONCE: DispatchOptions = { retryable: false, maxAttempts: 3 }
+const RETRYABLE: DispatchOptions = { retryable: true, maxAttempts: 3 }
 
 describe('runDispatch', () => {
   for (const end of Object.values(ExchangeEnd)) {
     const rule = EXCHANGE_RULES[end]
 
-    it(`sends a request that runs at most once again after ${end} only when it proves not run`, () => {
-      const { sent } = play({ order: ONCE, exchanges: [ended(end)] })
+    it(`retries a request that must run at most once after ${end} only when it proves not run`, () => {
+      const { sent } = play({ order: AT_MOST_ONCE, exchanges: [ended(end)] })
       expect(sent.length).to.equal(rule.provesNotRun && rule.mayRetryElsewhere ? 2 : 1)
     })
 
-    it(`never says not run after ${end} that does not prove it`, () => {
-      const { end: result } = play({ order: { ...REPEATABLE, maxAttempts: 1 }, exchanges: [ended(end)] })
+    it(`never reports not run after ${end} that does not prove it`, () => {
+      const { end: result } = play({ order: { ...RETRYABLE, maxAttempts: 1 }, exchanges: [ended(end)] })
       if (!rule.provesNotRun) expect(result.kind).not.to.equal(DispatchEndKind.NotRun)
       else expect(result.kind).to.equal(DispatchEndKind.NotRun)
     })
 
-    it(`sends nothing on after ${end} that seems to be what ended its endpoint`, () => {
-      const { sent } = play({ order: REPEATABLE, exchanges: [ended(end)], trustedLosses: 0 })
+    it(`retries nothing after ${end} when the request is suspected of crashing its endpoint`, () => {
+      const { sent } = play({ order: RETRYABLE, exchanges: [ended(end)], trustedLosses: 0 })
       expect(sent.length).to.equal(1)
     })
 
-    it(`cuts an answer off that ${end} leaves incomplete`, () => {
-      const { end: result } = play({ order: { ...REPEATABLE, maxAttempts: 1 }, exchanges: [ended(end, true)] })
+    it(`reports an answer that ${end} leaves incomplete as cut off`, () => {
+      const { end: result } = play({ order: { ...RETRYABLE, maxAttempts: 1 }, exchanges: [ended(end, true)] })
       const whole = end === ExchangeEnd.Answered ? DispatchEndKind.Delivered : DispatchEndKind.CutOff
       expect(result.kind).to.equal(end === ExchangeEnd.CallerLeft ? DispatchEndKind.CallerLeft : whole)
     })
   }
 
-  it('never says not run once a first exchange may have run, whatever the next ones prove', () => {
-    const { end, sent } = play({ order: REPEATABLE, exchanges: [ended(ExchangeEnd.BrokenOff), ended(ExchangeEnd.Rejected), ended(ExchangeEnd.NotConnected)] })
+  it('never reports not run once a first exchange may have run, whatever the next ones prove', () => {
+    const { end, sent } = play({ order: RETRYABLE, exchanges: [ended(ExchangeEnd.BrokenOff), ended(ExchangeEnd.Rejected), ended(ExchangeEnd.NotConnected)] })
     expect(sent).to.have.length(3)
     expect(end.kind).to.equal(DispatchEndKind.Unknown)
   })
 
-  it('keeps to the attempts of the route', () => {
-    const { sent } = play({ order: { ...REPEATABLE, maxAttempts: 2 }, exchanges: [ended(ExchangeEnd.BrokenOff), ended(ExchangeEnd.BrokenOff)] })
+  it('respects the maximum attempts of the route', () => {
+    const { sent } = play({ order: { ...RETRYABLE, maxAttempts: 2 }, exchanges: [ended(ExchangeEnd.BrokenOff), ended(ExchangeEnd.BrokenOff)] })
     expect(sent).to.deep.equal(['e1', 'e2'])
   })
 
-  it('stops when the budget of repeats is spent', () => {
-    const { end, sent } = play({ order: REPEATABLE, exchanges: [ended(ExchangeEnd.Rejected)], budget: 0 })
+  it('stops when the retry budget is used up', () => {
+    const { end, sent } = play({ order: RETRYABLE, exchanges: [ended(ExchangeEnd.Rejected)], budget: 0 })
     expect(sent).to.have.length(1)
     expect(end.kind).to.equal(DispatchEndKind.NotRun)
   })
 
   it('refuses at once, without an exchange, when no endpoint is worth waiting for', () => {
-    const { end, sent } = play({ order: REPEATABLE, exchanges: [], endpoints: 0 })
+    const { end, sent } = play({ order: RETRYABLE, exchanges: [], endpoints: 0 })
     expect(sent).to.deep.equal([])
     expect(end).to.deep.include({ kind: DispatchEndKind.NotRun, refusal: FULL })
   })
 
-  it('hands an endpoint\'s own failure on when nothing better came', () => {
-    const { end } = play({ order: { ...REPEATABLE, maxAttempts: 1 }, exchanges: [ended(ExchangeEnd.Failed)] })
+  it('forwards an endpoint\'s own failure when no better response came', () => {
+    const { end } = play({ order: { ...RETRYABLE, maxAttempts: 1 }, exchanges: [ended(ExchangeEnd.Failed)] })
     expect(end.kind).to.equal(DispatchEndKind.DeliverFailure)
   })
 })
--- a/packages/dotterelspur/src/request/dispatch/runDispatch.ts
+++ b/packages/dotterelspur/src/request/dispatch/runDispatch.ts
@@ -10,26 +10,26 @@
   SpendRetry = 'spend-repeat'
 }
 
-/** Chooses an endpoint, or says why none is to be had. */
+/** Chooses an endpoint, or returns the reason for a refusal. */
 export interface PlaceEffect extends Effect<DispatchEffectKind.Place, DispatchTarget | PlacementRefusal> {
   readonly kind: DispatchEffectKind.Place
   readonly excluded: readonly DispatchTarget[]
 }
 
-/** Sends the request and hands on what comes back; a stream goes on after the events that the caller has. */
+/** Sends the request and forwards the response; a stream continues after the events that the caller already has. */
 export interface ExchangeEffect extends Effect<DispatchEffectKind.Exchange, ExchangeReport> {
   readonly kind: DispatchEffectKind.Exchange
   readonly target: DispatchTarget
-  /** Another exchange may follow if this one is given up. */
+  /** Another exchange may follow if this one is abandoned. */
   readonly mayRetry: boolean
 }
 
-/** Takes one repeat from the budget; false when it is spent. */
+/** Takes one retry from the budget; false when the budget is used up. */
 export interface TakeRetryEffect extends Effect<DispatchEffectKind.SpendRetry, boolean> {
   readonly kind: DispatchEffectKind.SpendRetry
 }
 
-/** Asks whether the request may go to another endpoint; false when it seems to be what ended the one before. */
+/** Decides whether the request may go to another endpoint; false when it is suspected of having crashed the previous one. */
 export interface JudgeLossEffect extends Effect<DispatchEffectKind.JudgeLoss, boolean> {
   readonly kind: DispatchEffectKind.JudgeLoss
 }
@@ -38,7 +38,7 @@
 
 export interface ExchangeReport {
   readonly end: ExchangeEnd
-  /** Part of the answer is with the caller: no other answer can be given any more. */
+  /** The caller already has part of a response: no other response can be sent any more. */
   readonly hasPartialResponse: boolean
 }
 
@@ -49,9 +49,9 @@
 }
 
 export enum DispatchEndKind {
-  /** The whole answer is with the caller, or on its way. */
+  /** The caller has the whole answer, or it is on its way. */
   Delivered = 'delivered',
-  /** The last endpoint's own failure is to be handed on as it is. */
+  /** The failure that the last endpoint reported is to be forwarded unchanged. */
   DeliverFailure = 'deliver-failure',
   /** Not run, and never will be. */
   NotRun = 'not-run',
@@ -66,14 +66,14 @@
   readonly kind: DispatchEndKind
   /** How the last exchange ended; null when there was none. */
   readonly lastExchange: ExchangeEnd | null
-  /** Why no endpoint was to be had; null where that isn't what ended the request. */
+  /** Why no endpoint was available; null where that isn't what ended the request. */
   readonly refusal: PlacementRefusal | null
   readonly attempts: number
 }
 
 /**
- * One request of a caller, from its first endpoint to its end. An endpoint is tried after another only where the
- * request may run again, or where each one before has proved that it did not run.
+ * Handles one request of a caller, from its first endpoint to its end. Another endpoint is tried only where the request
+ * may run again, or where each endpoint before it has proved that the request did not run.
  */
 export function * runDispatch (order: DispatchOptions): Procedure<DispatchEffects, DispatchEnd> {
   const excluded: DispatchTarget[] = []
