--- a/packages/dotterelspur/src/request/Outcome.ts
+++ b/packages/dotterelspur/src/request/Outcome.ts
@@ -1,16 +1,16 @@
-/** The closed set of what can become of an admitted or refused request id. */
+/** The closed set of outcomes of an admitted or refused request id. */
 export enum OutcomeKind {
   /** The caller has, or can have, the whole answer. */
   Answered = 'answered',
-  /** An endpoint ran it and says that it failed. */
+  /** An endpoint ran the request and reported that it failed. */
   Failed = 'failed',
   /** No attempt reached an endpoint, and none can any more. */
   NotRun = 'not-run',
-  /** It may have run, may run now, or may have failed; the system will not run it again. */
+  /** The request may have run, may still be running, or may have failed; the system will not run it again. */
   Unknown = 'unknown'
 }
 
-/** Why a request ended as it did; the `type` of the error that callers see. */
+/** The reason for a request's outcome; the `type` of the error that callers receive. */
 export enum OutcomeReason {
   Completed = 'completed',
   EndpointFailed = 'endpoint_failed',
@@ -24,7 +24,7 @@
   NoReplica = 'no_replica',
   Draining = 'draining',
   Isolated = 'isolated',
-  /** It ends the endpoints that run it. */
+  /** The request crashes the endpoints that run it. */
   Quarantined = 'quarantined',
   RetryBudgetExhausted = 'retry_budget_exhausted',
   HomeGone = 'home_gone',
@@ -40,6 +40,6 @@
   readonly kind: OutcomeKind
   readonly reason: OutcomeReason
   readonly message: string
-  /** When to come back; null where coming back can't help. */
+  /** When to retry; null where a retry cannot help. */
   readonly retryAfterMs: number | null
 }
--- a/packages/dotterelspur/src/request/backpressure/EndpointBackoffs.ts
+++ b/packages/dotterelspur/src/request/backpressure/EndpointBackoffs.ts
@@ -1,51 +1,53 @@
-/** A trial after a rest that has no answer by then is followed by another one. */
+/** A probe request after a back-off that has no response by then is followed by another one. */
 const PROBE_TIMEOUT_MS = 1_000
 
 interface Backoff {
   untilMs: number
-  /** When the first request after it was sent; null before. */
+  /** When the first request after the back-off was sent; null before. */
   probeSentAtMs: number | null
 }
 
 /**
- * Which endpoints have turned this node away and asked for rest, by the name that its user has for them.
+ * Tracks endpoints that rejected this node's requests and asked it to back off, by the name that the calling code uses
+ * for them.
  *
- * The load that this answers: an endpoint that turns all requests away at once holds nothing, so by its load it is the best
- * of its service and draws several times its part. It gets nothing until its rest is over, then a single request, and the others
- * once that one was taken: else all that has gone elsewhere would come back in one moment.
+ * An endpoint that rejects all requests immediately holds none, so its load makes it look the best of its service, and
+ * it would attract several times its share. It receives nothing until its back-off is over, then a single probe
+ * request, and further requests only once the probe was accepted: otherwise all traffic that was diverted would return
+ * at the same moment.
  */
 export class EndpointBackoffs {
   private readonly backoffs = new Map<string, Backoff>()
-  /** Until when other nodes have been asked for rest. */
+  /** Until when other nodes were asked to back off. */
   private readonly fleetUntilMs = new Map<string, number>()
 
-  /** What an endpoint says with an answer to this node; null where it asks for no rest. */
+  /** Records the back-off that an endpoint states with a response to this node; null where it states none. */
   note (endpoint: string, restMs: number | null, nowMs: number): void {
     const backoff = this.backoffs.get(endpoint)
     if (restMs !== null) this.backoffs.set(endpoint, { untilMs: Math.max(backoff?.untilMs ?? 0, nowMs + restMs), probeSentAtMs: null })
-    // Before the end of a rest it is the answer to a request that was sent before it.
+    // Before the end of a back-off, this is the response to a request that was sent before it.
     else if (backoff !== undefined && nowMs >= backoff.untilMs) this.backoffs.delete(endpoint)
   }
 
-  /** Takes in for how much longer endpoints have asked other nodes for rest. */
+  /** Applies the remaining back-off that endpoints requested from other nodes. */
   applyFleetObservation (leftMs: Readonly<Record<string, number>>, nowMs: number): void {
     this.fleetUntilMs.clear()
     for (const [endpoint, restLeftMs] of Object.entries(leftMs)) this.fleetUntilMs.set(endpoint, nowMs + restLeftMs)
   }
 
-  /** For how much longer endpoints have asked this node for rest, to be told. */
+  /** Remaining back-off that endpoints requested from this node, for its next report. */
   localObservation (nowMs: number): Record<string, number> {
     const resting = [...this.backoffs].filter(([, { untilMs }]) => untilMs > nowMs)
     return Object.fromEntries(resting.map(([endpoint, { untilMs }]) => [endpoint, untilMs - nowMs]))
   }
 
-  /** A request is sent there. */
+  /** Records that a request is sent there. */
   noteSent (endpoint: string, nowMs: number): void {
     const rest = this.backoffs.get(endpoint)
     if (rest !== undefined) rest.probeSentAtMs = nowMs
   }
 
-  /** Until this node may send a request there. */
+  /** Time until this node may send a request there. */
   waitMs (endpoint: string, nowMs: number): number {
     const rest = this.backoffs.get(endpoint)
     if (rest === undefined) return 0
@@ -53,12 +55,15 @@
     return Math.max(0, rest.untilMs - nowMs, trialUntilMs - nowMs)
   }
 
-  /** Whether it has asked this node or another one for rest. One that has asked others takes requests where all else is full. */
+  /**
+   * Whether the endpoint asked this node or another one to back off. An endpoint that asked only other nodes receives
+   * requests when all others are full.
+   */
   isBackingOff (endpoint: string, nowMs: number): boolean {
     return this.waitMs(endpoint, nowMs) > 0 || nowMs < (this.fleetUntilMs.get(endpoint) ?? -Infinity)
   }
 
-  /** Forgets endpoints that are gone and whose rest is over. */
+  /** Drops endpoints that are gone and whose back-off is over. */
   retain (endpoints: ReadonlySet<string>, nowMs: number): void {
     for (const [endpoint, { untilMs }] of this.backoffs) {
       if (!endpoints.has(endpoint) && nowMs >= untilMs) this.backoffs.delete(endpoint)
--- a/packages/dotterelspur/src/request/backpressure/EndpointRateLimits.ts
+++ b/packages/dotterelspur/src/request/backpressure/EndpointRateLimits.ts
@@ -3,16 +3,25 @@
 import { TokenBucket } from '../admission/TokenBucket.js'
 import { isNewer, BACKPRESSURE_TTL_MS, type RateLimitSample } from './RateLimitSample.js'
 
-/** Owners for each request a second of a limit: a node of a large fleet gets about as few requests of a service as such an owner may send. */
+/**
+ * Owners for each request a second of a rate limit: a node of a large fleet receives about as few requests of a service
+ * as such an owner may send.
+ */
 const OWNERS_PER_REQUEST = 6
-/** What an owner may save up: more than one request, or the time until it gets the next one would be lost. */
+/** Tokens that an owner may accumulate: more than one request, or the time until its next token would be lost. */
 const BURST = 1.3
-/** An endpoint that takes nothing is tried this often by the whole fleet: who gets nothing says nothing. */
+/**
+ * The whole fleet sends this many requests a second to an endpoint with a rate limit of zero: an endpoint that receives
+ * no requests cannot report a new limit.
+ */
 const PROBES_PER_SECOND = 0.2
-/** While an endpoint says nothing, its owners pass it on after this time, and after this many of their usual pauses. */
+/**
+ * While an endpoint states nothing, ownership of its limit passes to the next nodes after this time, and after this
+ * many of the usual intervals between requests.
+ */
 const MIN_TURN_MS = 6_000
 const TURN_PAUSES = 6
-/** Without others' limits for so long, that an endpoint says nothing to this node is no sign that it says nothing at all. */
+/** Without an aggregate for this long, that this node has heard nothing from an endpoint does not show that no node has. */
 const FLEET_OBSERVATION_TTL_MS = 2_000
 const SECOND_MS = 1_000
 
@@ -22,17 +31,18 @@
 }
 
 /**
- * Keeps the requests of all nodes together within the limits that endpoints name.
+ * Keeps the requests of all nodes together within the rate limits that endpoints state.
  *
- * The load that this answers: an endpoint in need takes one request a second from all nodes, of which there may be hundreds. An even
- * part for each node would let one of them all send at once, or none of them. So a limit has a few owners among the nodes by rendezvous, each
- * with a part that is worth sending, and the others leave the endpoint to them. Who owns it follows from the nodes that all know;
- * nothing is agreed. The limit itself is fleet to all, so that nodes which no answer has fleet keep to it as well.
+ * An endpoint under pressure may take one request a second from all nodes together, of which there may be hundreds. If
+ * each node had an even share of the limit, either all of them would send at once or none could send at all. A few of
+ * the nodes therefore own the limit, selected by rendezvous hashing, each with a share large enough to use, and the
+ * other nodes do not send to the endpoint. The owners follow from the list of nodes, without any agreement. The limit
+ * itself is broadcast, so that nodes that have received no response from the endpoint respect it as well.
  */
 export class EndpointRateLimits {
-  /** What endpoints said to this node. */
+  /** Limits that endpoints stated in responses to this node. */
   private readonly localLimits = new Map<EndpointId, ReportedRateLimit>()
-  /** The newest of what they said to others. */
+  /** The latest limits that endpoints stated to other nodes. */
   private readonly fleetLimits = new Map<EndpointId, ReportedRateLimit>()
   private readonly allowances = new Map<EndpointId, TokenBucket>()
   private fleetObservedAtMs = -Infinity
@@ -49,14 +59,14 @@
     this.ranks.clear()
   }
 
-  /** What an endpoint says with an answer to this node; null where it names no limit. */
+  /** Records the limit that an endpoint states with a response to this node; null where it states none. */
   note (endpoint: EndpointId, requestsPerSecond: number | null, nowMs: number): void {
     if (requestsPerSecond === null && this.limitOf(endpoint) === null) return
     this.localLimits.set(endpoint, { requestsPerSecond, statedAtMs: nowMs })
     this.updatedAllowance(endpoint, nowMs)
   }
 
-  /** Takes in what endpoints said to other nodes. */
+  /** Applies the limits that endpoints stated to other nodes. */
   applyFleetObservation (samples: Readonly<Record<EndpointId, RateLimitSample>>, nowMs: number): void {
     this.fleetObservedAtMs = nowMs
     for (const [endpoint, { requestsPerSecond, ageMs }] of Object.entries(samples)) {
@@ -69,12 +79,15 @@
     this.dropExpired(this.fleetLimits, nowMs)
   }
 
-  /** What this node was fleet by endpoints themselves. What others fleet isn't fleet on: its age would shrink on each way. */
+  /**
+   * Limits that endpoints stated to this node. Limits received from other nodes are not forwarded: their reported age
+   * would shrink with each hop.
+   */
   localObservation (nowMs: number): Record<EndpointId, RateLimitSample> {
     return Object.fromEntries([...this.localLimits].map(([endpoint, { requestsPerSecond, statedAtMs }]) => [endpoint, { requestsPerSecond, ageMs: nowMs - statedAtMs }]))
   }
 
-  /** Forgets endpoints that are gone and have said nothing for long. */
+  /** Drops endpoints that are gone and have stated nothing for a long time. */
   retain (endpoints: ReadonlySet<EndpointId>, nowMs: number): void {
     const gone = [...this.localLimits, ...this.fleetLimits].filter(([endpoint, { statedAtMs }]) => !endpoints.has(endpoint) && nowMs - statedAtMs > BACKPRESSURE_TTL_MS)
     for (const [endpoint] of gone) {
@@ -87,7 +100,7 @@
     return this.latestLimit(endpoint)?.requestsPerSecond ?? null
   }
 
-  /** Endpoints that name a limit. */
+  /** Endpoints with a rate limit. */
   get limited (): EndpointId[] {
     return [...new Set([...this.localLimits.keys(), ...this.fleetLimits.keys()])].filter((endpoint) => this.limitOf(endpoint) !== null)
   }
@@ -97,12 +110,12 @@
     return this.waitMs(endpoint, nowMs) === 0
   }
 
-  /** A request is sent there. */
+  /** Records that a request is sent there. */
   noteSent (endpoint: EndpointId): void {
     if (this.limitOf(endpoint) !== null) this.allowances.get(endpoint)?.take(1)
   }
 
-  /** Until this node may send a request there; where others own the endpoint, until one of them may on average. */
+  /** Time until this node may send a request there; where other nodes own the limit, the average time until one of them may. */
   waitMs (endpoint: EndpointId, nowMs: number): number {
     const limit = this.latestLimit(endpoint)
     if (limit === undefined || limit.requestsPerSecond === null) return 0
@@ -112,7 +125,7 @@
     return isOwner ? this.updatedAllowance(endpoint, nowMs).waitMs(1, nowMs) : SECOND_MS / perSecond
   }
 
-  /** Part of all nodes that own a part of an endpoint's limit. */
+  /** Share of all nodes that own a part of an endpoint's limit. */
   ownersShare (endpoint: EndpointId): number {
     return this.owners(Math.max(PROBES_PER_SECOND, this.limitOf(endpoint) ?? Infinity)) / this.nodes.length
   }
@@ -121,7 +134,10 @@
     return Math.max(1, Math.min(this.nodes.length, Math.round(perSecond * OWNERS_PER_REQUEST)))
   }
 
-  /** An owner without requests of its own would keep the endpoint from being asked at all: silence moves it on. */
+  /**
+   * An owner without requests of its own would keep all requests from the endpoint, so ownership moves on while the
+   * endpoint states nothing.
+   */
   private isOwner (endpoint: EndpointId, perSecond: number, silentMs: number): boolean {
     const { length } = this.nodes
     const owners = this.owners(perSecond)
@@ -131,7 +147,7 @@
     return (this.rankOf(endpoint) - from % length + length) % length < owners
   }
 
-  /** This node's part of a limit, as if it owned one; from when it knows the limit. */
+  /** This node's share of a limit if it were an owner, starting when it learns the limit. */
   private updatedAllowance (endpoint: EndpointId, nowMs: number): TokenBucket {
     const perSecond = Math.max(PROBES_PER_SECOND, this.limitOf(endpoint) ?? 0)
     const owners = this.owners(perSecond)
@@ -145,7 +161,7 @@
     return allowance
   }
 
-  /** This node's place among all in the order in which they own the endpoint. */
+  /** This node's rank among all nodes in the rendezvous order of the endpoint's owners. */
   private rankOf (endpoint: EndpointId): number {
     let rank = this.ranks.get(endpoint)
     if (rank === undefined) {
--- a/packages/dotterelspur/src/request/backpressure/RateLimitSample.ts
+++ b/packages/dotterelspur/src/request/backpressure/RateLimitSample.ts
@@ -1,25 +1,28 @@
-/** A limit that an endpoint named, as one node tells it to another, whose clock differs. */
+/** A rate limit stated by an endpoint, as sent between nodes, whose clocks differ. */
 export interface RateLimitSample {
-  /** Null where its last answer named none any more. */
+  /** Null where the endpoint's last response stated none any more. */
   readonly requestsPerSecond: number | null
-  /** Since it said so. */
+  /** Time since the response. */
   readonly ageMs: number
 }
 
-/** What an endpoint said of its need is forgotten when nobody has had an answer from it for so long: it is tried. */
+/**
+ * Backpressure is dropped when no node has received a response from the endpoint for this long, so that the endpoint is
+ * tried again.
+ */
 export const BACKPRESSURE_TTL_MS = 60_000
 
-/** Which of two words an endpoint said later. */
+/** Whether the left statement is later than the right one. */
 export function isNewer (left: { readonly statedAtMs: number }, right: { readonly statedAtMs: number }): boolean {
   return left.statedAtMs > right.statedAtMs
 }
 
-/** The later of two samples of one moment. */
+/** The later of two samples of the same moment. */
 export function latestSample (left: RateLimitSample, right: RateLimitSample): RateLimitSample {
   return right.ageMs < left.ageMs ? right : left
 }
 
-/** A sample as it is some time after it was told. */
+/** A sample some time after it was sent. */
 export function agedSample ({ requestsPerSecond, ageMs }: RateLimitSample, passedMs: number): RateLimitSample {
   return { requestsPerSecond, ageMs: ageMs + passedMs }
 }
--- a/packages/dotterelspur/src/request/backpressure/ReportedBackpressure.ts
+++ b/packages/dotterelspur/src/request/backpressure/ReportedBackpressure.ts
@@ -1,10 +1,13 @@
-/** What an endpoint says of its need with an answer. */
+/** The backpressure that an endpoint states with a response. */
 export interface ReportedBackpressure {
-  /** Requests a second that it takes from all nodes together, for as long as it says so; null where it names no limit. */
+  /**
+   * Requests a second that the endpoint takes from all nodes together, as long as it states this; null where it states
+   * no limit.
+   */
   readonly requestsPerSecond: number | null
-  /** It turned the request away, and wants nothing from this node for so long; null where it asks for no rest. */
+  /** The endpoint rejected the request and asks this node to send nothing for this long; null where it asks for no back-off. */
   readonly restMs: number | null
-  /** It will stop: as good as its entry in the list. */
+  /** The endpoint will stop; equivalent to the same flag in its entry in the list of endpoints. */
   readonly isLeaving: boolean
 }
 
--- a/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointBackpressure.test.ts
+++ b/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointBackpressure.test.ts
@@ -5,8 +5,9 @@
 const MINUTE_MS = 60_000
 
 describe('EndpointBackpressure', () => {
-  // Guards against an entry that lapses while the store is out: the same life is listed again, and still in need.
-  it('holds for an endpoint whose entry was gone for a while', () => {
+  // Guards against lost backpressure when an entry lapses during an outage of the store: the same incarnation is listed
+  // again, and is still under pressure.
+  it('is kept for an endpoint whose entry was gone for a while', () => {
     const backpressure = new EndpointBackpressure('n1')
     backpressure.note('e1', { requestsPerSecond: 0, restMs: 3_000, isLeaving: true }, 0)
     backpressure.retain(new Set(), 100)
@@ -15,7 +16,7 @@
     expect(backpressure.localLeaving()).to.deep.equal(['e1'])
   })
 
-  it('is forgotten a minute after the last word of an endpoint that is gone', () => {
+  it('is dropped a minute after the last response of an endpoint that is gone', () => {
     const backpressure = new EndpointBackpressure('n1')
     backpressure.note('e1', { requestsPerSecond: 1, restMs: 3_000, isLeaving: true }, 0)
     backpressure.note('e2', { ...NO_BACKPRESSURE, requestsPerSecond: 1 }, 0)
@@ -25,7 +26,7 @@
     expect(backpressure.rateLimits.limited).to.deep.equal(['e2'])
   })
 
-  it('waits for the longer of a limit and a rest', () => {
+  it('waits for the longer of a rate limit and a back-off', () => {
     const backpressure = new EndpointBackpressure('n1')
     backpressure.note('e1', { ...NO_BACKPRESSURE, requestsPerSecond: 1, restMs: 200 }, 0)
     expect(backpressure.waitMs('e1', 0)).to.be.greaterThan(200)
@@ -33,7 +34,7 @@
     expect(backpressure.waitMs('e2', 0)).to.equal(5_000)
   })
 
-  it('counts on nothing from an endpoint that rests, and on no more than its limit from one that has one', () => {
+  it('bounds the rate to zero during a back-off, and to the rate limit where there is one', () => {
     const backpressure = new EndpointBackpressure('n1')
     backpressure.backoffs.applyFleetObservation({ e1: 1_000 }, 0)
     backpressure.note('e2', { ...NO_BACKPRESSURE, requestsPerSecond: 2 }, 0)
--- a/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointRateLimits.test.ts
+++ b/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointRateLimits.test.ts
@@ -4,7 +4,7 @@
 import { EndpointRateLimits } from '../../../backpressure/EndpointRateLimits.js'
 
 const WINDOW_MS = 4_000
-/** Operators hold nodes to a limit from so long after an endpoint first named it. */
+/** Nodes must respect a limit from this long after an endpoint first stated it. */
 const SETTLED_MS = 3_000
 const LIMIT_FROM_MS = 2_000
 const GROUPS = 27
@@ -16,8 +16,8 @@
   return new SurgeReplay({ ...SURGE, limit: { groups: 2, requestsPerSecond: 1, fromMs: LIMIT_FROM_MS, ...limit }, ...changes }).run()
 }
 
-/** The most requests that some limited endpoint got in a window from nodes that it had told. */
-function mostInWindow ({ rateLimitedArrivals }: SurgeOutcome, fromMs = LIMIT_FROM_MS + SETTLED_MS): number {
+/** The most requests that a limited endpoint received within a window from nodes that it had notified. */
+function maxInWindow ({ rateLimitedArrivals }: SurgeOutcome, fromMs = LIMIT_FROM_MS + SETTLED_MS): number {
   const counted = rateLimitedArrivals.filter(({ atMs, isNotified }) => isNotified && atMs >= fromMs)
   return Math.max(0, ...counted.map((last) => counted.filter(({ endpoint, atMs }) => endpoint === last.endpoint && atMs <= last.atMs && atMs > last.atMs - WINDOW_MS).length))
 }
@@ -26,7 +26,7 @@
   return 1.5 * requestsPerSecond * WINDOW_MS / 1_000 + 5
 }
 
-/** Part of its limit that an endpoint gets while callers ask for more. */
+/** Share of its limit that an endpoint receives while demand exceeds the limit. */
 function usedShare ({ rateLimitedArrivals }: SurgeOutcome, requestsPerSecond: number, groups = 2): number {
   const settled = rateLimitedArrivals.filter(({ atMs }) => atMs >= LIMIT_FROM_MS + SETTLED_MS)
   const lastMs = SURGE.stepMs * SURGE.loadSteps.length
@@ -34,69 +34,69 @@
 }
 
 describe('EndpointRateLimits', () => {
-  // Guards against a limit that each node keeps to alone, or that is shared out until no node may send.
+  // Guards against a limit that each node applies on its own, or that is divided until no node may send.
   for (const nodes of [1, 8, 63, 195, 330]) {
     it(`keeps ${nodes} nodes together within limits of 0.2 to 20 requests a second`, () => {
       for (const requestsPerSecond of [0.2, 1, 3, 20]) {
-        expect(mostInWindow(replay({ requestsPerSecond }, { nodes })), `${requestsPerSecond} a second`).to.be.at.most(allowed(requestsPerSecond))
+        expect(maxInWindow(replay({ requestsPerSecond }, { nodes })), `${requestsPerSecond} a second`).to.be.at.most(allowed(requestsPerSecond))
       }
     }).timeout(60_000)
   }
 
-  it('keeps many endpoints with limits within them, while a third of the words is lost', () => {
+  it('keeps many endpoints with limits within them, while a third of the aggregates is lost', () => {
     for (const seed of [1, 2, 3]) {
-      expect(mostInWindow(replay({ groups: GROUPS / 3 }, { seed, lostMessageShare: 1 / 3 }))).to.be.at.most(allowed(1))
+      expect(maxInWindow(replay({ groups: GROUPS / 3 }, { seed, lostMessageShare: 1 / 3 }))).to.be.at.most(allowed(1))
     }
   })
 
-  // Guards against nodes that each take an endpoint's silence towards themselves for its silence towards all.
-  for (const silence of [{ sharesObservations: false }, { coordinatorLostAtMs: 0 }, { coordinatorLostAtMs: 6_000 }]) {
-    it(`keeps to limits while no node adds up what all see (${JSON.stringify(silence)})`, () => {
+  // Guards against nodes that each mistake an endpoint's silence towards themselves for its silence towards all nodes.
+  for (const outage of [{ sharesObservations: false }, { coordinatorLostAtMs: 0 }, { coordinatorLostAtMs: 6_000 }]) {
+    it(`respects limits while no node sends aggregates (${JSON.stringify(outage)})`, () => {
       const loadSteps = Array.from({ length: 15 }, () => 0.6)
       for (const nodes of [8, 20, 63]) {
         for (const requestsPerSecond of [1, 3]) {
-          for (const seed of [1, 2, 3, 4]) expect(mostInWindow(replay({ requestsPerSecond }, { nodes, seed, loadSteps, ...silence })), `${nodes} nodes, ${requestsPerSecond} a second`).to.be.at.most(allowed(requestsPerSecond))
+          for (const seed of [1, 2, 3, 4]) expect(maxInWindow(replay({ requestsPerSecond }, { nodes, seed, loadSteps, ...outage })), `${nodes} nodes, ${requestsPerSecond} a second`).to.be.at.most(allowed(requestsPerSecond))
         }
       }
     }).timeout(60_000)
   }
 
-  it('keeps to a limit that has fallen from one answer to the next', () => {
+  it('respects a limit that fell from one response to the next', () => {
     const fallenAtMs = 6_000
     const outcome = replay({ requestsPerSecond: 50, then: { requestsPerSecond: 1, fromMs: fallenAtMs } }, { nodes: 63 })
-    expect(mostInWindow(outcome, fallenAtMs + SETTLED_MS)).to.be.at.most(allowed(1))
+    expect(maxInWindow(outcome, fallenAtMs + SETTLED_MS)).to.be.at.most(allowed(1))
   })
 
-  it('has most of a limit used where callers ask for more', () => {
+  it('uses most of a limit where demand exceeds it', () => {
     for (const nodes of [8, 63, 330]) {
       for (const requestsPerSecond of [1, 3]) expect(usedShare(replay({ requestsPerSecond }, { nodes }), requestsPerSecond), `${nodes} nodes, ${requestsPerSecond} a second`).to.be.at.least(0.8)
     }
   }).timeout(60_000)
 
-  it('has the others serve what a limit holds back', () => {
+  it('has other endpoints serve the requests that a limit holds back', () => {
     const without = new SurgeReplay(SURGE).run()
     const limited = replay({ groups: 3 })
     expect(limited.onTime / limited.asked).to.be.at.least(0.9 * without.onTime / without.asked)
   })
 
-  it('refuses at once what no limit lets through', () => {
+  it('refuses at once requests that no limit admits', () => {
     const outcome = replay({ groups: GROUPS, fromMs: 0 })
-    expect(mostInWindow(outcome)).to.be.at.most(allowed(1))
+    expect(maxInWindow(outcome)).to.be.at.most(allowed(1))
     expect(outcome.lost).to.be.greaterThan(outcome.asked / 2)
   })
 
-  it('goes by the latest word, whatever order words come in', () => {
-    // Guards against a limit that an overtaken word brings back or takes away.
-    const word = fc.record({ statedAtMs: fc.integer({ min: 0, max: 1_000 }), limit: fc.option(fc.integer({ min: 1, max: 9 })) })
-    fc.assert(fc.property(fc.uniqueArray(word, { selector: ({ statedAtMs }) => statedAtMs, minLength: 1, maxLength: 8 }), (words) => {
+  it('applies the latest statement, in whatever order statements arrive', () => {
+    // Guards against an older statement that arrives late and restores or removes a limit.
+    const statement = fc.record({ statedAtMs: fc.integer({ min: 0, max: 1_000 }), limit: fc.option(fc.integer({ min: 1, max: 9 })) })
+    fc.assert(fc.property(fc.uniqueArray(statement, { selector: ({ statedAtMs }) => statedAtMs, minLength: 1, maxLength: 8 }), (statements) => {
       const limits = new EndpointRateLimits('n1')
-      for (const { statedAtMs, limit } of words) limits.applyFleetObservation({ e1: { requestsPerSecond: limit, ageMs: 1_000 - statedAtMs } }, 1_000)
-      const latest = words.reduce((left, right) => right.statedAtMs > left.statedAtMs ? right : left)
+      for (const { statedAtMs, limit } of statements) limits.applyFleetObservation({ e1: { requestsPerSecond: limit, ageMs: 1_000 - statedAtMs } }, 1_000)
+      const latest = statements.reduce((left, right) => right.statedAtMs > left.statedAtMs ? right : left)
       expect(limits.limitOf('e1')).to.equal(latest.limit)
     }), { seed: 3, numRuns: 200 })
   })
 
-  it('knows no limit of an endpoint that says none, or that was silent for a minute, gone or not', () => {
+  it('has no limit for an endpoint that states none, or that was silent for a minute, gone or not', () => {
     const limits = new EndpointRateLimits('n1')
     limits.note('e1', 2, 0)
     limits.note('e1', null, 10)
@@ -111,20 +111,20 @@
     expect(limits.limited).to.deep.equal([])
   })
 
-  it('moves on to other nodes when an endpoint is asked by none of its owners', () => {
-    // Guards against an endpoint that nobody asks any more, since its only owner has no requests for it.
+  it('moves ownership to other nodes when none of the owners sends to the endpoint', () => {
+    // Guards against an endpoint that no node sends requests to any more, because its only owner has none for it.
     const nodes = Array.from({ length: 8 }, (_unused, index) => `n${index}`)
     const all = nodes.map((node) => new EndpointRateLimits(node))
     for (const limits of all) limits.noteNodes(nodes)
     const owners = new Set<number>()
-    let mostAtOnce = 0
+    let maxAtOnce = 0
     for (let nowMs = 0; nowMs < 55_000; nowMs += 100) {
       for (const limits of all) limits.applyFleetObservation({ e1: { requestsPerSecond: 0.5, ageMs: nowMs } }, nowMs)
       const now = [...all.keys()].filter((index) => all[index]!.maySend('e1', nowMs))
       now.forEach((index) => { owners.add(index) })
-      mostAtOnce = Math.max(mostAtOnce, now.length)
+      maxAtOnce = Math.max(maxAtOnce, now.length)
     }
     expect(owners.size).to.equal(nodes.length)
-    expect(mostAtOnce).to.equal(3)
+    expect(maxAtOnce).to.equal(3)
   })
 })
--- a/packages/dotterelspur/src/request/poison/PoisonLedger.ts
+++ b/packages/dotterelspur/src/request/poison/PoisonLedger.ts
@@ -3,38 +3,38 @@
 import { mergeRecords, hasMoreEvidence, type EndpointTermination, type PoisonRecord } from './PoisonRecord.js'
 import type { RequestFingerprint } from './RequestContent.js'
 
-/** What is believed of a request. */
+/** The classification of a request. */
 export enum PoisonState {
-  /** Nothing speaks against it, or not enough to treat it otherwise. */
+  /** There is no evidence against the request, or not enough to treat it differently. */
   Trusted = 'trusted',
-  /** Endpoints ended under it, and there is no other explanation: one more end decides. */
+  /** Endpoints terminated while running the request, and nothing else explains it: one more termination decides. */
   Suspected = 'suspected',
-  /** The ends say that it is the cause, and answers that are on the way may still speak for it. */
+  /** The terminations indicate that the request is the cause, but an answer on its way may still clear it. */
   Settling = 'settling',
-  /** It is sent nowhere any more. */
+  /** The request is no longer sent anywhere. */
   Quarantined = 'quarantined'
 }
 
 export interface PoisonLimits {
-  /** Endpoints that a request may end before it is sent nowhere any more. */
+  /** Endpoints that a request may crash before it is no longer sent anywhere. */
   readonly quarantineEnds: number
-  /** Requests that are remembered. */
+  /** Requests for which records are kept. */
   readonly mostRecords: number
-  /** What was seen of a request is forgotten this long after the last time. */
+  /** A record is dropped this long after its last evidence. */
   readonly memoryMs: number
 }
 
 /** The request that lost its endpoint, or was answered. */
 export type PoisonSubject = Pick<PoisonRecord, 'fingerprint' | 'outline' | 'service' | 'caller'>
 
-/** A request is a suspect once this much more would put it in quarantine. */
+/** A request is a suspect if this much more weight would put it in quarantine. */
 const SUSPECT_MARGIN = 1
 /**
- * A request that many callers send loses several endpoints at once when a failure domain goes, and is answered elsewhere at the
- * same time: that answer has so long to arrive before the request is refused.
+ * A request that many callers send loses several endpoints at once when a failure domain fails, and is answered
+ * elsewhere at the same time: that answer has this long to arrive before the request is refused.
  */
 const SETTLE_MS = 300
-/** Requests with fewer ends concern nobody but the node that saw them, and whoever adds up. */
+/** Requests with fewer terminations matter only to the node that observed them and to the node that aggregates the records. */
 const MIN_SHARED_TERMINATIONS = 2
 
 interface Entry {
@@ -43,26 +43,27 @@
 }
 
 /**
- * What one node knows of requests that end endpoints: what it saw itself and what others told. Bounded: of the caller with the most
- * requests here the least telling one goes first, so that who makes a thousand of them only displaces his own.
+ * One node's records of requests that crash endpoints, from its own observations and from other nodes. Bounded: when
+ * full, the record with the least evidence is dropped among those of the caller with the most records, so a caller with
+ * a thousand such requests only displaces its own.
  */
 export class PoisonLedger {
   private readonly entries = new Map<RequestFingerprint, Entry>()
-  /** Requests in quarantine by a decision that outlives the processes. */
+  /** Requests in quarantine by a persisted decision. */
   private readonly decided = new Map<RequestFingerprint, number>()
-  /** When each of the others was first taken for a cause. */
+  /** When each of the other requests was first identified as a cause. */
   private readonly quarantinedAtMs = new Map<RequestFingerprint, number>()
   private outlines: ReadonlySet<number> | null = null
   private judgement: PoisonJudgement | null = null
 
   constructor (private readonly limits: PoisonLimits) {}
 
-  /** Nothing speaks against any request. */
+  /** There is no evidence against any request. */
   get isEmpty (): boolean {
     return this.entries.size === 0 && this.decided.size === 0
   }
 
-  /** Whether a request of this outline can be known here at all. */
+  /** Whether there can be a record or a decision for a request with this outline. */
   mayHaveRecord (outline: number): boolean {
     this.outlines ??= new Set([...[...this.entries.values()].map(({ record }) => record.outline), ...this.decided.values()])
     return this.outlines.has(outline)
@@ -75,12 +76,12 @@
     return (weights.get(fingerprint) ?? 0) >= this.suspectWeight ? PoisonState.Suspected : PoisonState.Trusted
   }
 
-  /** Requests that are sent nowhere. */
+  /** Requests that are no longer sent anywhere. */
   get quarantined (): ReadonlySet<RequestFingerprint> {
     return this.judge().quarantined
   }
 
-  /** Requests that are watched: known to be suspects, but no more than that. */
+  /** Requests that are suspects, but not in quarantine. */
   get suspected (): RequestFingerprint[] {
     return [...this.judge().weights].filter(([, weight]) => weight >= this.suspectWeight).map(([fingerprint]) => fingerprint)
   }
@@ -89,45 +90,45 @@
     return this.entries.get(fingerprint)?.record
   }
 
-  /** An endpoint ended while it had the request; returns what is known of it now, where that is news. */
+  /** Records that an endpoint terminated while it had the request; returns the record if it changed. */
   noteTermination (subject: PoisonSubject, end: EndpointTermination, nowMs: number): PoisonRecord | null {
     const answers = this.entries.get(subject.fingerprint)?.record.answers ?? 0
     return this.mergeRecord({ ...subject, answers, ends: [end], ageMs: 0 }, nowMs)
   }
 
-  /** A whole answer came: what ended before ended for another reason. Returns what changed by it, if anything did. */
+  /** Records a whole answer: the earlier terminations had another cause. Returns the record if it changed. */
   noteAnswer (fingerprint: RequestFingerprint, nowMs: number): PoisonRecord | null {
     const record = this.entries.get(fingerprint)?.record
     if (record === undefined || record.ends.length === 0) return null
     return this.mergeRecord({ ...record, answers: record.answers + 1, ends: [], ageMs: 0 }, nowMs)
   }
 
-  /** Takes in what another node knows; returns the records that say more now. */
+  /** Merges another node's records; returns those that changed. */
   merge (records: readonly PoisonRecord[], nowMs: number): PoisonRecord[] {
     return records.flatMap((record) => this.mergeRecord(record, nowMs) ?? [])
   }
 
-  /** A request is in quarantine by a lasting decision. */
+  /** The request is in quarantine by a persisted decision. */
   noteDecision (fingerprint: RequestFingerprint, outline: number): void {
     this.decided.set(fingerprint, outline)
     this.invalidate()
   }
 
-  /** The decision on a request was taken back: what spoke against it counts no longer. */
+  /** The decision on a request was withdrawn: the evidence against it no longer counts. */
   noteQuarantineLifted (fingerprint: RequestFingerprint, nowMs: number): void {
     if (!this.decided.delete(fingerprint)) return
     this.invalidate()
     this.noteAnswer(fingerprint, nowMs)
   }
 
-  /** What others should know; all that counts of it where `all`, else what concerns them. */
+  /** Records to send to other nodes: all of them where `all`, otherwise those worth sharing. */
   exportRecords (nowMs: number, all: boolean): PoisonRecord[] {
     return [...this.entries.values()]
       .filter(({ record }) => all || isWorthSharing(record))
       .map(({ record, evidenceAtMs }) => ({ ...record, ageMs: nowMs - evidenceAtMs }))
   }
 
-  /** Forgets what is old. */
+  /** Drops old records. */
   expire (nowMs: number): void {
     for (const [fingerprint, { evidenceAtMs }] of this.entries) {
       if (nowMs - evidenceAtMs >= this.limits.memoryMs) this.remove(fingerprint)
@@ -151,7 +152,7 @@
     return this.judgement
   }
 
-  /** Returns the joined record where it says more than before. */
+  /** Returns the merged record if it holds more evidence than before. */
   private mergeRecord (record: PoisonRecord, nowMs: number): PoisonRecord | null {
     if (record.ageMs >= this.limits.memoryMs) return null
     const entry = this.entries.get(record.fingerprint)
@@ -199,7 +200,7 @@
   return [...counts].reduce((left, right) => right[1] > left[1] ? right : left)[0]
 }
 
-/** The least telling first: fewest ends, then the oldest. */
+/** Least evidence first: fewest terminations, then the oldest. */
 function byEvidence (left: Entry, right: Entry): number {
   return left.record.ends.length - right.record.ends.length || left.evidenceAtMs - right.evidenceAtMs
 }
--- a/packages/dotterelspur/src/request/poison/RequestContent.ts
+++ b/packages/dotterelspur/src/request/poison/RequestContent.ts
@@ -1,16 +1,19 @@
 import type { ModelId, ServiceId, WorkspaceId } from '../../process/ids.js'
 import { hashText } from '../../process/rendezvous.js'
 
-/** Names a request by its content, as text of 32 characters. */
+/** Identifies a request by its content, as text of 32 characters. */
 export type RequestFingerprint = string
 
-/** What makes a request the same one when it comes again. */
+/** The properties by which a repeated request is recognized as the same. */
 export interface RequestContent {
   readonly service: ServiceId
   readonly method: string
   /** Path and query. */
   readonly target: string
-  /** Null for callers without a key. It is part of the content, so that no caller can spoil another's requests. */
+  /**
+   * Null for callers without a key. It is part of the content, so that no caller can get another caller's requests
+   * quarantined.
+   */
   readonly caller: WorkspaceId | null
   /** Null for plain services. */
   readonly model: ModelId | null
@@ -18,8 +21,9 @@
 }
 
 /**
- * A cheap first comparison: requests with the same content have the same outline. It leaves the body's bytes out, which take most
- * of the time that a fingerprint takes; that is needed only of a request whose outline is known.
+ * A cheap preliminary comparison: requests with the same content have the same outline. It leaves out the bytes of the
+ * body, which account for most of a fingerprint's cost; the fingerprint is computed only for requests whose outline is
+ * recorded.
  */
 export function outlineOf ({ service, method, target, caller, model, body }: RequestContent): number {
   return hashText(JSON.stringify([service, method, target, caller, model, body.length]))
--- a/packages/dotterelspur/src/request/poison/__tests__/unit/judgePoison.test.ts
+++ b/packages/dotterelspur/src/request/poison/__tests__/unit/judgePoison.test.ts
@@ -3,7 +3,7 @@
 import type { PoisonRecord } from '../../PoisonRecord.js'
 
 const QUARANTINE_ENDS = 3
-const ANSWERING = 3
+const PIECES = 3
 
 function createRecord (fingerprint: string, ends: readonly string[], pieces = 0): PoisonRecord {
   return { fingerprint, outline: 1, service: 'llm', caller: 'tradeline', answers: 0, ends: ends.map((endpoint) => ({ endpoint, pieces })), ageMs: 0 }
@@ -14,39 +14,39 @@
 }
 
 describe('judgePoison', () => {
-  it('needs three ends of a request that had no part of an answer', () => {
+  it('needs three terminations of a request that had no part of an answer', () => {
     expect(quarantined([createRecord('poison', ['e1', 'e2'])])).to.deep.equal([])
     expect(quarantined([createRecord('poison', ['e1', 'e2', 'e3'])])).to.deep.equal(['poison'])
   })
 
-  it('needs twice as many of one that was being answered, which most often is there by chance', () => {
-    expect(quarantined([createRecord('stream', ['e1', 'e2', 'e3', 'e4', 'e5'], ANSWERING)])).to.deep.equal([])
-    expect(quarantined([createRecord('stream', ['e1', 'e2', 'e3', 'e4', 'e5', 'e6'], ANSWERING)])).to.deep.equal(['stream'])
+  it('needs twice as many of a request that was being answered, which usually is there by chance', () => {
+    expect(quarantined([createRecord('stream', ['e1', 'e2', 'e3', 'e4', 'e5'], PIECES)])).to.deep.equal([])
+    expect(quarantined([createRecord('stream', ['e1', 'e2', 'e3', 'e4', 'e5', 'e6'], PIECES)])).to.deep.equal(['stream'])
   })
 
-  it('blames only the request with the most ends where others were there as well', () => {
+  it('quarantines only the request with the most terminations where others were present as well', () => {
     const records = [createRecord('poison', ['e1', 'e2', 'e3', 'e4']), createRecord('beside', ['e1', 'e2', 'e3']), createRecord('also', ['e2', 'e3', 'e4'])]
     expect(quarantined(records)).to.deep.equal(['poison'])
     expect(judgePoison(records, new Set(), QUARANTINE_ENDS).weights.get('beside')).to.equal(1.5)
   })
 
-  it('takes nobody for the cause while two were at the same ends, until there is one more', () => {
+  it('quarantines neither of two requests with the same terminations, until one has another', () => {
     const twins = [createRecord('one', ['e1', 'e2', 'e3']), createRecord('other', ['e1', 'e2', 'e3'])]
     expect(quarantined(twins)).to.deep.equal([])
     expect(quarantined([createRecord('one', ['e1', 'e2', 'e3', 'e4']), twins[1]!])).to.deep.equal(['one'])
   })
 
-  it('goes on blaming others for ends at which no request in quarantine was', () => {
+  it('quarantines another request for terminations at which no quarantined request was present', () => {
     const records = [createRecord('first', ['e1', 'e2', 'e3', 'e4']), createRecord('second', ['e4', 'e5', 'e6', 'e7'])]
     expect(quarantined(records)).to.deep.equal(['first', 'second'])
   })
 
-  it('explains ends by requests that were judged before', () => {
+  it('explains terminations by requests that were judged before', () => {
     const records = [createRecord('decided', ['e1', 'e2']), createRecord('beside', ['e1', 'e2', 'e3'])]
     expect(quarantined(records, ['decided'])).to.deep.equal(['decided'])
   })
 
-  it('is the same whatever the order of the records', () => {
+  it('does not depend on the order of the records', () => {
     const records = [createRecord('a', ['e1', 'e2', 'e3']), createRecord('b', ['e3', 'e4', 'e5']), createRecord('c', ['e5', 'e6', 'e1', 'e7'])]
     expect(quarantined([...records].reverse())).to.deep.equal(quarantined(records))
   })
--- a/packages/dotterelspur/src/request/poison/judgePoison.ts
+++ b/packages/dotterelspur/src/request/poison/judgePoison.ts
@@ -3,14 +3,21 @@
 import type { RequestFingerprint } from './RequestContent.js'
 
 /**
- * How much an end counts. A request that ends its endpoint does so as it begins to run; one that is being answered is most often
- * there by chance. Late ends count half, so that a request that ends endpoints in mid-answer is found as well.
+ * Weight of a termination. A request that crashes its endpoint usually does so as it begins to run, while a request
+ * that is already being answered is usually there by chance. Late terminations count half, so that a request that
+ * crashes endpoints in mid-answer is found as well.
  */
 const BEFORE_RESPONSE_WEIGHT = 1
 const MID_RESPONSE_WEIGHT = 0.5
-/** An end at which a request in quarantine was as well counts so much: most often that one was the cause, but two can be. */
+/**
+ * Factor for a termination at which a quarantined request was present: that request was usually the cause, but two
+ * requests can be.
+ */
 const EXPLAINED_FACTOR = 0.5
-/** Two requests that were at the same ends can't be told apart; with so much more neither is sent any more. */
+/**
+ * Two requests that were present at the same terminations cannot be distinguished; with this much more weight neither
+ * is sent any more.
+ */
 const CERTAINTY_MARGIN = 1
 
 interface Candidate {
@@ -22,21 +29,21 @@
   readonly weight: number
 }
 
-/** What is believed of the requests that lost their endpoints. */
+/** The classification of all requests that lost their endpoints. */
 export interface PoisonJudgement {
-  /** Requests that are sent nowhere any more. */
+  /** Requests that are no longer sent anywhere. */
   readonly quarantined: ReadonlySet<RequestFingerprint>
-  /** Weight of the ends of each other request. */
+  /** Weight of the terminations of each other request. */
   readonly weights: ReadonlyMap<RequestFingerprint, number>
 }
 
 /**
- * Says which requests end their endpoints. Whoever was under way at an end is a suspect, and most of them are there by
- * chance: so the request with the most ends is judged first, and the ends at which it was count half for
- * all others.
+ * Determines which requests crash their endpoints. Every request in flight at a termination is a suspect, and most of
+ * them are there by chance. The request with the most weight is therefore judged first, and the terminations at which
+ * it was present count half for all others.
  *
- * @param decided requests that were judged before; their ends need no other explanation.
- * @param quarantineEnds ends by which a request is taken for the cause.
+ * @param decided requests that were judged before; their terminations need no other explanation.
+ * @param quarantineEnds terminations from which on a request is considered the cause.
  */
 export function judgePoison (records: Iterable<PoisonRecord>, decided: ReadonlySet<RequestFingerprint>, quarantineEnds: number): PoisonJudgement {
   const all: Candidate[] = [...records]
@@ -68,7 +75,7 @@
   return others.every(({ endpoint }) => endpoints.has(endpoint))
 }
 
-/** The heaviest first; nodes that know the same judge the same. */
+/** The heaviest first; nodes with the same records reach the same result. */
 function byWeight (left: WeightedCandidate, right: WeightedCandidate): number {
   return right.weight - left.weight || (left.fingerprint < right.fingerprint ? -1 : 1)
 }
