--- a/packages/dotterelspur-poison/src/__tests__/unit/refusesConnections.test.ts
+++ b/packages/dotterelspur-poison/src/__tests__/unit/refusesConnections.test.ts
@@ -13,7 +13,7 @@
 }
 
 describe('refusesConnections', () => {
-  it('is false where somebody listens, and true once nobody does', async () => {
+  it('is false while a server listens, and true once it is closed', async () => {
     const server = await listen()
     const address = addressOf(server)
     expect(await refusesConnections(address)).to.equal(false)
--- a/packages/dotterelspur-poison/src/connection/TerminationProbe.ts
+++ b/packages/dotterelspur-poison/src/connection/TerminationProbe.ts
@@ -1,16 +1,16 @@
 import { refusesConnections } from './refusesConnections.js'
 
-/** Asks whether endpoints have ended; all that lose the same one at once ask once. */
+/** Checks whether endpoints have terminated; concurrent checks of the same address share one probe. */
 export class TerminationProbe {
   private readonly pending = new Map<string, Promise<boolean>>()
 
   constructor (private readonly probe: (address: string) => Promise<boolean> = refusesConnections) {}
 
   async hasTerminated (address: string): Promise<boolean> {
-    const known = this.pending.get(address)
-    if (known !== undefined) return await known
-    const asked = this.probe(address).finally(() => { this.pending.delete(address) })
-    this.pending.set(address, asked)
-    return await asked
+    const running = this.pending.get(address)
+    if (running !== undefined) return await running
+    const started = this.probe(address).finally(() => { this.pending.delete(address) })
+    this.pending.set(address, started)
+    return await started
   }
 }
--- a/packages/dotterelspur-poison/src/connection/refusesConnections.ts
+++ b/packages/dotterelspur-poison/src/connection/refusesConnections.ts
@@ -1,12 +1,12 @@
 import { connect } from 'node:net'
 
-/** A living endpoint, and the machine of one that has ended, answer within a few milliseconds. */
+/** A live endpoint, and the machine of a terminated one, respond within a few milliseconds. */
 const CONNECT_TIMEOUT_MS = 150
 
 /**
- * Whether nobody listens at an address (`ip:port`). A connection that broke off may have been reset or cut with its endpoint
- * alive, which says nothing about the request on it; an endpoint that has ended refuses new ones. Silence shows neither, and
- * counts as false.
+ * Whether no process listens at an address (`ip:port`). A broken connection may have been reset or cut while its
+ * endpoint is alive, which is no evidence about the request on it; a terminated endpoint refuses new connections. A
+ * time-out proves neither and counts as false.
  */
 export async function refusesConnections (address: string): Promise<boolean> {
   const at = address.lastIndexOf(':')
--- a/packages/dotterelspur-poison/src/process/PoisonGuard.ts
+++ b/packages/dotterelspur-poison/src/process/PoisonGuard.ts
@@ -4,20 +4,20 @@
 } from 'dotterelspur'
 import { fingerprintOf } from '../request/fingerprint.js'
 
-/** What becomes of a request that comes in. */
+/** The admission decision on an arriving request. */
 export enum AdmissionKind {
   Admitted = 'admitted',
-  /** A suspect that runs here, or is another node's to send first. */
+  /** A suspect that is already running on this node, or that another node should send first. */
   Deferred = 'deferred',
-  /** It ends endpoints: it is sent nowhere. */
+  /** The request crashes endpoints and is not sent anywhere. */
   Quarantined = 'quarantined'
 }
 
 export interface PoisonAdmission {
   readonly kind: AdmissionKind
-  /** Null where the request was not known well enough to need one. */
+  /** Null where there is no record of the request, so that no fingerprint was computed. */
   readonly fingerprint: RequestFingerprint | null
-  /** To be called once the request has its answer. */
+  /** Must be called once the request has its answer. */
   readonly release: Teardown
 }
 
@@ -25,22 +25,22 @@
   readonly clock: Clock
   readonly limits: PoisonLimits
   /**
-   * Whether this node is the one that sends a suspect first. With one node for each, a suspect that many nodes get at once most
-   * often meets one endpoint at a time in the whole fleet.
+   * Whether this node is the one that sends a suspect first. With one such node for each suspect, a suspect that
+   * arrives at many nodes at once usually reaches one endpoint at a time in the whole fleet.
    */
   readonly isHome: (fingerprint: RequestFingerprint) => boolean
-  /** What this node has learned itself, to be told to the others. */
+  /** Called with each record that this node's own observations have changed, so that it is sent to the other nodes. */
   readonly onEvidence: (record: PoisonRecord) => void
 }
 
-/** An exchange with an endpoint that is under way. */
+/** Tracks an exchange in progress with an endpoint. */
 export interface ExchangeTracker {
-  /** A piece of the answer came. */
+  /** Records that a piece of the answer arrived. */
   noteProgress (): void
   end (): void
 }
 
-/** Its outline and fingerprint are made once, and only where they are asked for. */
+/** Computes the outline and the fingerprint once each, and only when they are needed. */
 class Exchange {
   pieces = 0
   private cachedOutline: number | null = null
@@ -59,17 +59,20 @@
   }
 }
 
-/** A suspect waits so long for its home's try: a queue, the begin of a run, and a message to all nodes. */
+/**
+ * How long a suspect waits for the attempt of its home node: enough for queueing, the start of the run, and a message
+ * to all nodes.
+ */
 export const SUSPECT_WAIT_MS = 600
 
-/** So many pieces more than at any end show that the request was not what ended them. */
+/** An answer that got this many pieces further than at any termination shows that the request did not cause them. */
 const SIGNIFICANT_PIECES = 3
 
 const UNRECORDED: PoisonAdmission = { kind: AdmissionKind.Admitted, fingerprint: null, release: () => {} }
 
 /**
- * Keeps requests that end endpoints away from them. Most requests pay for it with one comparison of their outline; a fingerprint is
- * made only of those whose outline is known, and of those that lost their endpoint.
+ * Keeps requests that crash endpoints away from them. For most requests this costs one comparison of their outline; a
+ * fingerprint is computed only for requests whose outline is recorded, and for those that lost their endpoint.
  */
 export class PoisonGuard {
   readonly ledger: PoisonLedger
@@ -81,8 +84,9 @@
   }
 
   /**
-   * Says what becomes of a request. A suspect is sent by its home at once; elsewhere it waits first, so that most often it is known
-   * what it is before another node sends it, and then goes as well, since a harmless one must not be refused.
+   * Decides about an arriving request. A suspect is sent by its home node at once. On other nodes it waits first, so
+   * that its classification is usually settled before another node sends it; after the wait it is sent as well, since a
+   * harmless request must not be refused.
    */
   async admit (content: RequestContent): Promise<PoisonAdmission> {
     const first = this.evaluate(content, false)
@@ -91,29 +95,32 @@
     return this.evaluate(content, true)
   }
 
-  /** What would become of a request now; `hasWaited` where it has had its wait. */
+  /** The decision about a request at this moment; `hasWaited` if it has already waited. */
   evaluate (content: RequestContent, hasWaited: boolean): PoisonAdmission {
     const fingerprint = this.fingerprintIfRecorded(content)
     if (fingerprint === null) return UNRECORDED
     return ADMISSIONS[this.ledger.stateOf(fingerprint, this.parts.clock.nowMs())](fingerprint, hasWaited || this.parts.isHome(fingerprint), this.running)
   }
 
-  /** Notes an exchange that begins; what it shows tells others of the same content apart from those that end endpoints. */
+  /**
+   * Starts to track an exchange; its progress distinguishes other requests with the same content from those that crash
+   * endpoints.
+   */
   trackExchange (content: RequestContent): ExchangeTracker {
     const exchange = new Exchange(content)
     this.exchanges.add(exchange)
     return { noteProgress: () => { this.noteProgress(exchange) }, end: () => { this.exchanges.delete(exchange) } }
   }
 
-  /** Whether a request that was admitted may be sent once more. */
+  /** Whether an admitted request may be sent once more. */
   mayRetry (content: RequestContent): boolean {
     const fingerprint = this.fingerprintIfRecorded(content)
     return fingerprint === null || this.ledger.stateOf(fingerprint, this.parts.clock.nowMs()) === PoisonState.Trusted
   }
 
   /**
-   * The endpoint ended while it had the request, of whose answer `pieces` had come. That says nothing against a request of which
-   * another copy has come further at an endpoint that lives.
+   * Records that the endpoint terminated while it had the request, after `pieces` of the answer. This is no evidence
+   * against the request if another copy of it has progressed further at an endpoint that is alive.
    */
   noteTermination (content: RequestContent, endpoint: EndpointId, pieces: number): void {
     if (this.hasProgressedFurther(content, pieces)) return this.noteAnswer(content)
@@ -122,13 +129,13 @@
     this.publish(this.ledger.noteTermination(subject, { endpoint, pieces }, this.parts.clock.nowMs()))
   }
 
-  /** A whole answer to the request came. */
+  /** Records that a whole answer to the request arrived. */
   noteAnswer (content: RequestContent): void {
     const fingerprint = this.fingerprintIfRecorded(content)
     if (fingerprint !== null) this.publish(this.ledger.noteAnswer(fingerprint, this.parts.clock.nowMs()))
   }
 
-  /** An answer that comes further than at any end speaks for the request as a whole one does. */
+  /** An answer that progresses beyond every recorded termination clears the request as a whole answer does. */
   private noteProgress (exchange: Exchange): void {
     exchange.pieces += 1
     if (this.ledger.isEmpty || exchange.pieces < SIGNIFICANT_PIECES || !this.ledger.mayHaveRecord(exchange.outline)) return
@@ -141,7 +148,7 @@
     return [...this.exchanges].some((other) => other.pieces > pieces && other.outline === outline && other.fingerprint === fingerprintOf(content))
   }
 
-  /** Null for a request of which nothing is known. */
+  /** Null for a request without a record. */
   private fingerprintIfRecorded (content: RequestContent): RequestFingerprint | null {
     return this.ledger.isEmpty || !this.ledger.mayHaveRecord(outlineOf(content)) ? null : fingerprintOf(content)
   }
--- a/packages/dotterelspur-poison/src/process/QuarantineRegistry.ts
+++ b/packages/dotterelspur-poison/src/process/QuarantineRegistry.ts
@@ -3,14 +3,17 @@
   type Clock, type NodeId, type ObjectStore, type PoisonRecord, type QuarantineObject, type RequestFingerprint, type StoredObject, type Teardown, type WatchEvent, type WorkspaceId
 } from 'dotterelspur'
 
-/** A decision is written once it has stood for so long: until then the other nodes' evidence may name another cause. */
+/**
+ * A decision is persisted once it has been stable for this long: until then evidence from other nodes may point to
+ * another cause.
+ */
 const SETTLE_MS = 400
-/** Between two tries to write a decision while the store can't be reached. */
+/** Delay between attempts to persist a decision while the store is unreachable. */
 const RETRY_MS = 1_000
 
 export interface QuarantineListener {
   onQuarantined (fingerprint: RequestFingerprint, entry: QuarantineObject): void
-  /** The entry is gone: somebody lets the request run again. */
+  /** The entry was deleted: an operator released the request. */
   onReleased (fingerprint: RequestFingerprint): void
 }
 
@@ -19,13 +22,13 @@
   readonly node: NodeId
   readonly maxEntries: number
   readonly clock: Clock
-  /** This node has written a decision: those who don't follow the store are to be told. */
+  /** This node has persisted a decision; nodes that do not follow the store must be notified. */
   readonly onWritten?: (object: StoredObject<QuarantineObject>) => void
-  /** A decision could not be written, and is tried again. */
+  /** A decision could not be persisted and will be retried. */
   readonly onProblem: (fingerprint: RequestFingerprint, reason: string) => void
 }
 
-/** Knows which requests are in quarantine by the store, and writes them there: one call for each request. */
+/** Holds the quarantined requests that are listed in the store, and persists new ones: one call for each request. */
 export class QuarantineRegistry {
   private readonly entries = new Map<RequestFingerprint, StoredObject<QuarantineObject>>()
   private readonly listeners = new Set<QuarantineListener>()
@@ -46,7 +49,7 @@
     return () => { this.listeners.delete(listener) }
   }
 
-  /** The listener runs once the list has been read for the first time. */
+  /** Calls the listener once the list has been read for the first time. */
   registerKnown (listener: () => void): Teardown {
     this.synchronizedListeners.add(listener)
     return () => { this.synchronizedListeners.delete(listener) }
@@ -56,7 +59,7 @@
     return this.parts.store.watch<QuarantineObject>(QUARANTINE_PREFIX, (event) => { this.applyEvent(event) })
   }
 
-  /** Writes down what is in quarantine and isn't written yet. Called several times a second by the node that decides. */
+  /** Persists quarantined requests that are not in the store yet. Called several times a second by the lease holder. */
   persist (records: readonly PoisonRecord[]): void {
     const nowMs = this.parts.clock.nowMs()
     const current = new Set(records.map(({ fingerprint }) => fingerprint))
@@ -81,11 +84,14 @@
       this.parts.onWritten?.(created.value)
       return
     }
-    // Written before, with the answer lost: it will be read from the store.
+    // An earlier attempt succeeded but its response was lost; the entry will be read from the store.
     if (created.error.kind !== StoreErrorKind.Conflict) this.parts.onProblem(fingerprint, created.error.kind)
   }
 
-  /** Of the caller with the most entries the oldest goes: who fills the list only displaces his own. */
+  /**
+   * Evicts the oldest entry of the caller with the most entries, so that a caller that fills the list only displaces
+   * its own entries.
+   */
   private async evictOldest (): Promise<void> {
     const all = [...this.entries.values()]
     const countOf = (caller: WorkspaceId | null): number => all.filter(({ body }) => body.caller === caller).length
@@ -102,19 +108,19 @@
 
   private applyListing (objects: ReadonlyArray<StoredObject<QuarantineObject>>): void {
     const found = new Set(objects.map(({ key }) => key.slice(QUARANTINE_PREFIX.length)))
-    for (const fingerprint of [...this.entries.keys()].filter((known) => !found.has(known))) this.removeEntry(fingerprint)
+    for (const fingerprint of [...this.entries.keys()].filter((fingerprint) => !found.has(fingerprint))) this.removeEntry(fingerprint)
     for (const object of objects) this.applyObject(object)
     if (this.listed) return
     this.listed = true
     for (const listener of this.synchronizedListeners) listener()
   }
 
-  /** Takes in one entry, from the store or from whoever read it there. */
+  /** Applies one entry, from the store or from another node that read it there. */
   applyObject (object: StoredObject<QuarantineObject>): void {
     const fingerprint = object.key.slice(QUARANTINE_PREFIX.length)
-    const known = this.entries.get(fingerprint)
-    if (object.deleted) return known === undefined || object.version < known.version ? undefined : this.removeEntry(fingerprint)
-    if (known !== undefined && object.version <= known.version) return
+    const current = this.entries.get(fingerprint)
+    if (object.deleted) return current === undefined || object.version < current.version ? undefined : this.removeEntry(fingerprint)
+    if (current !== undefined && object.version <= current.version) return
     this.entries.set(fingerprint, object)
     for (const listener of this.listeners) listener.onQuarantined(fingerprint, object.body)
   }
--- a/packages/dotterelspur/src/request/poison/PoisonLedger.ts
+++ b/packages/dotterelspur/src/request/poison/PoisonLedger.ts
@@ -162,12 +162,12 @@
       this.prune()
       return this.entries.has(record.fingerprint) ? record : null
     }
-    const joined = mergeRecords(entry.record, record)
-    if (!hasMoreEvidence(joined, entry.record)) return null
-    entry.record = joined
+    const merged = mergeRecords(entry.record, record)
+    if (!hasMoreEvidence(merged, entry.record)) return null
+    entry.record = merged
     entry.evidenceAtMs = Math.max(entry.evidenceAtMs, nowMs - record.ageMs)
     this.invalidate()
-    return joined
+    return merged
   }
 
   private prune (): void {
--- a/packages/dotterelspur/src/request/poison/PoisonRecord.ts
+++ b/packages/dotterelspur/src/request/poison/PoisonRecord.ts
@@ -35,7 +35,7 @@
 /** Merges two records of one request. */
 export function mergeRecords (left: PoisonRecord, right: PoisonRecord): PoisonRecord {
   if (left.answers !== right.answers) return left.answers > right.answers ? left : right
-  const added = right.ends.filter(({ endpoint }) => !left.ends.some((known) => known.endpoint === endpoint))
+  const added = right.ends.filter(({ endpoint }) => !left.ends.some((end) => end.endpoint === endpoint))
   return { ...left, ends: [...left.ends, ...added].slice(0, MAX_TERMINATIONS), ageMs: Math.min(left.ageMs, right.ageMs) }
 }
 
