--- a/packages/dotterelspur-poison/src/process/PoisonGuard.ts
+++ b/packages/dotterelspur-poison/src/process/PoisonGuard.ts
@@ -79,8 +79,8 @@
   private readonly running = new Set<RequestFingerprint>()
   private readonly exchanges = new Set<Exchange>()
 
-  constructor (private readonly parts: PoisonGuardOptions) {
-    this.ledger = new PoisonLedger(parts.limits)
+  constructor (private readonly options: PoisonGuardOptions) {
+    this.ledger = new PoisonLedger(options.limits)
   }
 
   /**
@@ -91,7 +91,7 @@
   async admit (content: RequestContent): Promise<PoisonAdmission> {
     const first = this.evaluate(content, false)
     if (first.kind !== AdmissionKind.Deferred) return first
-    await sleep(this.parts.clock, SUSPECT_WAIT_MS)
+    await sleep(this.options.clock, SUSPECT_WAIT_MS)
     return this.evaluate(content, true)
   }
 
@@ -99,7 +99,7 @@
   evaluate (content: RequestContent, hasWaited: boolean): PoisonAdmission {
     const fingerprint = this.fingerprintIfRecorded(content)
     if (fingerprint === null) return UNRECORDED
-    return ADMISSIONS[this.ledger.stateOf(fingerprint, this.parts.clock.nowMs())](fingerprint, hasWaited || this.parts.isHome(fingerprint), this.running)
+    return ADMISSIONS[this.ledger.stateOf(fingerprint, this.options.clock.nowMs())](fingerprint, hasWaited || this.options.isHome(fingerprint), this.running)
   }
 
   /**
@@ -115,7 +115,7 @@
   /** Whether an admitted request may be sent once more. */
   mayRetry (content: RequestContent): boolean {
     const fingerprint = this.fingerprintIfRecorded(content)
-    return fingerprint === null || this.ledger.stateOf(fingerprint, this.parts.clock.nowMs()) === PoisonState.Trusted
+    return fingerprint === null || this.ledger.stateOf(fingerprint, this.options.clock.nowMs()) === PoisonState.Trusted
   }
 
   /**
@@ -126,13 +126,13 @@
     if (this.hasProgressedFurther(content, pieces)) return this.noteAnswer(content)
     const { service, caller } = content
     const subject = { fingerprint: fingerprintOf(content), outline: outlineOf(content), service, caller }
-    this.publish(this.ledger.noteTermination(subject, { endpoint, pieces }, this.parts.clock.nowMs()))
+    this.publish(this.ledger.noteTermination(subject, { endpoint, pieces }, this.options.clock.nowMs()))
   }
 
   /** Records that a whole answer to the request arrived. */
   noteAnswer (content: RequestContent): void {
     const fingerprint = this.fingerprintIfRecorded(content)
-    if (fingerprint !== null) this.publish(this.ledger.noteAnswer(fingerprint, this.parts.clock.nowMs()))
+    if (fingerprint !== null) this.publish(this.ledger.noteAnswer(fingerprint, this.options.clock.nowMs()))
   }
 
   /** An answer that progresses beyond every recorded termination clears the request as a whole answer does. */
@@ -154,7 +154,7 @@
   }
 
   private publish (record: PoisonRecord | null): void {
-    if (record !== null) this.parts.onEvidence(record)
+    if (record !== null) this.options.onEvidence(record)
   }
 }
 
--- a/packages/dotterelspur-poison/src/process/QuarantineRegistry.ts
+++ b/packages/dotterelspur-poison/src/process/QuarantineRegistry.ts
@@ -37,7 +37,7 @@
   private readonly synchronizedListeners = new Set<() => void>()
   private listed = false
 
-  constructor (private readonly parts: QuarantineRegistryOptions) {}
+  constructor (private readonly options: QuarantineRegistryOptions) {}
 
   /** Whether the list has been read at least once. */
   get isKnown (): boolean {
@@ -56,12 +56,12 @@
   }
 
   follow (): Teardown {
-    return this.parts.store.watch<QuarantineObject>(QUARANTINE_PREFIX, (event) => { this.applyEvent(event) })
+    return this.options.store.watch<QuarantineObject>(QUARANTINE_PREFIX, (event) => { this.applyEvent(event) })
   }
 
   /** Persists quarantined requests that are not in the store yet. Called several times a second by the lease holder. */
   persist (records: readonly PoisonRecord[]): void {
-    const nowMs = this.parts.clock.nowMs()
+    const nowMs = this.options.clock.nowMs()
     const current = new Set(records.map(({ fingerprint }) => fingerprint))
     for (const fingerprint of this.decidedAtMs.keys()) if (!current.has(fingerprint)) this.decidedAtMs.delete(fingerprint)
     for (const record of records) {
@@ -71,21 +71,21 @@
       this.decidedAtMs.set(fingerprint, decidedAtMs)
       if (nowMs - decidedAtMs < SETTLE_MS || nowMs < (this.nextAttemptAtMs.get(fingerprint) ?? -Infinity)) continue
       this.nextAttemptAtMs.set(fingerprint, nowMs + RETRY_MS)
-      this.write(record).catch((error: unknown) => { this.parts.onProblem(fingerprint, String(error)) })
+      this.write(record).catch((error: unknown) => { this.options.onProblem(fingerprint, String(error)) })
     }
   }
 
   private async write ({ fingerprint, outline, service, caller, ends }: PoisonRecord): Promise<void> {
-    if (this.entries.size >= this.parts.maxEntries) await this.evictOldest()
-    const entry: QuarantineObject = { outline, service, caller, ends: ends.length, decidedBy: this.parts.node }
-    const created = await this.parts.store.create(`${QUARANTINE_PREFIX}${fingerprint}`, entry)
+    if (this.entries.size >= this.options.maxEntries) await this.evictOldest()
+    const entry: QuarantineObject = { outline, service, caller, ends: ends.length, decidedBy: this.options.node }
+    const created = await this.options.store.create(`${QUARANTINE_PREFIX}${fingerprint}`, entry)
     if (created.ok) {
       this.applyObject(created.value)
-      this.parts.onWritten?.(created.value)
+      this.options.onWritten?.(created.value)
       return
     }
     // An earlier attempt succeeded but its response was lost; the entry will be read from the store.
-    if (created.error.kind !== StoreErrorKind.Conflict) this.parts.onProblem(fingerprint, created.error.kind)
+    if (created.error.kind !== StoreErrorKind.Conflict) this.options.onProblem(fingerprint, created.error.kind)
   }
 
   /**
@@ -97,7 +97,7 @@
     const countOf = (caller: WorkspaceId | null): number => all.filter(({ body }) => body.caller === caller).length
     const most = Math.max(...all.map(({ body }) => countOf(body.caller)))
     const oldest = all.filter(({ body }) => countOf(body.caller) === most).reduce((left, right) => right.version < left.version ? right : left)
-    const removed = await this.parts.store.remove(oldest.key, oldest.version)
+    const removed = await this.options.store.remove(oldest.key, oldest.version)
     if (removed.ok) this.removeEntry(oldest.key.slice(QUARANTINE_PREFIX.length))
   }
 
--- a/packages/dotterelspur/src/request/backpressure/EndpointBackoffs.ts
+++ b/packages/dotterelspur/src/request/backpressure/EndpointBackoffs.ts
@@ -32,27 +32,27 @@
   /** Applies the remaining back-off that endpoints requested from other nodes. */
   applyFleetObservation (leftMs: Readonly<Record<string, number>>, nowMs: number): void {
     this.fleetUntilMs.clear()
-    for (const [endpoint, restLeftMs] of Object.entries(leftMs)) this.fleetUntilMs.set(endpoint, nowMs + restLeftMs)
+    for (const [endpoint, remainingMs] of Object.entries(leftMs)) this.fleetUntilMs.set(endpoint, nowMs + remainingMs)
   }
 
   /** Remaining back-off that endpoints requested from this node, for its next report. */
   localObservation (nowMs: number): Record<string, number> {
-    const resting = [...this.backoffs].filter(([, { untilMs }]) => untilMs > nowMs)
-    return Object.fromEntries(resting.map(([endpoint, { untilMs }]) => [endpoint, untilMs - nowMs]))
+    const active = [...this.backoffs].filter(([, { untilMs }]) => untilMs > nowMs)
+    return Object.fromEntries(active.map(([endpoint, { untilMs }]) => [endpoint, untilMs - nowMs]))
   }
 
   /** Records that a request is sent there. */
   noteSent (endpoint: string, nowMs: number): void {
-    const rest = this.backoffs.get(endpoint)
-    if (rest !== undefined) rest.probeSentAtMs = nowMs
+    const backoff = this.backoffs.get(endpoint)
+    if (backoff !== undefined) backoff.probeSentAtMs = nowMs
   }
 
   /** Time until this node may send a request there. */
   waitMs (endpoint: string, nowMs: number): number {
-    const rest = this.backoffs.get(endpoint)
-    if (rest === undefined) return 0
-    const trialUntilMs = rest.probeSentAtMs === null ? -Infinity : rest.probeSentAtMs + PROBE_TIMEOUT_MS
-    return Math.max(0, rest.untilMs - nowMs, trialUntilMs - nowMs)
+    const backoff = this.backoffs.get(endpoint)
+    if (backoff === undefined) return 0
+    const probeUntilMs = backoff.probeSentAtMs === null ? -Infinity : backoff.probeSentAtMs + PROBE_TIMEOUT_MS
+    return Math.max(0, backoff.untilMs - nowMs, probeUntilMs - nowMs)
   }
 
   /**
--- a/packages/dotterelspur/src/request/backpressure/EndpointBackpressure.ts
+++ b/packages/dotterelspur/src/request/backpressure/EndpointBackpressure.ts
@@ -1,5 +1,5 @@
 import type { EndpointId, NodeId } from '../../process/ids.js'
-import { EndpointRateLimits } from '../backpressure/EndpointRateLimits.js'
+import { EndpointRateLimits } from './EndpointRateLimits.js'
 import { EndpointBackoffs } from './EndpointBackoffs.js'
 import { BACKPRESSURE_TTL_MS } from './RateLimitSample.js'
 import type { ReportedBackpressure } from './ReportedBackpressure.js'
--- a/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointBackoffs.test.ts
+++ b/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointBackoffs.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { SurgeReplay, type GroupShedding, type SurgeOptions, type SurgeOutcome } from '../../../dispatch/__tests__/fixtures/SurgeReplay.js'
-import { EndpointBackoffs } from '../../../backpressure/EndpointBackoffs.js'
+import { EndpointBackoffs } from '../../EndpointBackoffs.js'
 
 /** The most requests that a node may send to an endpoint during one back-off. */
 const MAX_SENT_DURING_BACKOFF = 2
--- a/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointBackpressure.test.ts
+++ b/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointBackpressure.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
-import { EndpointBackpressure } from '../../../backpressure/EndpointBackpressure.js'
-import { NO_BACKPRESSURE } from '../../../backpressure/ReportedBackpressure.js'
+import { EndpointBackpressure } from '../../EndpointBackpressure.js'
+import { NO_BACKPRESSURE } from '../../ReportedBackpressure.js'
 
 const MINUTE_MS = 60_000
 
--- a/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointRateLimits.test.ts
+++ b/packages/dotterelspur/src/request/backpressure/__tests__/unit/EndpointRateLimits.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 import { SurgeReplay, type GroupRateLimit, type SurgeOptions, type SurgeOutcome } from '../../../dispatch/__tests__/fixtures/SurgeReplay.js'
-import { EndpointRateLimits } from '../../../backpressure/EndpointRateLimits.js'
+import { EndpointRateLimits } from '../../EndpointRateLimits.js'
 
 const WINDOW_MS = 4_000
 /** Nodes must respect a limit from this long after an endpoint first stated it. */
--- a/packages/dotterelspur/src/request/dispatch/LoadForecast.ts
+++ b/packages/dotterelspur/src/request/dispatch/LoadForecast.ts
@@ -95,15 +95,15 @@
   }
 
   /**
-   * The share of requests that may be dispatched so that each endpoint holds at most `mostLoad` on average when the
+   * The share of requests that may be dispatched so that each endpoint holds at most `maxLoad` on average when the
    * next aggregate arrives. In an overload each node dispatches this share and refuses the rest. If nodes dispatched
    * everything until the average is reached and nothing afterwards, all of them would alternate between refusing all
    * and dispatching all, from one aggregate to the next.
    */
-  admitted (mostLoad: number): number {
+  admitted (maxLoad: number): number {
     const remainingShare = Math.exp(-(this.flow.ageMs + this.flow.intervalMs) / this.holdMs)
     const offered = this.flow.offeredPerMs * this.holdMs * (1 - remainingShare)
-    const room = this.endpoints.reduce((sum, { present, maxPerMs }) => sum + Math.min(mostLoad - present * remainingShare, this.maxRemaining(maxPerMs, remainingShare)), 0)
+    const room = this.endpoints.reduce((sum, { present, maxPerMs }) => sum + Math.min(maxLoad - present * remainingShare, this.maxRemaining(maxPerMs, remainingShare)), 0)
     return offered <= 0 ? 1 : Math.max(0, Math.min(1, room / offered))
   }
 
@@ -138,14 +138,14 @@
 
   /** How many of the arrivals go to each endpoint, so that all endpoints that get any take the same time afterwards. */
   private fill (remainingShare: number, arrivals: number): number[] {
-    let leastMs = 0
-    let mostMs = MAX_LEVEL_MS
+    let lowMs = 0
+    let highMs = MAX_LEVEL_MS
     for (let step = 0; step < LEVEL_STEPS; step++) {
-      const middleMs = (leastMs + mostMs) / 2
-      if (total(this.capacities(middleMs, remainingShare)) < arrivals) leastMs = middleMs
-      else mostMs = middleMs
+      const middleMs = (lowMs + highMs) / 2
+      if (total(this.capacities(middleMs, remainingShare)) < arrivals) lowMs = middleMs
+      else highMs = middleMs
     }
-    return this.capacities(mostMs, remainingShare)
+    return this.capacities(highMs, remainingShare)
   }
 
   private capacities (levelMs: number, remainingShare: number): number[] {
@@ -171,12 +171,12 @@
 
 /** Index of the first element above `at`, by binary search; the last one where there is none. */
 function firstAbove (rising: readonly number[], at: number): number {
-  let least = 0
-  let most = rising.length - 1
-  while (least < most) {
-    const middle = (least + most) >> 1
-    if (rising[middle]! > at) most = middle
-    else least = middle + 1
+  let low = 0
+  let high = rising.length - 1
+  while (low < high) {
+    const middle = (low + high) >> 1
+    if (rising[middle]! > at) high = middle
+    else low = middle + 1
   }
-  return least
+  return low
 }
--- a/packages/dotterelspur/src/request/dispatch/Placement.ts
+++ b/packages/dotterelspur/src/request/dispatch/Placement.ts
@@ -190,12 +190,12 @@
   // The endpoint's own rate limit has already admitted the request.
   if (backpressure.rateLimits.limitOf(target.endpoint) !== null) return true
   if (engine === null || query.excluded.length > 0) return true
-  const mostLoad = loadCurve(engine, paceOf(engine, target), query.promptTokens)(longestMs - firstEventDelayMs)
-  const admitted = load.admitted(key, mostLoad, nowMs)
+  const maxLoad = loadCurve(engine, paceOf(engine, target), query.promptTokens)(longestMs - firstEventDelayMs)
+  const admitted = load.admitted(key, maxLoad, nowMs)
   if (admitted !== null) return random.next() < admitted
   const usual = load.usual(key, target.slots, targets.size, nodes)
   const sum = [...targets.keys()].reduce((partial, endpoint) => partial + load.estimate(endpoint, usual, nowMs), 0)
-  return sum / targets.size <= mostLoad
+  return sum / targets.size <= maxLoad
 }
 
 /** The longest expected time to the first event with which a request is still dispatched. */
--- a/packages/dotterelspur/src/request/dispatch/TargetLoad.ts
+++ b/packages/dotterelspur/src/request/dispatch/TargetLoad.ts
@@ -155,11 +155,11 @@
   }
 
   /**
-   * The share of the requests for a pool that may be dispatched if its endpoints are to hold `mostLoad` each; null
+   * The share of the requests for a pool that may be dispatched if its endpoints are to hold `maxLoad` each; null
    * without a recent aggregate.
    */
-  admitted (pool: PoolKey, mostLoad: number, nowMs: number): number | null {
-    return this.hasFreshObservation(nowMs) ? this.pools.get(pool)?.forecast?.admitted(mostLoad) ?? null : null
+  admitted (pool: PoolKey, maxLoad: number, nowMs: number): number | null {
+    return this.hasFreshObservation(nowMs) ? this.pools.get(pool)?.forecast?.admitted(maxLoad) ?? null : null
   }
 
   /** The next endpoint of the pool in the distribution of all nodes' requests; evenly spread without a recent aggregate. */
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/FleetObservation.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/FleetObservation.test.ts
@@ -14,7 +14,7 @@
 /** An event at the aggregating node: a node reports its requests in flight, or its link closes. */
 const event = fc.record({ node: fc.integer({ min: 0, max: 4 }), count: fc.integer({ min: 0, max: 9 }), closes: fc.boolean(), afterMs: fc.integer({ min: 0, max: 150 }) })
 
-describe('FleetLedger', () => {
+describe('FleetAggregator', () => {
   it('includes the last observation of each node exactly once, whatever is lost, duplicated or closed', () => {
     // Guards against a group that counts as full for ever: a node's report is lost, delivered twice, or followed by a
     // restart under the same name, and the aggregate was built from differences, so that one was lost or applied twice.
--- a/packages/dotterelspur/src/request/poison/PoisonRecord.ts
+++ b/packages/dotterelspur/src/request/poison/PoisonRecord.ts
@@ -58,10 +58,10 @@
   if (typeof value !== 'object' || value === null) return false
   const { fingerprint, outline, service, caller, answers, ends, ageMs } = value as Partial<PoisonRecord>
   const isNamed = typeof fingerprint === 'string' && typeof service === 'string' && (caller === null || typeof caller === 'string')
-  return isNamed && [outline, answers, ageMs].every(Number.isFinite) && Array.isArray(ends) && ends.every(isEndpointEnd)
+  return isNamed && [outline, answers, ageMs].every(Number.isFinite) && Array.isArray(ends) && ends.every(isEndpointTermination)
 }
 
-function isEndpointEnd (value: unknown): value is EndpointTermination {
+function isEndpointTermination (value: unknown): value is EndpointTermination {
   if (typeof value !== 'object' || value === null) return false
   const { endpoint, pieces } = value as Partial<EndpointTermination>
   return typeof endpoint === 'string' && Number.isFinite(pieces)
