--- a/packages/dotterelspur/src/request/dispatch/DeadlineHistory.ts
+++ b/packages/dotterelspur/src/request/dispatch/DeadlineHistory.ts
@@ -112,11 +112,11 @@
 /** The deadlines that first attempts state, from this node's samples of a route; null while there are too few. */
 function estimateExpected ({ deadlinesMs, refusals }: RouteHistory): ExpectedDeadlines | null {
   if (deadlinesMs.length < MIN_SAMPLES_FOR_MINIMUM) return null
-  const returnShare = Math.min(MAX_RETRY_SHARE, REFUSAL_MARGIN * refusals / deadlinesMs.length)
+  const retryShare = Math.min(MAX_RETRY_SHARE, REFUSAL_MARGIN * refusals / deadlinesMs.length)
   const sorted = sortedOf(deadlinesMs)
-  const aboveReturnsMs = sorted[Math.floor(returnShare * sorted.length)]!
-  const spreadMs = (sorted.at(-1)! - aboveReturnsMs) * returnShare / (1 - returnShare)
-  return { usualMs: middleOf(sorted), minFirstAttemptMs: (aboveReturnsMs - spreadMs) * (1 - TOLERANCE) }
+  const aboveRetriesMs = sorted[Math.floor(retryShare * sorted.length)]!
+  const spreadMs = (sorted.at(-1)! - aboveRetriesMs) * retryShare / (1 - retryShare)
+  return { usualMs: middleOf(sorted), minFirstAttemptMs: (aboveRetriesMs - spreadMs) * (1 - TOLERANCE) }
 }
 
 function medianOf (values: readonly number[]): number {
