--- /dev/null
+++ b/packages/dotterelspur/src/request/backpressure/index.ts
@@ -0,0 +1,5 @@
+export * from './EndpointRateLimits.js'
+export * from './EndpointBackpressure.js'
+export * from './EndpointBackoffs.js'
+export * from './RateLimitSample.js'
+export * from './ReportedBackpressure.js'
--- a/packages/dotterelspur/src/request/dispatch/EventCursor.ts
+++ b/packages/dotterelspur/src/request/dispatch/EventCursor.ts
@@ -3,51 +3,52 @@
 const ID_FIELD = Buffer.from('id:')
 
 /**
- * Cuts a stream into whole events. An endpoint may stop in the middle of one; a continuation elsewhere starts with
- * the next whole event, so a part that was already handed on would stand before it and spoil both.
+ * Splits a stream into complete events. An endpoint may stop in the middle of an event, and a continuation by another
+ * endpoint starts with the next complete one: a partial event that was already forwarded would precede it and corrupt
+ * both.
  */
 export class EventCursor {
-  private rest: Buffer = Buffer.alloc(0)
+  private partialEvent: Buffer = Buffer.alloc(0)
   private lastId: string | null
 
-  /** `lastEventId` is what the caller already has. */
+  /** `lastEventId` is the id of the last event that the caller already has. */
   constructor (lastEventId: string | null) {
     this.lastId = lastEventId
   }
 
-  /** The id of the last whole event that was taken out; null before the first. */
+  /** The id of the last complete event that was returned; null before the first. */
   get lastEventId (): string | null {
     return this.lastId
   }
 
-  /** Takes in bytes and returns those that complete events, or null while there are none. */
-  take (chunk: Buffer): Buffer | null {
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
+  /** Appends bytes and returns those that complete events, or null while there are none. */
+  push (chunk: Buffer): Buffer | null {
+    const bytes = this.partialEvent.length === 0 ? chunk : Buffer.concat([this.partialEvent, chunk])
     const end = bytes.lastIndexOf(EVENT_END)
     if (end === -1) {
-      this.rest = bytes
+      this.partialEvent = bytes
       return null
     }
-    const whole = bytes.subarray(0, end + EVENT_END.length)
-    this.rest = bytes.subarray(end + EVENT_END.length)
-    this.lastId = findLastId(whole) ?? this.lastId
-    return whole
+    const complete = bytes.subarray(0, end + EVENT_END.length)
+    this.partialEvent = bytes.subarray(end + EVENT_END.length)
+    this.lastId = findLastId(complete) ?? this.lastId
+    return complete
   }
 
-  /** What is left when the answer has ended in the proper way. */
-  takeRest (): Buffer {
-    const { rest } = this
-    this.rest = Buffer.alloc(0)
-    return rest
+  /** The remaining bytes, once the response has ended normally. */
+  takeRemainder (): Buffer {
+    const { partialEvent } = this
+    this.partialEvent = Buffer.alloc(0)
+    return partialEvent
   }
 
-  /** Forgets a part of an event whose sender was lost. */
-  dropRest (): void {
-    this.rest = Buffer.alloc(0)
+  /** Discards a partial event whose sender was lost. */
+  dropPartialEvent (): void {
+    this.partialEvent = Buffer.alloc(0)
   }
 }
 
-/** The value of the last `id` field that begins a line. */
+/** The value of the last `id` field at the start of a line. */
 function findLastId (events: Buffer): string | null {
   for (let from = events.length; from >= 0;) {
     const at = events.lastIndexOf(ID_FIELD, from)
--- a/packages/dotterelspur/src/request/dispatch/runDispatch.ts
+++ b/packages/dotterelspur/src/request/dispatch/runDispatch.ts
@@ -7,51 +7,51 @@
   Place = 'place',
   Exchange = 'exchange',
   JudgeLoss = 'judge-loss',
-  SpendRepeat = 'spend-repeat'
+  SpendRetry = 'spend-repeat'
 }
 
-/** Chooses an endpoint, or says why none is to be had. */
+/** Chooses an endpoint, or returns the reason for a refusal. */
 export interface PlaceEffect extends Effect<DispatchEffectKind.Place, DispatchTarget | PlacementRefusal> {
   readonly kind: DispatchEffectKind.Place
   readonly excluded: readonly DispatchTarget[]
 }
 
-/** Sends the request and hands on what comes back; a stream goes on after the events that the caller has. */
+/** Sends the request and forwards the response; a stream continues after the events that the caller already has. */
 export interface ExchangeEffect extends Effect<DispatchEffectKind.Exchange, ExchangeReport> {
   readonly kind: DispatchEffectKind.Exchange
   readonly target: DispatchTarget
-  /** Another exchange may follow if this one is given up. */
-  readonly mayMove: boolean
+  /** Another exchange may follow if this one is abandoned. */
+  readonly mayRetry: boolean
 }
 
-/** Takes one repeat from the budget; false when it is spent. */
-export interface SpendRepeatEffect extends Effect<DispatchEffectKind.SpendRepeat, boolean> {
-  readonly kind: DispatchEffectKind.SpendRepeat
+/** Takes one retry from the budget; false when the budget is used up. */
+export interface TakeRetryEffect extends Effect<DispatchEffectKind.SpendRetry, boolean> {
+  readonly kind: DispatchEffectKind.SpendRetry
 }
 
-/** Asks whether the request may go to another endpoint; false when it seems to be what ended the one before. */
+/** Decides whether the request may go to another endpoint; false when it is suspected of having crashed the previous one. */
 export interface JudgeLossEffect extends Effect<DispatchEffectKind.JudgeLoss, boolean> {
   readonly kind: DispatchEffectKind.JudgeLoss
 }
 
-export type DispatchEffects = PlaceEffect | ExchangeEffect | JudgeLossEffect | SpendRepeatEffect
+export type DispatchEffects = PlaceEffect | ExchangeEffect | JudgeLossEffect | TakeRetryEffect
 
 export interface ExchangeReport {
   readonly end: ExchangeEnd
-  /** Part of the answer is with the caller: no other answer can be given any more. */
-  readonly callerHasPart: boolean
+  /** The caller already has part of a response: no other response can be sent any more. */
+  readonly hasPartialResponse: boolean
 }
 
-export interface DispatchOrder {
+export interface DispatchOptions {
   /** May run more than once. */
-  readonly repeatable: boolean
+  readonly retryable: boolean
   readonly maxAttempts: number
 }
 
 export enum DispatchEndKind {
-  /** The whole answer is with the caller, or on its way. */
+  /** The caller has the whole answer, or it is on its way. */
   Delivered = 'delivered',
-  /** The last endpoint's own failure is to be handed on as it is. */
+  /** The failure that the last endpoint reported is to be forwarded unchanged. */
   DeliverFailure = 'deliver-failure',
   /** Not run, and never will be. */
   NotRun = 'not-run',
@@ -66,33 +66,33 @@
   readonly kind: DispatchEndKind
   /** How the last exchange ended; null when there was none. */
   readonly lastExchange: ExchangeEnd | null
-  /** Why no endpoint was to be had; null where that isn't what ended the request. */
+  /** Why no endpoint was available; null where that isn't what ended the request. */
   readonly refusal: PlacementRefusal | null
   readonly attempts: number
 }
 
 /**
- * One request of a caller, from its first endpoint to its end. An endpoint is tried after another only where the
- * request may run again, or where each one before has proved that it did not run.
+ * Handles one request of a caller, from its first endpoint to its end. Another endpoint is tried only where the request
+ * may run again, or where each endpoint before it has proved that the request did not run.
  */
-export function * runDispatch (order: DispatchOrder): Procedure<DispatchEffects, DispatchEnd> {
+export function * runDispatch (order: DispatchOptions): Procedure<DispatchEffects, DispatchEnd> {
   const excluded: DispatchTarget[] = []
   let mayHaveRun = false
   let last: ExchangeReport | null = null
   for (let attempt = 1; ; attempt++) {
     const placed = yield * perform<PlaceEffect>({ kind: DispatchEffectKind.Place, excluded })
     if (!('endpoint' in placed)) return conclude(last, mayHaveRun, attempt - 1, placed)
-    const mayMove = order.repeatable && attempt < order.maxAttempts
-    last = yield * perform<ExchangeEffect>({ kind: DispatchEffectKind.Exchange, target: placed, mayMove })
+    const mayRetry = order.retryable && attempt < order.maxAttempts
+    last = yield * perform<ExchangeEffect>({ kind: DispatchEffectKind.Exchange, target: placed, mayRetry })
     const rule = EXCHANGE_RULES[last.end]
     mayHaveRun ||= !rule.provesNotRun
     excluded.push(placed)
-    const allowed = rule.mayTryElsewhere && (order.repeatable || !mayHaveRun) && attempt < order.maxAttempts
+    const allowed = rule.mayRetryElsewhere && (order.retryable || !mayHaveRun) && attempt < order.maxAttempts
     if (!allowed) return conclude(last, mayHaveRun, attempt, null)
     const trusted = yield * perform<JudgeLossEffect>({ kind: DispatchEffectKind.JudgeLoss })
     if (!trusted) return conclude(last, mayHaveRun, attempt, null)
-    const paid = yield * perform<SpendRepeatEffect>({ kind: DispatchEffectKind.SpendRepeat })
-    if (!paid) return conclude(last, mayHaveRun, attempt, null)
+    const withinBudget = yield * perform<TakeRetryEffect>({ kind: DispatchEffectKind.SpendRetry })
+    if (!withinBudget) return conclude(last, mayHaveRun, attempt, null)
   }
 }
 
@@ -103,7 +103,7 @@
 function kindOf (last: ExchangeReport | null, mayHaveRun: boolean): DispatchEndKind {
   if (last?.end === ExchangeEnd.Answered) return DispatchEndKind.Delivered
   if (last?.end === ExchangeEnd.CallerLeft) return DispatchEndKind.CallerLeft
-  if (last !== null && last.callerHasPart) return DispatchEndKind.CutOff
+  if (last !== null && last.hasPartialResponse) return DispatchEndKind.CutOff
   if (last?.end === ExchangeEnd.Failed) return DispatchEndKind.DeliverFailure
   return mayHaveRun ? DispatchEndKind.Unknown : DispatchEndKind.NotRun
 }
