--- a/packages/dotterelspur-gateway/src/__tests__/unit/ObservationCodec.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/ObservationCodec.test.ts
@@ -21,7 +21,7 @@
 
 function createCodec (...endpoints: string[]): ObservationCodec {
   const codec = new ObservationCodec()
-  codec.noteEndpoints(new Set(endpoints))
+  codec.setEndpoints(new Set(endpoints))
   return codec
 }
 
@@ -36,7 +36,7 @@
 
   it('forgets endpoints that are gone', () => {
     const codec = createCodec('g1', 'g2')
-    codec.noteEndpoints(new Set(['g2']))
+    codec.setEndpoints(new Set(['g2']))
     expect(codec.decode(codec.encode(FLEET)).inFlight).to.deep.equal({ g2: 1 })
   })
 
--- a/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
@@ -18,17 +18,17 @@
 function createListener (lost: string[]): PeerListener {
   return {
     observe: () => ({ inFlight: {}, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NOTHING_LEARNED, limits: {}, rests: {}, leaving: [] }),
-    observed: () => {},
-    suspected: () => {},
-    doubted: () => {},
-    nodeLost: ({ node }) => { lost.push(node) },
-    laterLease: () => null,
-    leaseSeen: () => {},
-    ownWord: () => null,
-    deciderWord: () => {},
-    feedNews: () => {},
-    poisonSeen: () => {},
-    poisonKnown: () => []
+    onFleetObservation: () => {},
+    onGroupSuspected: () => {},
+    onSuspectedGroups: () => {},
+    onNodeLost: ({ node }) => { lost.push(node) },
+    newerLease: () => null,
+    onNewerLease: () => {},
+    leaseHolderState: () => null,
+    onLeaseHolderState: () => {},
+    onFeedUpdate: () => {},
+    onPoisonRecords: () => {},
+    poisonRecords: () => []
   }
 }
 
--- a/packages/dotterelspur-gateway/src/__tests__/unit/connectWithin.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/connectWithin.test.ts
@@ -4,11 +4,11 @@
 import { connectWithin } from '../../connection/connectWithin.js'
 
 const TIMEOUT_MS = 1
-const STAND_STILL_MS = 20
+const BLOCK_MS = 20
 
 /** Holds the event loop past the timer, so that it is due before anything that the network may say. */
-function standStill (): void {
-  const untilMs = Date.now() + STAND_STILL_MS
+function blockEventLoop (): void {
+  const untilMs = Date.now() + BLOCK_MS
   while (Date.now() < untilMs) { /* Nothing else may run. */ }
 }
 
@@ -41,7 +41,7 @@
       const client = new Client(`http://127.0.0.1:${port}`, {
         connect: (options, callback) => {
           connectWithin(TIMEOUT_MS)(options, callback)
-          standStill()
+          blockEventLoop()
         }
       })
       const error = await client.request({ method: 'GET', path: '/' }).then(() => null, (reason: Error) => reason)
--- a/packages/dotterelspur-gateway/src/connection/CallerListener.ts
+++ b/packages/dotterelspur-gateway/src/connection/CallerListener.ts
@@ -13,7 +13,7 @@
 import type { WireFormat } from '../process/GatewayPorts.js'
 import type { ManifestKeeper } from '../process/ManifestKeeper.js'
 import type { PoisonKeeper } from '../process/PoisonKeeper.js'
-import { CallerAnswer, OwnAnswerKind } from '../request/CallerAnswer.js'
+import { CallerResponse, GatewayErrorKind } from '../request/CallerResponse.js'
 import { GatewayRequest, type AdmittedRequest, type RequestReport } from '../request/GatewayRequest.js'
 import { BodyErrorKind, readBody } from '../request/readBody.js'
 
@@ -33,7 +33,7 @@
   readonly metrics: GatewayMetrics
   readonly wire: WireFormat
   readonly manifest: ManifestKeeper
-  readonly firstKnowledge: FirstKnowledge
+  readonly initialSync: FirstKnowledge
   readonly dispatch: Dispatch
   readonly poison: PoisonKeeper
 }
@@ -51,7 +51,7 @@
   private running = 0
 
   constructor (private readonly parts: CallerListenerParts) {
-    this.app = createApp((request, response) => { this.take(request, response) })
+    this.app = createApp((request, response) => { this.accept(request, response) })
     parts.manifest.registerListener((table) => { this.applyLimits(table.manifest.limits) })
     this.applyLimits(INITIAL_LIMITS)
   }
@@ -97,13 +97,13 @@
     server.headersTimeout = limits.headerTimeoutMs
   }
 
-  private take (request: IncomingMessage, response: ServerResponse): void {
+  private accept (request: IncomingMessage, response: ServerResponse): void {
     this.running += 1
-    const answer = new CallerAnswer(request, response, () => this.draining)
+    const answer = new CallerResponse(request, response, () => this.draining)
     this.run(request, response, answer)
       .catch((error: unknown) => {
         this.parts.log.write(LogKind.Unexpected, { where: 'request', error: error instanceof Error ? error.stack : String(error) })
-        answer.cutOff()
+        answer.abort()
       })
       .finally(() => {
         this.running -= 1
@@ -112,44 +112,44 @@
       .catch(() => { /* `run` has reported what it met. */ })
   }
 
-  private async run (request: IncomingMessage, response: ServerResponse, answer: CallerAnswer): Promise<void> {
+  private async run (request: IncomingMessage, response: ServerResponse, answer: CallerResponse): Promise<void> {
     const arrivedAtMs = this.parts.clock.nowMs()
     const table = this.parts.manifest.current
     const body = await readBody(request, table?.manifest.limits.maxBodyBytes ?? INITIAL_LIMITS.maxBodyBytes)
     if (!body.ok) {
-      if (body.error === BodyErrorKind.TooLarge) this.refuse(request, answer, OwnAnswerKind.BodyTooLarge, null)
+      if (body.error === BodyErrorKind.TooLarge) this.sendError(request, answer, GatewayErrorKind.BodyTooLarge, null)
       return
     }
     const head = this.parts.wire.readCaller(request.headers)
-    await this.parts.firstKnowledge.wait()
+    await this.parts.initialSync.wait()
     // The newest manifest counts, also when it came while the body was read.
     const newest = this.parts.manifest.current
-    if (newest === null) return this.refuse(request, answer, OwnAnswerKind.NoManifest, NO_MANIFEST_RETRY_MS)
+    if (newest === null) return this.sendError(request, answer, GatewayErrorKind.NoManifest, NO_MANIFEST_RETRY_MS)
     const access = newest.access({ host: hostOf(request), path: pathOf(request), key: head.key })
-    if (access.kind !== AccessKind.Allowed) return this.deny(request, answer, access, newest)
+    if (access.kind !== AccessKind.Allowed) return this.denyAccess(request, answer, access, newest)
     const service = this.pickService(access.route)
     const { route, workspace, priority } = access
     const content: RequestContent = { service, method: request.method!, target: request.url!, caller: workspace, model: head.model, body: body.value }
     const admission = await this.parts.poison.guard.admit(content)
-    if (answer.isOver) return admission.release()
-    if (admission.kind !== AdmissionKind.Admitted) return this.holdBack(request, answer, admission)
+    if (answer.isClosed) return admission.release()
+    if (admission.kind !== AdmissionKind.Admitted) return this.refusePoison(request, answer, admission)
     const spentBeforeMs = this.parts.dispatch.noteRequest(service, route, head)
     const requestId = head.requestId ?? randomUUID()
     await this.dispatch(response, answer, { request, content, head, requestId, route, service, workspace, priority, arrivedAtMs, spentBeforeMs }).finally(admission.release)
   }
 
   /** A request that ends endpoints gets no time to come back: it would be refused again. */
-  private holdBack (request: IncomingMessage, answer: CallerAnswer, { kind, fingerprint }: PoisonAdmission): void {
-    if (kind === AdmissionKind.Quarantined) this.refuse(request, answer, OwnAnswerKind.Quarantined, null, { fingerprint })
-    else this.refuse(request, answer, OwnAnswerKind.NotRun, SUSPECT_RETRY_MS, { fingerprint })
+  private refusePoison (request: IncomingMessage, answer: CallerResponse, { kind, fingerprint }: PoisonAdmission): void {
+    if (kind === AdmissionKind.Quarantined) this.sendError(request, answer, GatewayErrorKind.Quarantined, null, { fingerprint })
+    else this.sendError(request, answer, GatewayErrorKind.NotRun, SUSPECT_RETRY_MS, { fingerprint })
   }
 
-  private async dispatch (response: ServerResponse, answer: CallerAnswer, admitted: AdmittedRequest): Promise<void> {
+  private async dispatch (response: ServerResponse, answer: CallerResponse, admitted: AdmittedRequest): Promise<void> {
     const run = new GatewayRequest(this.parts, admitted, answer)
     response.on('close', () => {
-      if (!response.writableFinished) run.callerLeft()
+      if (!response.writableFinished) run.onCallerDisconnect()
     })
-    this.report(admitted, await run.run())
+    this.record(admitted, await run.run())
   }
 
   private pickService ({ shares }: Route): ServiceId {
@@ -159,18 +159,18 @@
     return (share ?? pick(this.parts.random, shares)!).service
   }
 
-  private deny (request: IncomingMessage, answer: CallerAnswer, access: Access, table: RouteTable): void {
-    const kind = access.kind === AccessKind.NoRoute ? OwnAnswerKind.NoRoute : OwnAnswerKind.Unauthorized
-    this.refuse(request, answer, kind, null, { manifestVersion: table.version })
+  private denyAccess (request: IncomingMessage, answer: CallerResponse, access: Access, table: RouteTable): void {
+    const kind = access.kind === AccessKind.NoRoute ? GatewayErrorKind.NoRoute : GatewayErrorKind.Unauthorized
+    this.sendError(request, answer, kind, null, { manifestVersion: table.version })
   }
 
-  private refuse (request: IncomingMessage, answer: CallerAnswer, kind: OwnAnswerKind, retryAfterMs: number | null, fields: LogFields = {}): void {
-    answer.refuse(kind, retryAfterMs)
+  private sendError (request: IncomingMessage, answer: CallerResponse, kind: GatewayErrorKind, retryAfterMs: number | null, fields: LogFields = {}): void {
+    answer.sendError(kind, retryAfterMs)
     this.parts.metrics.countOwnAnswer(kind)
     this.parts.log.write(LogKind.RequestEnded, { request: this.parts.wire.readCaller(request.headers).requestId, answeredWith: kind, path: request.url, manifestVersion: null, ...fields })
   }
 
-  private report (admitted: AdmittedRequest, report: RequestReport): void {
+  private record (admitted: AdmittedRequest, report: RequestReport): void {
     const { clock, log, metrics, manifest } = this.parts
     const tookMs = clock.nowMs() - admitted.arrivedAtMs
     metrics.countRequest(admitted.route.kind, report, tookMs)
@@ -185,7 +185,7 @@
       answeredWith: report.answeredWith ?? undefined,
       refusal: report.end.refusal?.reason,
       ...roundedBasis(report.end.refusal),
-      inNeed: inNeedOf(report.end.refusal),
+      inNeed: backpressuredEndpoints(report.end.refusal),
       targets: report.targets,
       firstByteMs: report.firstByteMs === null ? undefined : Math.round(report.firstByteMs),
       tookMs: Math.round(tookMs),
@@ -197,7 +197,7 @@
 }
 
 /** Endpoints whose need decided a refusal, for its log line; undefined where none did. */
-function inNeedOf (refusal: PlacementRefusal | null): readonly string[] | undefined {
+function backpressuredEndpoints (refusal: PlacementRefusal | null): readonly string[] | undefined {
   return refusal === null || refusal.inNeed.length === 0 ? undefined : refusal.inNeed
 }
 
@@ -209,7 +209,7 @@
 }
 
 /** Every method and path comes to the one handler, as it was sent: the library's own routing and body parsing stay out of the way. */
-function createApp (take: (request: IncomingMessage, response: ServerResponse) => void): FastifyInstance {
+function createApp (accept: (request: IncomingMessage, response: ServerResponse) => void): FastifyInstance {
   const app = fastify({
     logger: false,
     rewriteUrl: () => '/',
@@ -226,7 +226,7 @@
   app.addHook('onRequest', (request, reply) => {
     reply.hijack()
     request.raw.url = request.originalUrl
-    take(request.raw, reply.raw)
+    accept(request.raw, reply.raw)
   })
   app.route({ method: ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'], url: '/', handler: async () => { /* The hook has taken the request. */ } })
   return app
--- a/packages/dotterelspur-gateway/src/connection/EndpointChannel.ts
+++ b/packages/dotterelspur-gateway/src/connection/EndpointChannel.ts
@@ -13,7 +13,7 @@
 const RESET_CODE = 'ECHANNELRESET'
 
 /** An empty line, which endpoints ignore between requests. */
-const END_PROBE = '\r\n'
+const RESET_PROBE = '\r\n'
 
 /**
  * One connection to an endpoint, with one request at a time; connects again when it was closed in between.
@@ -25,8 +25,8 @@
  */
 export class EndpointChannel {
   private readonly client: Client
-  private endsAnswer = false
-  private cleanEnd: Promise<boolean> = Promise.resolve(false)
+  private closeEndsResponse = false
+  private cleanClose: Promise<boolean> = Promise.resolve(false)
 
   constructor (origin: string) {
     this.client = new Client(origin, {
@@ -40,13 +40,13 @@
   }
 
   /** The answer that has begun has no length: the end of the connection will be its end. */
-  noteUnframedAnswer (): void {
-    this.endsAnswer = true
+  noteUnframedResponse (): void {
+    this.closeEndsResponse = true
   }
 
   /** Whether the connection was closed in the ordinary way, and not reset. Asked after the end of an answer without length. */
-  async endedCleanly (): Promise<boolean> {
-    return await this.cleanEnd
+  async closedCleanly (): Promise<boolean> {
+    return await this.cleanClose
   }
 
   dispatch (options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
@@ -64,18 +64,18 @@
   }
 
   private noteConnected (socket: Socket): void {
-    this.endsAnswer = false
-    this.cleanEnd = Promise.resolve(false)
-    this.watchEnds(socket)
+    this.closeEndsResponse = false
+    this.cleanClose = Promise.resolve(false)
+    this.detectReset(socket)
   }
 
   /**
    * Runs before the library's own listeners. A reset is recognised there by its code, so it gets another one. Behind
    * an ordinary end a write still succeeds; on a connection that was reset it fails at once.
    */
-  private watchEnds (socket: Socket): void {
+  private detectReset (socket: Socket): void {
     socket.prependListener('end', () => {
-      if (this.endsAnswer) this.cleanEnd = new Promise((resolve) => { socket.write(END_PROBE, (error) => { resolve(error === null || error === undefined) }) })
+      if (this.closeEndsResponse) this.cleanClose = new Promise((resolve) => { socket.write(RESET_PROBE, (error) => { resolve(error === null || error === undefined) }) })
     })
     socket.prependListener('error', (error: NodeJS.ErrnoException) => {
       if (error.code === 'ECONNRESET') error.code = RESET_CODE
--- a/packages/dotterelspur-gateway/src/connection/EndpointChannels.ts
+++ b/packages/dotterelspur-gateway/src/connection/EndpointChannels.ts
@@ -16,7 +16,7 @@
 
   /** Takes a channel for one exchange; `release` gives it back. */
   acquire (endpoint: EndpointId, address: string): EndpointChannel {
-    const pool = this.pool(endpoint, address)
+    const pool = this.poolOf(endpoint, address)
     const channel = pool.idle.pop() ?? new EndpointChannel(pool.origin)
     pool.busy.add(channel)
     return channel
@@ -27,7 +27,7 @@
     const pool = this.pools.get(endpoint)
     if (pool === undefined || !pool.busy.delete(channel)) return channel.close()
     if (!pool.retired) pool.idle.push(channel)
-    else this.finish(endpoint, pool, channel)
+    else this.closeRetired(endpoint, pool, channel)
   }
 
   /** Closes the channels of endpoints that are gone, once what is on them has ended. */
@@ -47,12 +47,12 @@
     this.pools.clear()
   }
 
-  private finish (endpoint: EndpointId, pool: Pool, channel: EndpointChannel): void {
+  private closeRetired (endpoint: EndpointId, pool: Pool, channel: EndpointChannel): void {
     channel.close()
     if (pool.busy.size === 0) this.pools.delete(endpoint)
   }
 
-  private pool (endpoint: EndpointId, address: string): Pool {
+  private poolOf (endpoint: EndpointId, address: string): Pool {
     let pool = this.pools.get(endpoint)
     if (pool === undefined) {
       pool = { origin: `http://${address}`, idle: [], busy: new Set(), retired: false }
--- a/packages/dotterelspur-gateway/src/connection/ObservationCodec.ts
+++ b/packages/dotterelspur-gateway/src/connection/ObservationCodec.ts
@@ -12,7 +12,7 @@
  * A node's observation on a link. Endpoints are sent as numbers of four bytes: the names of a hundred groups, sent to 200
  * nodes four times a second, would fill a link of 14 Mbit/s.
  */
-export interface CodedObservation {
+export interface EncodedObservation {
   readonly inFlight: readonly number[]
   readonly speeds: readonly number[]
   readonly flows: NamedNumbers
@@ -29,7 +29,7 @@
 }
 
 /** The sum of all nodes' observations on a link. */
-export interface CodedFleetObservation extends CodedObservation {
+export interface EncodedFleetObservation extends EncodedObservation {
   readonly nodes: number
   readonly ageMs: number
   readonly intervalMs: number
@@ -41,7 +41,7 @@
   private readonly codes = new Map<EndpointId, number>()
 
   /** Takes in the endpoints that are listed. */
-  noteEndpoints (endpoints: ReadonlySet<EndpointId>): void {
+  setEndpoints (endpoints: ReadonlySet<EndpointId>): void {
     for (const endpoint of this.codes.keys()) {
       if (!endpoints.has(endpoint)) this.forget(endpoint)
     }
@@ -50,7 +50,7 @@
     }
   }
 
-  encode ({ inFlight, flows, demand, speeds, pauses, firstEvents, deadlines, limits, rests, leaving }: NodeObservation): CodedObservation {
+  encode ({ inFlight, flows, demand, speeds, pauses, firstEvents, deadlines, limits, rests, leaving }: NodeObservation): EncodedObservation {
     return {
       inFlight: Object.entries(inFlight).flatMap(([endpoint, count]) => [this.codeOf(endpoint), count]),
       speeds: Object.entries(speeds).flatMap(([endpoint, speed]) => [this.codeOf(endpoint), hundredths(speed.ratioSum), hundredths(speed.pauses)]),
@@ -66,10 +66,10 @@
     }
   }
 
-  decode ({ inFlight, flows, demand, speeds, pauses, firstEvents, deadlines, leastDeadlineShare, limits = [], rests = [], leaving = [] }: CodedObservation): NodeObservation {
+  decode ({ inFlight, flows, demand, speeds, pauses, firstEvents, deadlines, leastDeadlineShare, limits = [], rests = [], leaving = [] }: EncodedObservation): NodeObservation {
     return {
-      inFlight: Object.fromEntries(this.byEndpoint(inFlight, 1).map(([endpoint, [count]]) => [endpoint, count!])),
-      speeds: Object.fromEntries(this.byEndpoint(speeds, 2).map(([endpoint, [ratioSum, count]]) => [endpoint, { ratioSum: ratioSum! / HUNDREDTHS, pauses: count! / HUNDREDTHS }])),
+      inFlight: Object.fromEntries(this.decodeByEndpoint(inFlight, 1).map(([endpoint, [count]]) => [endpoint, count!])),
+      speeds: Object.fromEntries(this.decodeByEndpoint(speeds, 2).map(([endpoint, [ratioSum, count]]) => [endpoint, { ratioSum: ratioSum! / HUNDREDTHS, pauses: count! / HUNDREDTHS }])),
       flows: Object.fromEntries(chunks(flows, 3).map(([pool, [asked, sent, ended]]) => [pool, { asked: asked! / HUNDREDTHS, sent: sent! / HUNDREDTHS, ended: ended! / HUNDREDTHS }])),
       demand: Object.fromEntries(chunks(demand, 2).map(([model, [groupTimeMs, requests]]) => [model, { groupTimeMs: groupTimeMs!, requests: requests! / HUNDREDTHS }])),
       pauses: Object.fromEntries(chunks(pauses, 2).map(([model, [longestSumMs, nodes]]) => [model, { longestSumMs: longestSumMs!, nodes: nodes! }])),
@@ -78,21 +78,21 @@
         usual: Object.fromEntries(chunks(deadlines, 2).map(([route, [usualSumMs, nodes]]) => [route, { usualSumMs: usualSumMs!, nodes: nodes! }])),
         leastShare: { sum: leastDeadlineShare[0]! / HUNDREDTHS, nodes: leastDeadlineShare[1]! }
       },
-      limits: Object.fromEntries(this.byEndpoint(limits, 2).map(([endpoint, [limit, ageMs]]) => [endpoint, { requestsPerSecond: limit === NO_LIMIT ? null : limit! / HUNDREDTHS, ageMs: ageMs! }])),
-      rests: Object.fromEntries(this.byEndpoint(rests, 1).map(([endpoint, [leftMs]]) => [endpoint, leftMs!])),
-      leaving: this.byEndpoint(leaving, 0).map(([endpoint]) => endpoint)
+      limits: Object.fromEntries(this.decodeByEndpoint(limits, 2).map(([endpoint, [limit, ageMs]]) => [endpoint, { requestsPerSecond: limit === NO_LIMIT ? null : limit! / HUNDREDTHS, ageMs: ageMs! }])),
+      rests: Object.fromEntries(this.decodeByEndpoint(rests, 1).map(([endpoint, [leftMs]]) => [endpoint, leftMs!])),
+      leaving: this.decodeByEndpoint(leaving, 0).map(([endpoint]) => endpoint)
     }
   }
 
-  encodeFleet (observation: FleetObservation): CodedFleetObservation {
+  encodeFleet (observation: FleetObservation): EncodedFleetObservation {
     return { ...this.encode(observation), nodes: observation.nodes, ageMs: Math.round(observation.ageMs), intervalMs: observation.intervalMs }
   }
 
-  decodeFleet (coded: CodedFleetObservation): FleetObservation {
+  decodeFleet (coded: EncodedFleetObservation): FleetObservation {
     return { ...this.decode(coded), nodes: coded.nodes, ageMs: coded.ageMs, intervalMs: coded.intervalMs }
   }
 
-  private byEndpoint (coded: readonly number[], width: number): Array<readonly [EndpointId, readonly number[]]> {
+  private decodeByEndpoint (coded: readonly number[], width: number): Array<readonly [EndpointId, readonly number[]]> {
     return chunks(coded, width).flatMap(([code, values]) => {
       const endpoint = this.byCode.get(code)
       return endpoint === undefined ? [] : [[endpoint, values] as const]
--- a/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
+++ b/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
@@ -1,15 +1,15 @@
 import { FleetLedger, roundMs, type Clock, type EndpointId, type FleetObservation, type NodeId, type NodeObservation, type Random, type Teardown } from 'dotterelspur'
-import type { CodedFleetObservation, CodedObservation } from './ObservationCodec.js'
+import type { EncodedFleetObservation, EncodedObservation } from './ObservationCodec.js'
 import { ObservationCodec } from './ObservationCodec.js'
 
 /** Part of the time until the next word after which a node tells its own part: fresh for it, and not all at once. */
-const TELLS_AFTER = { least: 0.5, most: 0.9 } as const
+const REPLY_DELAY_SHARE = { least: 0.5, most: 0.9 } as const
 
 /** What the exchange asks and tells of this node. */
 export interface ObservationSource {
   /** What this node sees now; it remembers what it told of its own requests. */
   observe (): NodeObservation
-  observed (fleet: FleetObservation): void
+  onFleetObservation (fleet: FleetObservation): void
 }
 
 /**
@@ -20,31 +20,31 @@
   private readonly ledger = new FleetLedger()
   private readonly codec = new ObservationCodec()
   private cancelRound: Teardown = () => {}
-  private cancelAnswer: Teardown = () => {}
+  private cancelReply: Teardown = () => {}
 
   constructor (private readonly clock: Clock, private readonly random: Random, private readonly source: ObservationSource) {}
 
   /** Tells all nodes again and again while this one coordinates. */
-  run (nodeCount: () => number, coordinates: () => boolean, tellAll: (coded: CodedFleetObservation) => void): void {
+  startRounds (nodeCount: () => number, isCoordinator: () => boolean, broadcast: (coded: EncodedFleetObservation) => void): void {
     const intervalMs = roundMs(nodeCount())
     this.cancelRound = this.clock.registerTimer(intervalMs, () => {
-      this.run(nodeCount, coordinates, tellAll)
-      if (!coordinates()) return
+      this.startRounds(nodeCount, isCoordinator, broadcast)
+      if (!isCoordinator()) return
       const fleet = this.ledger.sum(this.source.observe(), intervalMs, this.clock.nowMs())
-      tellAll(this.codec.encodeFleet(fleet))
-      this.source.observed(fleet)
+      broadcast(this.codec.encodeFleet(fleet))
+      this.source.onFleetObservation(fleet)
     })
   }
 
   /** The coordinating node's word; `answer` sends the own part back to it. */
-  takeFleet (coded: CodedFleetObservation, answer: (coded: CodedObservation) => void): void {
-    this.source.observed(this.codec.decodeFleet(coded))
-    const delayMs = (TELLS_AFTER.least + (TELLS_AFTER.most - TELLS_AFTER.least) * this.random.next()) * coded.intervalMs
-    this.cancelAnswer()
-    this.cancelAnswer = this.clock.registerTimer(delayMs, () => { answer(this.codec.encode(this.source.observe())) })
+  receiveFleet (coded: EncodedFleetObservation, reply: (coded: EncodedObservation) => void): void {
+    this.source.onFleetObservation(this.codec.decodeFleet(coded))
+    const delayMs = (REPLY_DELAY_SHARE.least + (REPLY_DELAY_SHARE.most - REPLY_DELAY_SHARE.least) * this.random.next()) * coded.intervalMs
+    this.cancelReply()
+    this.cancelReply = this.clock.registerTimer(delayMs, () => { reply(this.codec.encode(this.source.observe())) })
   }
 
-  takeNode (node: NodeId, coded: CodedObservation): void {
+  receiveNode (node: NodeId, coded: EncodedObservation): void {
     this.ledger.note(node, this.codec.decode(coded), this.clock.nowMs())
   }
 
@@ -57,12 +57,12 @@
     return this.ledger.sendersTo(endpoint)
   }
 
-  noteEndpoints (endpoints: ReadonlySet<EndpointId>): void {
-    this.codec.noteEndpoints(endpoints)
+  setEndpoints (endpoints: ReadonlySet<EndpointId>): void {
+    this.codec.setEndpoints(endpoints)
   }
 
   close (): void {
     this.cancelRound()
-    this.cancelAnswer()
+    this.cancelReply()
   }
 }
--- a/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
@@ -12,19 +12,19 @@
 /** Between two pings to a node; also how often missing links are made. */
 const PING_INTERVAL_MS = 700
 /** A node without a sign of life for this long is taken off the directory: callers would try its address in vain. */
-const NODE_LOST_MS = 2_800
+const NODE_TIMEOUT_MS = 2_800
 /** Changes of a few hundred endpoints at once, as when a store comes back. */
 const MAX_FRAME_BYTES = 1_048_576
 /** What may wait for a peer that reads slowly: three seconds' news of a busy fleet. */
-const BACKLOG_BYTES = 262_144
+const MAX_BACKLOG_BYTES = 262_144
 const HANDSHAKE_TIMEOUT_MS = 600
 /**
  * Handshakes under way at once. A node that takes over dials all others: on a small share of a core hundreds at once run into
  * their timeout, are dialled again, and their nodes are taken off the directory as lost.
  */
-const HANDSHAKES_AT_ONCE = 24
+const MAX_CONCURRENT_HANDSHAKES = 24
 /** Between two words: three of them may be late before nodes turn to the store themselves. */
-const WORD_INTERVAL_MS = 350
+const STATE_INTERVAL_MS = 350
 
 /** Who sent a frame: a node that this one dialled, or one that dialled it. */
 interface Sender {
@@ -41,21 +41,21 @@
 /** What the links tell and ask this node. */
 export interface PeerListener extends ObservationSource {
   /** A node's callers suspect a group, at which `senders` nodes have requests. */
-  suspected (head: EndpointId, suspicion: Suspicion, node: NodeId, senders: number): void
+  onGroupSuspected (head: EndpointId, suspicion: Suspicion, node: NodeId, senders: number): void
   /** The deciding node passes on that groups are suspected. */
-  doubted (heads: readonly EndpointId[]): void
+  onSuspectedGroups (heads: readonly EndpointId[]): void
   /** A node gives no sign of life. */
-  nodeLost (node: NodeRecord): void
+  onNodeLost (node: NodeRecord): void
   /** The lease of a later holder than the one of this number; null where none is known. */
-  laterLease (fencing: number): StoredObject<LeaseObject> | null
-  leaseSeen (lease: StoredObject<LeaseObject>): void
+  newerLease (fencing: number): StoredObject<LeaseObject> | null
+  onNewerLease (lease: StoredObject<LeaseObject>): void
   /** What this node tells; null unless it decides. */
-  ownWord (): DeciderWord | null
-  deciderWord (word: DeciderWord): void
-  feedNews (news: FeedNews): void
-  poisonSeen (records: readonly PoisonRecord[]): void
+  leaseHolderState (): DeciderWord | null
+  onLeaseHolderState (word: DeciderWord): void
+  onFeedUpdate (news: FeedNews): void
+  onPoisonRecords (records: readonly PoisonRecord[]): void
   /** What a node that has just been linked is told; all that is known where it adds up. */
-  poisonKnown (all: boolean): readonly PoisonRecord[]
+  poisonRecords (all: boolean): readonly PoisonRecord[]
 }
 
 interface Link {
@@ -70,29 +70,29 @@
  */
 export class PeerLinks {
   private server: WebSocketServer | null = null
-  private readonly deciders = new Set<WebSocket>()
+  private readonly inbound = new Set<WebSocket>()
   private readonly links = new Map<NodeId, Link>()
-  private readonly aliveAtMs = new Map<NodeId, number>()
+  private readonly lastSeenAtMs = new Map<NodeId, number>()
   /** Nodes that are dialled once a handshake ends. */
-  private undialled: NodeRecord[] = []
+  private dialQueue: NodeRecord[] = []
   private readonly handshakes = new Set<WebSocket>()
-  private tendedAtMs = -Infinity
+  private checkedAtMs = -Infinity
   private readonly exchange: ObservationExchange
   private cancelTimer: Teardown = () => {}
-  private cancelWordTimer: Teardown = () => {}
+  private cancelStateTimer: Teardown = () => {}
   private readonly handlers: FrameHandlers = {
-    [PeerFrameKind.GroupSuspected]: ({ head, suspicion }, { node }) => { if (node !== null) this.listener.suspected(head, suspicion, node, this.exchange.sendersTo(head)) },
-    [PeerFrameKind.GroupsDoubted]: ({ heads }) => { this.listener.doubted(heads) },
-    [PeerFrameKind.NodeObserved]: ({ observation }, { node }) => { if (node !== null) this.exchange.takeNode(node, observation) },
+    [PeerFrameKind.GroupSuspected]: ({ head, suspicion }, { node }) => { if (node !== null) this.listener.onGroupSuspected(head, suspicion, node, this.exchange.sendersTo(head)) },
+    [PeerFrameKind.SuspectedGroups]: ({ heads }) => { this.listener.onSuspectedGroups(heads) },
+    [PeerFrameKind.NodeObserved]: ({ observation }, { node }) => { if (node !== null) this.exchange.receiveNode(node, observation) },
     [PeerFrameKind.FleetObserved]: ({ observation, fencing }, { socket }) => {
-      const later = this.listener.laterLease(fencing)
-      if (later !== null) return this.tell([socket], { kind: PeerFrameKind.LeaseSeen, lease: later })
-      this.exchange.takeFleet(observation, (own) => { this.tell([socket], { kind: PeerFrameKind.NodeObserved, observation: own }) })
+      const later = this.listener.newerLease(fencing)
+      if (later !== null) return this.send([socket], { kind: PeerFrameKind.NewerLease, lease: later })
+      this.exchange.receiveFleet(observation, (own) => { this.send([socket], { kind: PeerFrameKind.NodeObserved, observation: own }) })
     },
-    [PeerFrameKind.LeaseSeen]: ({ lease }) => { this.listener.leaseSeen(lease) },
-    [PeerFrameKind.DeciderWord]: ({ word }) => { this.listener.deciderWord(word) },
-    [PeerFrameKind.FeedNews]: ({ news }) => { this.listener.feedNews(news) },
-    [PeerFrameKind.PoisonSeen]: ({ records }) => { this.listener.poisonSeen(records) }
+    [PeerFrameKind.NewerLease]: ({ lease }) => { this.listener.onNewerLease(lease) },
+    [PeerFrameKind.LeaseHolderState]: ({ word }) => { this.listener.onLeaseHolderState(word) },
+    [PeerFrameKind.FeedUpdate]: ({ news }) => { this.listener.onFeedUpdate(news) },
+    [PeerFrameKind.PoisonRecords]: ({ records }) => { this.listener.onPoisonRecords(records) }
   }
 
   constructor (private readonly clock: Clock, random: Random, private readonly log: DecisionLog, private readonly listener: PeerListener) {
@@ -103,11 +103,11 @@
     const server = new WebSocketServer({ host, port, maxPayload: MAX_FRAME_BYTES, perMessageDeflate: false })
     this.server = server
     server.on('connection', (socket) => {
-      this.deciders.add(socket)
-      socket.on('close', () => { this.deciders.delete(socket) })
+      this.inbound.add(socket)
+      socket.on('close', () => { this.inbound.delete(socket) })
       socket.on('error', () => { socket.terminate() })
-      socket.on('message', (data) => { this.takeFrame(data as Buffer, { socket, node: null }) })
-      this.tellPoisonTo([socket], this.listener.poisonKnown(true))
+      socket.on('message', (data) => { this.handleFrame(data as Buffer, { socket, node: null }) })
+      this.sendPoisonTo([socket], this.listener.poisonRecords(true))
     })
     await new Promise<void>((resolve, reject) => {
       server.once('listening', resolve)
@@ -116,8 +116,8 @@
   }
 
   /** Tells whoever decides; nobody may be connected, then the list will tell it later. */
-  tellSuspicion (head: EndpointId, suspicion: Suspicion): void {
-    this.tell(this.deciders, { kind: PeerFrameKind.GroupSuspected, head, suspicion })
+  sendSuspicion (head: EndpointId, suspicion: Suspicion): void {
+    this.send(this.inbound, { kind: PeerFrameKind.GroupSuspected, head, suspicion })
   }
 
   /** Nodes that had requests under way at an endpoint when they last told. */
@@ -126,62 +126,62 @@
   }
 
   /** Takes in the endpoints that are listed. */
-  noteEndpoints (endpoints: ReadonlySet<EndpointId>): void {
-    this.exchange.noteEndpoints(endpoints)
+  setEndpoints (endpoints: ReadonlySet<EndpointId>): void {
+    this.exchange.setEndpoints(endpoints)
   }
 
   /** Links to `nodes` while `decides()` holds. */
-  keep (nodes: () => readonly NodeRecord[], decides: () => boolean): void {
+  maintain (nodes: () => readonly NodeRecord[], isLeaseHolder: () => boolean): void {
     this.cancelTimer = this.clock.registerTimer(PING_INTERVAL_MS, () => {
-      this.keep(nodes, decides)
-      if (decides()) this.link(nodes())
-      else this.dropAll()
+      this.maintain(nodes, isLeaseHolder)
+      if (isLeaseHolder()) this.link(nodes())
+      else this.closeLinks()
     })
   }
 
   /** Exchanges what nodes see of the fleet while this one coordinates, under the number that `fencing()` gives. */
   exchangeObservations (nodeCount: () => number, fencing: () => number | null): void {
-    this.exchange.run(nodeCount, () => fencing() !== null, (observation) => {
-      this.tell(this.linkedSockets(), { kind: PeerFrameKind.FleetObserved, observation, fencing: fencing()! })
+    this.exchange.startRounds(nodeCount, () => fencing() !== null, (observation) => {
+      this.send(this.linkedSockets(), { kind: PeerFrameKind.FleetObserved, observation, fencing: fencing()! })
     })
   }
 
   /** Tells all linked nodes its word, again and again while this one decides. */
-  tellWords (): void {
-    this.cancelWordTimer = this.clock.registerTimer(WORD_INTERVAL_MS, () => {
-      this.tellWords()
-      this.tellWord()
+  startStateBroadcasts (): void {
+    this.cancelStateTimer = this.clock.registerTimer(STATE_INTERVAL_MS, () => {
+      this.startStateBroadcasts()
+      this.broadcastState()
     })
   }
 
   /** Tells its word out of turn, as when a group is lost. */
-  tellWord (): void {
-    const word = this.listener.ownWord()
-    if (word !== null) this.tell(this.linkedSockets(), { kind: PeerFrameKind.DeciderWord, word })
+  broadcastState (): void {
+    const word = this.listener.leaseHolderState()
+    if (word !== null) this.send(this.linkedSockets(), { kind: PeerFrameKind.LeaseHolderState, word })
   }
 
   /** All nodes send requests to a group; the first whose streams pause there spares the others the wait. */
-  tellDoubt (heads: readonly EndpointId[]): void {
-    this.tell(this.linkedSockets(), { kind: PeerFrameKind.GroupsDoubted, heads })
+  broadcastSuspectedGroups (heads: readonly EndpointId[]): void {
+    this.send(this.linkedSockets(), { kind: PeerFrameKind.SuspectedGroups, heads })
   }
 
   /** A node that can't take it finds a gap and asks the store. */
-  tellNews (news: FeedNews): void {
-    this.tell(this.linkedSockets(), { kind: PeerFrameKind.FeedNews, news })
+  broadcastFeedUpdate (news: FeedNews): void {
+    this.send(this.linkedSockets(), { kind: PeerFrameKind.FeedUpdate, news })
   }
 
   /** `all` goes to nodes that add up, `shared` to those for which this one does. */
-  tellPoison (all: readonly PoisonRecord[], shared: readonly PoisonRecord[]): void {
-    this.tellPoisonTo(this.deciders, all)
-    this.tellPoisonTo(this.linkedSockets(), shared)
+  sendPoisonRecords (all: readonly PoisonRecord[], shared: readonly PoisonRecord[]): void {
+    this.sendPoisonTo(this.inbound, all)
+    this.sendPoisonTo(this.linkedSockets(), shared)
   }
 
   close (): void {
     this.cancelTimer()
     this.exchange.close()
-    this.cancelWordTimer()
-    this.dropAll()
-    for (const socket of this.deciders) socket.terminate()
+    this.cancelStateTimer()
+    this.closeLinks()
+    for (const socket of this.inbound) socket.terminate()
     this.server?.close()
   }
 
@@ -192,34 +192,34 @@
       if (!wanted.has(node)) socket.terminate()
     }
     this.noteOwnPause()
-    this.undialled = nodes.filter((record) => this.links.get(record.node)?.node.incarnation !== record.incarnation)
-    for (const record of nodes) this.tendOne(record)
+    this.dialQueue = nodes.filter((record) => this.links.get(record.node)?.node.incarnation !== record.incarnation)
+    for (const record of nodes) this.checkNode(record)
     this.dialNext()
   }
 
   /** What others sent while this process stood still has not been read yet: their silence says nothing. */
   private noteOwnPause (): void {
     const nowMs = this.clock.nowMs()
-    if (nowMs - this.tendedAtMs > 2 * PING_INTERVAL_MS) {
-      for (const node of this.aliveAtMs.keys()) this.aliveAtMs.set(node, nowMs)
+    if (nowMs - this.checkedAtMs > 2 * PING_INTERVAL_MS) {
+      for (const node of this.lastSeenAtMs.keys()) this.lastSeenAtMs.set(node, nowMs)
     }
-    this.tendedAtMs = nowMs
+    this.checkedAtMs = nowMs
   }
 
-  private tendOne (record: NodeRecord): void {
+  private checkNode (record: NodeRecord): void {
     const nowMs = this.clock.nowMs()
     const socket = this.links.get(record.node)?.socket
     if (socket?.readyState === WebSocket.OPEN) socket.ping()
-    const aliveAtMs = this.aliveAtMs.get(record.node)
-    if (aliveAtMs === undefined || nowMs - aliveAtMs < NODE_LOST_MS) return
-    this.aliveAtMs.delete(record.node)
+    const lastSeenAtMs = this.lastSeenAtMs.get(record.node)
+    if (lastSeenAtMs === undefined || nowMs - lastSeenAtMs < NODE_TIMEOUT_MS) return
+    this.lastSeenAtMs.delete(record.node)
     socket?.terminate()
-    this.listener.nodeLost(record)
+    this.listener.onNodeLost(record)
   }
 
   private dialNext (): void {
-    while (this.handshakes.size < HANDSHAKES_AT_ONCE) {
-      const record = this.undialled.shift()
+    while (this.handshakes.size < MAX_CONCURRENT_HANDSHAKES) {
+      const record = this.dialQueue.shift()
       if (record === undefined) return
       this.dial(record, this.links.get(record.node))
     }
@@ -232,18 +232,18 @@
     this.links.set(record.node, link)
     this.handshakes.add(socket)
     // A node counts as silent from when it was first asked, not while its turn hasn't come.
-    if (!this.aliveAtMs.has(record.node)) this.aliveAtMs.set(record.node, this.clock.nowMs())
+    if (!this.lastSeenAtMs.has(record.node)) this.lastSeenAtMs.set(record.node, this.clock.nowMs())
     const endHandshake = (): void => { if (this.handshakes.delete(socket)) this.dialNext() }
-    const noteAlive = (): void => { this.aliveAtMs.set(record.node, this.clock.nowMs()) }
+    const noteSeen = (): void => { this.lastSeenAtMs.set(record.node, this.clock.nowMs()) }
     socket.on('open', () => {
-      noteAlive()
+      noteSeen()
       endHandshake()
-      this.tellPoisonTo([socket], this.listener.poisonKnown(false))
+      this.sendPoisonTo([socket], this.listener.poisonRecords(false))
     })
-    socket.on('pong', noteAlive)
+    socket.on('pong', noteSeen)
     socket.on('message', (data) => {
-      noteAlive()
-      this.takeFrame(data as Buffer, { socket, node: record.node })
+      noteSeen()
+      this.handleFrame(data as Buffer, { socket, node: record.node })
     })
     socket.on('error', () => { socket.terminate() })
     socket.on('close', () => {
@@ -255,7 +255,7 @@
   }
 
   /** A node of another version may send kinds that this one doesn't know: they are passed over. */
-  private takeFrame (data: Buffer, sender: Sender): void {
+  private handleFrame (data: Buffer, sender: Sender): void {
     try {
       const frame = codec.unpack(data) as PeerFrame
       const handle = this.handlers[frame.kind] as ((frame: PeerFrame, sender: Sender) => void) | undefined
@@ -269,22 +269,22 @@
     return [...this.links.values()].map(({ socket }) => socket)
   }
 
-  private tell (sockets: Iterable<WebSocket>, frame: PeerFrame): void {
+  private send (sockets: Iterable<WebSocket>, frame: PeerFrame): void {
     const bytes = codec.pack(frame)
     for (const socket of sockets) {
       // A peer that takes nothing is not waited for: what it misses is old by the time it would read it.
-      if (socket.readyState === WebSocket.OPEN && socket.bufferedAmount < BACKLOG_BYTES) socket.send(bytes)
+      if (socket.readyState === WebSocket.OPEN && socket.bufferedAmount < MAX_BACKLOG_BYTES) socket.send(bytes)
     }
   }
 
-  private tellPoisonTo (sockets: Iterable<WebSocket>, records: readonly PoisonRecord[]): void {
-    if (records.length > 0) this.tell(sockets, { kind: PeerFrameKind.PoisonSeen, records })
+  private sendPoisonTo (sockets: Iterable<WebSocket>, records: readonly PoisonRecord[]): void {
+    if (records.length > 0) this.send(sockets, { kind: PeerFrameKind.PoisonRecords, records })
   }
 
-  private dropAll (): void {
-    this.undialled = []
+  private closeLinks (): void {
+    this.dialQueue = []
     for (const { socket } of this.links.values()) socket.terminate()
     this.links.clear()
-    this.aliveAtMs.clear()
+    this.lastSeenAtMs.clear()
   }
 }
--- a/packages/dotterelspur-gateway/src/connection/headers.ts
+++ b/packages/dotterelspur-gateway/src/connection/headers.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http'
 
 /** Headers that concern one connection only and are not handed on. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'expect'
 ])
 
@@ -10,27 +10,27 @@
 
 /** The caller's headers that go on to an endpoint, as a flat list of names and values. */
 export function forwardedHeaders (rawHeaders: readonly string[]): string[] {
-  const named = connectionNamed(rawHeaders)
+  const named = connectionHeaderNames(rawHeaders)
   const kept: string[] = []
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = rawHeaders[index]!.toLowerCase()
-    if (CONNECTION_HEADERS.has(name) || name === LENGTH_HEADER || named.has(name)) continue
+    if (HOP_BY_HOP_HEADERS.has(name) || name === LENGTH_HEADER || named.has(name)) continue
     kept.push(rawHeaders[index]!, rawHeaders[index + 1]!)
   }
   return kept
 }
 
 /** The endpoint's headers that go back to the caller. */
-export function answerHeaders (headers: IncomingHttpHeaders): OutgoingHttpHeaders {
+export function responseHeaders (headers: IncomingHttpHeaders): OutgoingHttpHeaders {
   const kept: OutgoingHttpHeaders = {}
   for (const [name, value] of Object.entries(headers)) {
-    if (!CONNECTION_HEADERS.has(name) && name !== LENGTH_HEADER) kept[name] = value
+    if (!HOP_BY_HOP_HEADERS.has(name) && name !== LENGTH_HEADER) kept[name] = value
   }
   return kept
 }
 
 /** Names that the sender's `Connection` header declares to be for this connection only. */
-function connectionNamed (rawHeaders: readonly string[]): Set<string> {
+function connectionHeaderNames (rawHeaders: readonly string[]): Set<string> {
   const named = new Set<string>()
   for (let index = 0; index < rawHeaders.length; index += 2) {
     if (rawHeaders[index]!.toLowerCase() !== 'connection') continue
--- a/packages/dotterelspur-gateway/src/connection/SmallListeners.ts
+++ b/packages/dotterelspur-gateway/src/connection/simpleServer.ts
@@ -4,22 +4,22 @@
 const OK = 200
 const NOT_FOUND = 404
 
-export interface SmallAnswer {
+export interface SimpleResponse {
   readonly status: number
   readonly contentType: string
   readonly body: string
 }
 
 /** Answers a request by its path alone; null for a path that isn't known. */
-export type SmallHandler = (url: URL) => Promise<SmallAnswer | null> | SmallAnswer | null
+export type SimpleHandler = (url: URL) => Promise<SimpleResponse | null> | SimpleResponse | null
 
 /**
  * A listener for questions that have no body: the directory, readiness and metrics. Bare, because each is asked
  * several times a second and answers in one step.
  */
-export async function listenSmall ({ host, port }: ListenAddress, handler: SmallHandler): Promise<Server> {
+export async function startSimpleServer ({ host, port }: ListenAddress, handler: SimpleHandler): Promise<Server> {
   const server = createServer((request, response) => {
-    answer(request, response, handler).catch((error: unknown) => { response.destroy(error instanceof Error ? error : new Error(String(error))) })
+    respond(request, response, handler).catch((error: unknown) => { response.destroy(error instanceof Error ? error : new Error(String(error))) })
   })
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
@@ -28,15 +28,15 @@
   return server
 }
 
-export function jsonAnswer (value: unknown, status = OK): SmallAnswer {
+export function jsonResponse (value: unknown, status = OK): SimpleResponse {
   return { status, contentType: 'application/json', body: JSON.stringify(value) }
 }
 
-async function answer (request: IncomingMessage, response: ServerResponse, handler: SmallHandler): Promise<void> {
+async function respond (request: IncomingMessage, response: ServerResponse, handler: SimpleHandler): Promise<void> {
   request.resume()
   const url = URL.canParse(request.url ?? '', 'http://node') ? new URL(request.url ?? '', 'http://node') : null
   const found = url === null ? null : await handler(url)
-  const { status, contentType, body } = found ?? jsonAnswer({ error: { type: 'not-found' } }, NOT_FOUND)
+  const { status, contentType, body } = found ?? jsonResponse({ error: { type: 'not-found' } }, NOT_FOUND)
   response.writeHead(status, { 'content-type': contentType, 'content-length': Buffer.byteLength(body) })
   response.end(body)
 }
--- a/packages/dotterelspur-gateway/src/process/Gateway.ts
+++ b/packages/dotterelspur-gateway/src/process/Gateway.ts
@@ -4,7 +4,7 @@
 import { CallerListener, type OpenedPort } from '../connection/CallerListener.js'
 import { Suspicion } from '../connection/PeerFrame.js'
 import { PeerLinks } from '../connection/PeerLinks.js'
-import { jsonAnswer, listenSmall, type SmallHandler } from '../connection/SmallListeners.js'
+import { jsonResponse, startSimpleServer, type SimpleHandler } from '../connection/simpleServer.js'
 import type { DeciderWord } from './DeciderWord.js'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 import { Dispatch } from './Dispatch.js'
@@ -85,7 +85,7 @@
       changes: settings.changes,
       // A list is as good as a word, and relied on for as long.
       firstWordMs: WORD_VALID_MS,
-      share: (news) => { this.peers.tellNews(news) },
+      share: (news) => { this.peers.broadcastFeedUpdate(news) },
       concernsCallers: (object) => this.endpoints.concernsCallers(object as StoredObject<EndpointRecord | null>)
     })
     const { store } = this
@@ -110,12 +110,12 @@
       control: parts.control,
       demand: () => this.dispatch.demand(),
       onSuspected: (head) => {
-        this.peers.tellDoubt([head])
+        this.peers.broadcastSuspectedGroups([head])
         this.dispatch.noteStoppedGroups([head], StopCertainty.Doubted)
       },
       onStopped: (heads, isNews) => {
-        if (!this.lease.mayOrder()) this.peers.tellDoubt(heads)
-        else if (isNews) this.peers.tellWord()
+        if (!this.lease.mayOrder()) this.peers.broadcastSuspectedGroups(heads)
+        else if (isNews) this.peers.broadcastState()
         this.dispatch.noteStoppedGroups(heads, StopCertainty.Known)
       },
       knowsAll: () => store.knowsAll(ENDPOINT_PREFIX),
@@ -143,35 +143,35 @@
       endpoints: this.endpoints,
       quarantine: this.quarantine,
       decides: () => this.lease.mayOrder(),
-      tell: (all, shared) => { this.peers.tellPoison(all, shared) },
+      tell: (all, shared) => { this.peers.sendPoisonRecords(all, shared) },
       keepSoon: () => { this.lease.renewSoon() }
     })
-    this.callers = new CallerListener({ clock, random, log, metrics: this.metrics, wire: parts.wire, manifest: this.manifest, firstKnowledge: this.firstKnowledge, dispatch: this.dispatch, poison: this.poison })
+    this.callers = new CallerListener({ clock, random, log, metrics: this.metrics, wire: parts.wire, manifest: this.manifest, initialSync: this.firstKnowledge, dispatch: this.dispatch, poison: this.poison })
     this.peers = new PeerLinks(clock, random, log, {
-      suspected: (head, suspicion, node, senders) => { this.takeSuspicion(head, suspicion, node, senders) },
-      doubted: (heads) => { this.dispatch.noteStoppedGroups(heads, StopCertainty.Doubted) },
-      nodeLost: (node) => { if (this.lease.mayOrder()) this.dropNode(node) },
+      onGroupSuspected: (head, suspicion, node, senders) => { this.takeSuspicion(head, suspicion, node, senders) },
+      onSuspectedGroups: (heads) => { this.dispatch.noteStoppedGroups(heads, StopCertainty.Doubted) },
+      onNodeLost: (node) => { if (this.lease.mayOrder()) this.dropNode(node) },
       observe: () => this.dispatch.knowledge.observe(),
-      observed: (fleet) => {
+      onFleetObservation: (fleet) => {
         this.endpoints.noteLeaving(fleet.leaving)
         this.dispatch.knowledge.noteFleet(fleet)
       },
-      laterLease: (fencing) => this.lease.laterThan(fencing),
-      leaseSeen: (lease) => { this.lease.noteWord(lease) },
-      ownWord: () => this.ownWord(),
-      deciderWord: ({ feed, lease, loads, stoppedHeads }) => {
+      newerLease: (fencing) => this.lease.laterThan(fencing),
+      onNewerLease: (lease) => { this.lease.noteWord(lease) },
+      leaseHolderState: () => this.ownWord(),
+      onLeaseHolderState: ({ feed, lease, loads, stoppedHeads }) => {
         this.lease.noteWord(lease)
         this.store.takeWord(feed)
         this.formations.noteLoads(loads)
         this.dispatch.noteStoppedGroups(stoppedHeads, StopCertainty.Known)
       },
-      feedNews: (news) => { this.store.takeNews(news) },
-      poisonSeen: (records) => { this.poison.noteTold(records) },
-      poisonKnown: (all) => this.poison.known(all)
+      onFeedUpdate: (news) => { this.store.takeNews(news) },
+      onPoisonRecords: (records) => { this.poison.noteTold(records) },
+      poisonRecords: (all) => this.poison.known(all)
     })
     this.endpoints.registerListener((endpoints) => {
       const listed = new Set(endpoints.keys())
-      this.peers.noteEndpoints(listed)
+      this.peers.setEndpoints(listed)
       this.stopVotes.retain(listed)
     })
     const { callers, manifest, endpoints, nodes, lease, poison, dispatch } = this
@@ -197,9 +197,9 @@
     this.dispatch.start()
     this.poison.start()
     this.formations.start()
-    this.peers.keep(() => this.otherNodes(), () => this.lease.coordinates())
+    this.peers.maintain(() => this.otherNodes(), () => this.lease.coordinates())
     this.peers.exchangeObservations(() => this.nodes.nodes().length, () => this.lease.coordinationFencing)
-    this.peers.tellWords()
+    this.peers.startStateBroadcasts()
     this.step()
     parts.log.write(LogKind.Start, { callers: addressOf(settings.callers), failureDomain: settings.failureDomain, firstStart: settings.firstStart })
     await this.nodes.register()
@@ -249,18 +249,18 @@
     this.parts.log.flush()
   }
 
-  private async listen (address: ListenAddress, handler: SmallHandler): Promise<void> {
-    this.servers.push(await listenSmall(address, handler))
+  private async listen (address: ListenAddress, handler: SimpleHandler): Promise<void> {
+    this.servers.push(await startSimpleServer(address, handler))
   }
 
-  private readyAnswer (): ReturnType<typeof jsonAnswer> {
+  private readyAnswer (): ReturnType<typeof jsonResponse> {
     const ready = !this.draining && this.firstKnowledge.isComplete
-    return jsonAnswer({ ready }, ready ? 200 : 503)
+    return jsonResponse({ ready }, ready ? 200 : 503)
   }
 
-  private directoryAnswer (): ReturnType<typeof jsonAnswer> {
+  private directoryAnswer (): ReturnType<typeof jsonResponse> {
     const addresses = this.nodes.nodes().map(({ callers }) => callers)
-    return jsonAnswer(this.parts.questions.writeDirectory(addresses, this.limits.directoryTtlMs))
+    return jsonResponse(this.parts.questions.writeDirectory(addresses, this.limits.directoryTtlMs))
   }
 
   private ownWord (): DeciderWord | null {
@@ -271,7 +271,7 @@
 
   private suspect (head: EndpointId, suspicion: Suspicion): void {
     if (this.lease.coordinates()) this.takeSuspicion(head, suspicion, this.settings.node, this.peers.sendersTo(head))
-    else this.peers.tellSuspicion(head, suspicion)
+    else this.peers.sendSuspicion(head, suspicion)
   }
 
   /** A pause is believed when enough nodes with streams there see it. */
--- a/packages/dotterelspur-gateway/src/process/GatewayMetrics.ts
+++ b/packages/dotterelspur-gateway/src/process/GatewayMetrics.ts
@@ -1,7 +1,7 @@
 import { build, type Histogram } from 'hdr-histogram-js'
 import { Counter, Gauge, Registry } from 'prom-client'
 import type { DispatchEndKind, RequestKind } from 'dotterelspur'
-import type { OwnAnswerKind } from '../request/CallerAnswer.js'
+import type { GatewayErrorKind } from '../request/CallerResponse.js'
 import type { RequestReport } from '../request/GatewayRequest.js'
 
 const PREFIX = 'dotterelspur_gateway_'
@@ -36,7 +36,7 @@
     histogramOf(this.durationMs, kind).recordValue(Math.round(tookMs))
   }
 
-  countOwnAnswer (answer: OwnAnswerKind): void {
+  countOwnAnswer (answer: GatewayErrorKind): void {
     this.ownAnswers.inc({ answer })
   }
 
--- a/packages/dotterelspur-gateway/src/request/CallerAnswer.ts
+++ b/packages/dotterelspur-gateway/src/request/CallerResponse.ts
@@ -1,9 +1,9 @@
 import type { IncomingMessage, OutgoingHttpHeaders, ServerResponse } from 'node:http'
-import { answerHeaders } from '../connection/headers.js'
-import type { AnswerStart, HeldAnswer } from './EndpointCall.js'
+import { responseHeaders } from '../connection/headers.js'
+import type { ResponseStart, BufferedResponse } from './EndpointCall.js'
 
 /** Why a request got an answer of the system's own. */
-export enum OwnAnswerKind {
+export enum GatewayErrorKind {
   NoManifest = 'no-manifest',
   NoRoute = 'no-route',
   Unauthorized = 'unauthorized',
@@ -19,45 +19,45 @@
 }
 
 /** 429, 503, 408 and 421 promise that the request has not run: only `NoManifest`, `NotRun` and `Quarantined` may use them. */
-const STATUS: Readonly<Record<OwnAnswerKind, number>> = {
-  [OwnAnswerKind.NoManifest]: 503,
-  [OwnAnswerKind.NoRoute]: 404,
-  [OwnAnswerKind.Unauthorized]: 401,
-  [OwnAnswerKind.BodyTooLarge]: 413,
-  [OwnAnswerKind.NotRun]: 503,
-  [OwnAnswerKind.Quarantined]: 503,
-  [OwnAnswerKind.EndpointLost]: 502,
-  [OwnAnswerKind.TimedOut]: 504
+const STATUS: Readonly<Record<GatewayErrorKind, number>> = {
+  [GatewayErrorKind.NoManifest]: 503,
+  [GatewayErrorKind.NoRoute]: 404,
+  [GatewayErrorKind.Unauthorized]: 401,
+  [GatewayErrorKind.BodyTooLarge]: 413,
+  [GatewayErrorKind.NotRun]: 503,
+  [GatewayErrorKind.Quarantined]: 503,
+  [GatewayErrorKind.EndpointLost]: 502,
+  [GatewayErrorKind.TimedOut]: 504
 }
 
 const SECOND_MS = 1_000
 
 /** The caller's side of one request: at most one answer, whole or visibly cut off. */
-export class CallerAnswer {
+export class CallerResponse {
   private headSent = false
 
   constructor (private readonly request: IncomingMessage, private readonly response: ServerResponse, private readonly isDraining: () => boolean) {}
 
   /** Part of an answer is with the caller. */
-  get hasPart (): boolean {
+  get isStarted (): boolean {
     return this.headSent
   }
 
-  get isOver (): boolean {
+  get isClosed (): boolean {
     return this.response.writableEnded || this.response.destroyed
   }
 
   /** Begins an answer whose length is not known. */
-  start ({ status, headers }: AnswerStart): void {
-    if (this.headSent || this.isOver) return
+  start ({ status, headers }: ResponseStart): void {
+    if (this.headSent || this.isClosed) return
     this.headSent = true
-    this.prepareClose()
-    this.response.writeHead(status, answerHeaders(headers))
+    this.announceClose()
+    this.response.writeHead(status, responseHeaders(headers))
   }
 
   /** Returns false while the caller is slow to take what is there. */
   write (chunk: Buffer): boolean {
-    return this.isOver || this.response.write(chunk)
+    return this.isClosed || this.response.write(chunk)
   }
 
   onDrain (listener: () => void): void {
@@ -65,17 +65,17 @@
   }
 
   end (chunk: Buffer): void {
-    if (this.isOver) return
+    if (this.isClosed) return
     if (chunk.length === 0) this.response.end()
     else this.response.end(chunk)
   }
 
   /** An endpoint's answer in one piece, unchanged. */
-  deliver ({ status, headers, body }: HeldAnswer): void {
-    if (this.headSent || this.isOver) return
+  deliver ({ status, headers, body }: BufferedResponse): void {
+    if (this.headSent || this.isClosed) return
     this.headSent = true
-    this.prepareClose()
-    const kept = answerHeaders(headers)
+    this.announceClose()
+    const kept = responseHeaders(headers)
     const bodyless = this.request.method === 'HEAD' || status === 204 || status === 304
     if (!bodyless) kept['content-length'] = body.length
     this.response.writeHead(status, kept)
@@ -83,10 +83,10 @@
   }
 
   /** An answer of the system's own. `retryAfterMs` tells when to come back; null where that can't help. */
-  refuse (kind: OwnAnswerKind, retryAfterMs: number | null): void {
-    if (this.headSent || this.isOver) return
+  sendError (kind: GatewayErrorKind, retryAfterMs: number | null): void {
+    if (this.headSent || this.isClosed) return
     this.headSent = true
-    this.prepareClose()
+    this.announceClose()
     const body = Buffer.from(JSON.stringify({ error: { type: kind, retryAfterMs } }))
     const headers: OutgoingHttpHeaders = { 'content-type': 'application/json', 'content-length': body.length }
     if (retryAfterMs !== null) headers['retry-after'] = (retryAfterMs / SECOND_MS).toFixed(2)
@@ -95,12 +95,12 @@
   }
 
   /** Ends an answer that can't be completed in a way that can't be taken for its end. */
-  cutOff (): void {
+  abort (): void {
     this.response.destroy()
   }
 
   /** Before a planned stop each answer asks the caller to connect elsewhere, so that no request meets a closed channel. */
-  private prepareClose (): void {
+  private announceClose (): void {
     if (this.isDraining()) this.response.setHeader('connection', 'close')
   }
 }
--- a/packages/dotterelspur-gateway/src/request/EndpointCall.ts
+++ b/packages/dotterelspur-gateway/src/request/EndpointCall.ts
@@ -9,38 +9,38 @@
 const FIRST_SERVER_ERROR = 500
 
 /** What an endpoint answered, without its body. */
-export interface AnswerStart {
+export interface ResponseStart {
   readonly status: number
   readonly headers: IncomingHttpHeaders
 }
 
 /** A whole answer, kept to be handed on in one piece. */
-export interface HeldAnswer extends AnswerStart {
+export interface BufferedResponse extends ResponseStart {
   readonly body: Buffer
 }
 
 /** Who takes a successful answer as it comes. */
-export interface AnswerSink {
-  start (start: AnswerStart): void
+export interface ResponseSink {
+  start (start: ResponseStart): void
   /** Returns false when no more should come until `resume` is called on the call. */
   data (chunk: Buffer): boolean
 }
 
 /** How the connection under an exchange ends. */
-export interface ChannelEnds {
-  noteUnframedAnswer (): void
-  endedCleanly (): Promise<boolean>
+export interface ChannelCloseDetector {
+  noteUnframedResponse (): void
+  closedCleanly (): Promise<boolean>
 }
 
 export interface EndpointCallOptions {
   readonly requestId: string
   readonly wire: WireFormat
-  readonly channel: ChannelEnds
+  readonly channel: ChannelCloseDetector
   /** Null where the whole answer is to be held. */
-  readonly sink: AnswerSink | null
+  readonly sink: ResponseSink | null
   /** Bytes or a head came: the endpoint lives. */
   readonly onProgress: (head: AnswerHead | null) => void
-  readonly onEnd: (end: ExchangeEnd, held: HeldAnswer | null, head: AnswerHead | null) => void
+  readonly onEnd: (end: ExchangeEnd, held: BufferedResponse | null, head: AnswerHead | null) => void
 }
 
 /** Codes of undici's errors for bytes that are no answer in the protocol. */
@@ -53,7 +53,7 @@
   private sent = false
   private ended = false
   private abortedWith: ExchangeEnd | null = null
-  private start: AnswerStart | null = null
+  private start: ResponseStart | null = null
   private head: AnswerHead | null = null
   private readonly chunks: Buffer[] = []
   private streaming = false
@@ -87,7 +87,7 @@
     if (this.head.requestId !== this.options.requestId) return this.abort(ExchangeEnd.Foreign)
     this.options.onProgress(this.head)
     this.unframed = headers['content-length'] === undefined && headers['transfer-encoding'] === undefined
-    if (this.unframed) this.options.channel.noteUnframedAnswer()
+    if (this.unframed) this.options.channel.noteUnframedResponse()
     const isSuccess = status < FIRST_REDIRECT
     this.streaming = isSuccess && !this.head.notExecuted && this.options.sink !== null
     if (this.streaming) this.options.sink!.start(this.start)
@@ -105,11 +105,11 @@
 
   onResponseEnd (): void {
     if (this.start === null || this.head === null) return this.finish(ExchangeEnd.Garbled, null)
-    const end = endOf(this.start.status, this.head)
-    const held: HeldAnswer = { ...this.start, body: Buffer.concat(this.chunks) }
-    if (!this.unframed) return this.finish(end, held)
-    this.options.channel.endedCleanly().then(
-      (clean) => { this.finish(clean ? end : ExchangeEnd.BrokenOff, clean ? held : null) },
+    const end = classifyResponse(this.start.status, this.head)
+    const buffered: BufferedResponse = { ...this.start, body: Buffer.concat(this.chunks) }
+    if (!this.unframed) return this.finish(end, buffered)
+    this.options.channel.closedCleanly().then(
+      (clean) => { this.finish(clean ? end : ExchangeEnd.BrokenOff, clean ? buffered : null) },
       () => { this.finish(ExchangeEnd.BrokenOff, null) }
     )
   }
@@ -120,7 +120,7 @@
     this.finish(isGarbled(error) ? ExchangeEnd.Garbled : ExchangeEnd.BrokenOff, null)
   }
 
-  private finish (end: ExchangeEnd, held: HeldAnswer | null): void {
+  private finish (end: ExchangeEnd, held: BufferedResponse | null): void {
     if (this.ended) return
     this.ended = true
     this.options.onEnd(end, held, this.head)
@@ -128,7 +128,7 @@
 }
 
 /** What a whole answer means. */
-function endOf (status: number, head: AnswerHead): ExchangeEnd {
+function classifyResponse (status: number, head: AnswerHead): ExchangeEnd {
   if (status === MISDIRECTED) return ExchangeEnd.Misdirected
   if (head.notExecuted) return ExchangeEnd.Rejected
   return status >= FIRST_SERVER_ERROR ? ExchangeEnd.Failed : ExchangeEnd.Answered
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -8,13 +8,13 @@
 import type { Dispatch, DispatchExchange } from '../process/Dispatch.js'
 import type { CallerHead, WireFormat } from '../process/GatewayPorts.js'
 import type { PoisonKeeper } from '../process/PoisonKeeper.js'
-import { OwnAnswerKind, type CallerAnswer } from './CallerAnswer.js'
-import { EndpointCall, type AnswerStart, type HeldAnswer } from './EndpointCall.js'
+import { GatewayErrorKind, type CallerResponse } from './CallerResponse.js'
+import { EndpointCall, type ResponseStart, type BufferedResponse } from './EndpointCall.js'
 
 /** The endpoint itself answers at the deadline that it was told; its word says more than ours. */
 const DEADLINE_GRACE_MS = 100
 /** Below this no endpoint can do anything useful, and a send would not be an offer. */
-const LEAST_USEFUL_MS = 20
+const MIN_USEFUL_MS = 20
 const FIRST_REDIRECT = 300
 
 export interface GatewayRequestParts {
@@ -42,58 +42,58 @@
 /** How a request ended, for the log and the counters. */
 export interface RequestReport {
   readonly end: DispatchEnd
-  readonly answeredWith: OwnAnswerKind | null
+  readonly answeredWith: GatewayErrorKind | null
   readonly firstByteMs: number | null
   readonly targets: readonly string[]
 }
 
 /** One admitted request: runs its dispatch and writes its one answer. */
 export class GatewayRequest {
-  private call: EndpointCall | null = null
+  private currentCall: EndpointCall | null = null
   private readonly cursor: EventCursor
-  private lastFailure: HeldAnswer | null = null
+  private lastFailure: BufferedResponse | null = null
   private firstByteAtMs: number | null = null
   /** Pieces of the answer that came from the present endpoint, of one or more whole events each. */
-  private events = 0
+  private eventCount = 0
   private noteProgress = (): void => {}
   /** Resolves once it is known whether the last endpoint that was lost has ended. */
-  private lossNoted: Promise<void> = Promise.resolve()
-  private over: ExchangeEnd | null = null
+  private lossRecorded: Promise<void> = Promise.resolve()
+  private stoppedWith: ExchangeEnd | null = null
   private readonly targets: string[] = []
   private readonly deadlineAtMs: number
   private paused = false
-  private running: DispatchExchange | null = null
-  private streamStart: AnswerStart | null = null
+  private currentExchange: DispatchExchange | null = null
+  private streamStart: ResponseStart | null = null
 
-  constructor (private readonly parts: GatewayRequestParts, private readonly admitted: AdmittedRequest, private readonly answer: CallerAnswer) {
+  constructor (private readonly parts: GatewayRequestParts, private readonly admitted: AdmittedRequest, private readonly response: CallerResponse) {
     const { route, head, arrivedAtMs } = admitted
     this.cursor = new EventCursor(head.lastEventId)
     this.deadlineAtMs = arrivedAtMs + Math.min(route.timeoutMs, head.deadlineMs ?? Infinity)
   }
 
   /** The caller closed its connection: whatever is under way for it stops. */
-  callerLeft (): void {
+  onCallerDisconnect (): void {
     this.stop(ExchangeEnd.CallerLeft)
   }
 
   async run (): Promise<RequestReport> {
     const cancelDeadline = this.startDeadline()
-    this.answer.onDrain(() => { this.resume() })
+    this.response.onDrain(() => { this.resume() })
     const { route } = this.admitted
-    const end = await runProcedure(runDispatch({ repeatable: isRepeatable(route), maxAttempts: route.maxAttempts }), {
+    const end = await runProcedure(runDispatch({ repeatable: isRetryable(route), maxAttempts: route.maxAttempts }), {
       [DispatchEffectKind.Place]: (effect) => this.place(effect),
       [DispatchEffectKind.Exchange]: async (effect) => await this.exchange(effect),
-      [DispatchEffectKind.JudgeLoss]: async () => await this.mayGoOn(),
-      [DispatchEffectKind.SpendRepeat]: () => this.over === null && this.parts.dispatch.spendRepeat(this.admitted.service)
+      [DispatchEffectKind.JudgeLoss]: async () => await this.mayRetryAfterLoss(),
+      [DispatchEffectKind.SpendRepeat]: () => this.stoppedWith === null && this.parts.dispatch.spendRepeat(this.admitted.service)
     })
     cancelDeadline()
-    const answeredWith = this.conclude(end)
+    const answeredWith = this.respond(end)
     const firstByteMs = this.firstByteAtMs === null ? null : this.firstByteAtMs - this.admitted.arrivedAtMs
     return { end, answeredWith, firstByteMs, targets: this.targets }
   }
 
-  private async mayGoOn (): Promise<boolean> {
-    await this.lossNoted
+  private async mayRetryAfterLoss (): Promise<boolean> {
+    await this.lossRecorded
     return this.parts.poison.guard.maySendAgain(this.admitted.content)
   }
 
@@ -103,8 +103,8 @@
   }
 
   private stop (end: ExchangeEnd): void {
-    this.over ??= end
-    this.call?.abort(end)
+    this.stoppedWith ??= end
+    this.currentCall?.abort(end)
   }
 
   private place ({ excluded }: PlaceEffect): DispatchTarget | PlacementRefusal {
@@ -118,51 +118,51 @@
   }
 
   private async exchange ({ target, mayMove }: ExchangeEffect): Promise<ExchangeReport> {
-    if (this.over !== null || this.leftMs() < LEAST_USEFUL_MS) return { end: this.over ?? ExchangeEnd.TimedOut, callerHasPart: this.answer.hasPart }
+    if (this.stoppedWith !== null || this.leftMs() < MIN_USEFUL_MS) return { end: this.stoppedWith ?? ExchangeEnd.TimedOut, callerHasPart: this.response.isStarted }
     this.targets.push(target.endpoint)
     this.cursor.dropRest()
-    this.events = 0
+    this.eventCount = 0
     const { dispatch, clock } = this.parts
     const sentAtMs = clock.nowMs()
-    const note = this.parts.poison.guard.begin(this.admitted.content)
-    this.noteProgress = note.noteProgress
+    const execution = this.parts.poison.guard.begin(this.admitted.content)
+    this.noteProgress = execution.noteProgress
     const end = await new Promise<ExchangeEnd>((resolve) => { this.send(target, mayMove, resolve) })
-    this.call = null
-    note.end()
+    this.currentCall = null
+    execution.end()
     dispatch.exchangeEnded(target)
-    if (EXCHANGE_RULES[end].mayEndEndpoint) this.lossNoted = this.noteLoss(target, clock.nowMs() - sentAtMs)
+    if (EXCHANGE_RULES[end].mayEndEndpoint) this.lossRecorded = this.noteLoss(target, clock.nowMs() - sentAtMs)
     if (EXCHANGE_RULES[end].blamesEndpoint) dispatch.blame(target, end)
-    return { end, callerHasPart: this.answer.hasPart }
+    return { end, callerHasPart: this.response.isStarted }
   }
 
   private async noteLoss (target: DispatchTarget, tookMs: number): Promise<void> {
     const { poison, dispatch } = this.parts
     const { requestId, content } = this.admitted
-    await poison.noteLoss({ requestId, content, target, events: this.events, tookMs, besides: dispatch.ownInFlight(target) })
+    await poison.noteLoss({ requestId, content, target, events: this.eventCount, tookMs, besides: dispatch.ownInFlight(target) })
   }
 
   private send (target: DispatchTarget, mayMove: boolean, resolve: (end: ExchangeEnd) => void): void {
     const { wire, dispatch } = this.parts
     const streams = this.admitted.route.kind === RequestKind.Streaming
-    const running = dispatch.exchangeBegan(target, this.admitted, mayMove, () => { this.call?.abort(ExchangeEnd.Silent) })
-    this.running = running
+    const running = dispatch.exchangeBegan(target, this.admitted, mayMove, () => { this.currentCall?.abort(ExchangeEnd.Silent) })
+    this.currentExchange = running
     const channel = dispatch.acquireChannel(target)
     const call = new EndpointCall({
       requestId: this.admitted.requestId,
       wire,
       channel,
-      sink: streams ? { start: (start) => { this.streamStart = start }, data: (chunk) => this.takeData(chunk) } : null,
+      sink: streams ? { start: (start) => { this.streamStart = start }, data: (chunk) => this.handleData(chunk) } : null,
       onProgress: (head) => { running.noteProgress(head) },
       onEnd: (end, held, head) => {
         running.stop()
         dispatch.releaseChannel(target, channel)
         if (end === ExchangeEnd.Rejected && head !== null && head.lostMember !== null) dispatch.blame(target, end)
-        const judged = this.judgeEnd(end, held)
-        this.takeEnd(judged, held)
+        const judged = this.reclassifyEnd(end, held)
+        this.handleEnd(judged, held)
         resolve(judged)
       }
     })
-    this.call = call
+    this.currentCall = call
     channel.dispatch(this.requestOptions(target), call)
   }
 
@@ -178,15 +178,15 @@
     return { path: request.url!, method: request.method as Dispatcher.HttpMethod, headers, body: body.length > 0 || hasBodyMethod(request.method) ? body : null }
   }
 
-  private takeData (chunk: Buffer): boolean {
+  private handleData (chunk: Buffer): boolean {
     const whole = this.cursor.take(chunk)
     if (whole === null) return true
-    this.events += 1
-    if (this.events === 1) this.running?.noteFirstEvent()
+    this.eventCount += 1
+    if (this.eventCount === 1) this.currentExchange?.noteFirstEvent()
     this.noteProgress()
-    this.beginStream()
-    this.paused = !this.answer.write(whole)
-    if (this.paused) this.running?.noteHeld(true)
+    this.startStream()
+    this.paused = !this.response.write(whole)
+    if (this.paused) this.currentExchange?.noteHeld(true)
     return !this.paused
   }
 
@@ -194,81 +194,81 @@
    * The head goes out with the first whole event: until then another endpoint's answer, or a refusal, can take its
    * place. A continued stream keeps the head that the caller has.
    */
-  private beginStream (): void {
+  private startStream (): void {
     this.noteFirstByte()
-    if (this.streamStart !== null) this.answer.start(this.streamStart)
+    if (this.streamStart !== null) this.response.start(this.streamStart)
   }
 
   /** A stream that the caller has begun to get is not completed by an answer of another kind. */
-  private judgeEnd (end: ExchangeEnd, held: HeldAnswer | null): ExchangeEnd {
+  private reclassifyEnd (end: ExchangeEnd, held: BufferedResponse | null): ExchangeEnd {
     const isStream = held !== null && held.status < FIRST_REDIRECT
-    return end === ExchangeEnd.Answered && this.answer.hasPart && !isStream ? ExchangeEnd.BrokenOff : end
+    return end === ExchangeEnd.Answered && this.response.isStarted && !isStream ? ExchangeEnd.BrokenOff : end
   }
 
-  private takeEnd (end: ExchangeEnd, held: HeldAnswer | null): void {
+  private handleEnd (end: ExchangeEnd, held: BufferedResponse | null): void {
     if (held === null) return
     if (end === ExchangeEnd.Failed) this.lastFailure = held
     if (end !== ExchangeEnd.Answered) return
     this.parts.poison.guard.noteAnswer(this.admitted.content)
     if (this.streamStart !== null && held.status < FIRST_REDIRECT) {
-      this.beginStream()
-      return this.answer.end(this.cursor.takeRest())
+      this.startStream()
+      return this.response.end(this.cursor.takeRest())
     }
     this.noteFirstByte()
-    this.answer.deliver(held)
+    this.response.deliver(held)
   }
 
   private resume (): void {
     if (!this.paused) return
     this.paused = false
-    this.running?.noteHeld(false)
-    this.call?.resume()
+    this.currentExchange?.noteHeld(false)
+    this.currentCall?.resume()
   }
 
   private noteFirstByte (): void {
     this.firstByteAtMs ??= this.parts.clock.nowMs()
   }
 
-  private conclude (end: DispatchEnd): OwnAnswerKind | null {
-    return CONCLUSIONS[end.kind](end, this.answer, this.lastFailure)
+  private respond (end: DispatchEnd): GatewayErrorKind | null {
+    return RESPONDERS[end.kind](end, this.response, this.lastFailure)
   }
 }
 
-type Conclusion = (end: DispatchEnd, answer: CallerAnswer, lastFailure: HeldAnswer | null) => OwnAnswerKind | null
+type Responder = (end: DispatchEnd, answer: CallerResponse, lastFailure: BufferedResponse | null) => GatewayErrorKind | null
 
-function refuse (answer: CallerAnswer, kind: OwnAnswerKind, retryAfterMs: number | null): OwnAnswerKind {
-  answer.refuse(kind, retryAfterMs)
+function sendError (answer: CallerResponse, kind: GatewayErrorKind, retryAfterMs: number | null): GatewayErrorKind {
+  answer.sendError(kind, retryAfterMs)
   return kind
 }
 
 /** The caller's answer for each end of a dispatch. */
-const CONCLUSIONS: Readonly<Record<DispatchEndKind, Conclusion>> = {
+const RESPONDERS: Readonly<Record<DispatchEndKind, Responder>> = {
   [DispatchEndKind.Delivered]: () => null,
   [DispatchEndKind.CallerLeft]: () => null,
   [DispatchEndKind.CutOff]: (_end, answer) => {
-    answer.cutOff()
+    answer.abort()
     return null
   },
   [DispatchEndKind.DeliverFailure]: (_end, answer, lastFailure) => {
-    if (lastFailure === null) return refuse(answer, OwnAnswerKind.EndpointLost, null)
+    if (lastFailure === null) return sendError(answer, GatewayErrorKind.EndpointLost, null)
     answer.deliver(lastFailure)
     return null
   },
-  [DispatchEndKind.NotRun]: (end, answer) => refuse(answer, OwnAnswerKind.NotRun, end.refusal?.retryAfterMs ?? DEFAULT_RETRY_MS),
+  [DispatchEndKind.NotRun]: (end, answer) => sendError(answer, GatewayErrorKind.NotRun, end.refusal?.retryAfterMs ?? DEFAULT_RETRY_MS),
   [DispatchEndKind.Unknown]: (end, answer, lastFailure) => {
     if (lastFailure !== null) {
       answer.deliver(lastFailure)
       return null
     }
-    const kind = end.lastExchange === ExchangeEnd.TimedOut ? OwnAnswerKind.TimedOut : OwnAnswerKind.EndpointLost
-    return refuse(answer, kind, null)
+    const kind = end.lastExchange === ExchangeEnd.TimedOut ? GatewayErrorKind.TimedOut : GatewayErrorKind.EndpointLost
+    return sendError(answer, kind, null)
   }
 }
 
 /** After an endpoint refused a request: a slot is free about this often. */
 const DEFAULT_RETRY_MS = 400
 
-function isRepeatable (route: Route): boolean {
+function isRetryable (route: Route): boolean {
   return route.kind === RequestKind.Idempotent || (route.kind === RequestKind.Streaming && route.resumable)
 }
 
--- a/packages/dotterelspur-gateway/src/request/readBody.ts
+++ b/packages/dotterelspur-gateway/src/request/readBody.ts
@@ -4,7 +4,7 @@
 export enum BodyErrorKind {
   TooLarge = 'too-large',
   /** The caller closed its connection before the body was whole. */
-  BrokenOff = 'broken-off'
+  Aborted = 'broken-off'
 }
 
 /** Reads a request's body up to a limit. Held whole, so that it can be sent again or refused truthfully. */
@@ -18,7 +18,7 @@
       else chunks.push(chunk)
     })
     request.on('end', () => { resolve(success(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks))) })
-    request.on('error', () => { resolve(failed(BodyErrorKind.BrokenOff)) })
-    request.on('close', () => { resolve(failed(BodyErrorKind.BrokenOff)) })
+    request.on('error', () => { resolve(failed(BodyErrorKind.Aborted)) })
+    request.on('close', () => { resolve(failed(BodyErrorKind.Aborted)) })
   })
 }
