--- a/packages/dotterelspur-gateway/src/__tests__/unit/malformedInput.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/malformedInput.test.ts
@@ -13,11 +13,11 @@
 const SEED = 4_711
 const SAMPLES = 60
 /** Longer than the time between two rounds in which links are made. */
-const ROUND_MS = 900
+const LINK_ROUND_MS = 900
 const POLL_MS = 20
 
 /** Anything, and what is nearly right: known fields of any type. */
-function anything (...fields: string[]): fc.Arbitrary<unknown> {
+function arbitraryValue (...fields: string[]): fc.Arbitrary<unknown> {
   const nearlyRight = fc.record(Object.fromEntries(fields.map((field) => [field, fc.jsonValue()])), { requiredKeys: [] })
   return fc.oneof(fc.jsonValue(), nearlyRight)
 }
@@ -44,7 +44,7 @@
     await new Promise((resolve) => { setTimeout(resolve, durationMs) })
   }
 
-  async function serves (): Promise<void> {
+  async function expectServing (): Promise<void> {
     const answer = await request(world.url('/read/x'), { headers: { host: 'a.example', 'x-request': 'r', 'x-key': 'key-1' } })
     expect(await answer.body.text()).to.equal('whole')
     const directory = await request(world.url('/directory', world.directory))
@@ -54,26 +54,26 @@
 
   // Guards against an entry that ends each node which reads it, one after the other.
   it('serves on, whatever stands among the nodes', async () => {
-    const entries = fc.sample(anything('node', 'incarnation', 'failureDomain', 'callers', 'peers'), { seed: SEED, numRuns: SAMPLES })
+    const entries = fc.sample(arbitraryValue('node', 'incarnation', 'failureDomain', 'callers', 'peers'), { seed: SEED, numRuns: SAMPLES })
     for (const [index, entry] of entries.entries()) store.put(`nodes/x${index}`, entry)
-    await delay(ROUND_MS)
-    await serves()
+    await delay(LINK_ROUND_MS)
+    await expectServing()
   })
 
   it('serves on, whatever stands in the quarantine', async () => {
-    const entries = fc.sample(anything('outline', 'ends', 'state', 'node'), { seed: SEED, numRuns: SAMPLES })
+    const entries = fc.sample(arbitraryValue('outline', 'ends', 'state', 'node'), { seed: SEED, numRuns: SAMPLES })
     for (const [index, entry] of entries.entries()) store.put(`quarantine/x${index}`, entry)
-    await delay(ROUND_MS)
-    await serves()
+    await delay(LINK_ROUND_MS)
+    await expectServing()
   })
 
   it('serves on, whatever stands in the lease', async () => {
-    for (const entry of fc.sample(anything('holder', 'fencing', 'released', 'memory'), { seed: SEED, numRuns: SAMPLES / 4 })) {
+    for (const entry of fc.sample(arbitraryValue('holder', 'fencing', 'released', 'memory'), { seed: SEED, numRuns: SAMPLES / 4 })) {
       store.put('leases/fleet', entry)
       await delay(POLL_MS)
     }
-    await delay(ROUND_MS)
-    await serves()
+    await delay(LINK_ROUND_MS)
+    await expectServing()
   })
 
   it('serves on, whatever another node tells it', async () => {
@@ -81,7 +81,7 @@
     const socket = new WebSocket(`ws://${world.peers.host}:${world.peers.port}`)
     socket.on('error', () => { /* The node may close it. */ })
     await new Promise((resolve) => { socket.on('open', resolve) })
-    const observation = anything('inFlight', 'speeds', 'flows', 'demand', 'pauses', 'firstEvents', 'deadlines', 'leastDeadlineShare', 'limits', 'rests', 'leaving', 'nodes', 'ageMs', 'intervalMs')
+    const observation = arbitraryValue('inFlight', 'speeds', 'flows', 'demand', 'pauses', 'firstEvents', 'deadlines', 'leastDeadlineShare', 'limits', 'rests', 'leaving', 'nodes', 'ageMs', 'intervalMs')
     const frames = fc.sample(fc.record({
       kind: fc.constantFrom(...Object.values(PeerFrameKind)),
       head: fc.jsonValue(),
@@ -89,15 +89,15 @@
       suspicion: fc.jsonValue(),
       observation,
       fencing: fc.oneof(fc.constant(1e9), fc.jsonValue()),
-      lease: anything('key', 'version', 'body', 'deleted'),
-      word: anything('feed', 'lease', 'loads', 'stoppedHeads'),
-      news: anything('prefix', 'from', 'to', 'objects'),
+      lease: arbitraryValue('key', 'version', 'body', 'deleted'),
+      word: arbitraryValue('feed', 'lease', 'loads', 'stoppedHeads'),
+      news: arbitraryValue('prefix', 'from', 'to', 'objects'),
       records: fc.jsonValue()
     }, { requiredKeys: ['kind'] }), { seed: SEED, numRuns: 8 * SAMPLES })
     for (const frame of frames) socket.send(codec.pack(frame))
     socket.send(Buffer.from('no frame'))
-    await delay(ROUND_MS)
-    await serves()
+    await delay(LINK_ROUND_MS)
+    await expectServing()
     socket.terminate()
   })
 })
--- a/packages/dotterelspur-gateway/src/connection/CallerListener.ts
+++ b/packages/dotterelspur-gateway/src/connection/CallerListener.ts
@@ -99,11 +99,11 @@
 
   private accept (request: IncomingMessage, response: ServerResponse): void {
     this.running += 1
-    const answer = new CallerResponse(request, response, () => this.draining)
-    this.run(request, response, answer)
+    const callerResponse = new CallerResponse(request, response, () => this.draining)
+    this.run(request, response, callerResponse)
       .catch((error: unknown) => {
         this.parts.log.write(LogKind.Unexpected, { where: 'request', error: error instanceof Error ? error.stack : String(error) })
-        answer.abort()
+        callerResponse.abort()
       })
       .finally(() => {
         this.running -= 1
@@ -112,40 +112,40 @@
       .catch(() => { /* `run` has reported what it met. */ })
   }
 
-  private async run (request: IncomingMessage, response: ServerResponse, answer: CallerResponse): Promise<void> {
+  private async run (request: IncomingMessage, response: ServerResponse, callerResponse: CallerResponse): Promise<void> {
     const arrivedAtMs = this.parts.clock.nowMs()
     const table = this.parts.manifest.current
     const body = await readBody(request, table?.manifest.limits.maxBodyBytes ?? INITIAL_LIMITS.maxBodyBytes)
     if (!body.ok) {
-      if (body.error === BodyErrorKind.TooLarge) this.sendError(request, answer, GatewayErrorKind.BodyTooLarge, null)
+      if (body.error === BodyErrorKind.TooLarge) this.sendError(request, callerResponse, GatewayErrorKind.BodyTooLarge, null)
       return
     }
     const head = this.parts.wire.readCaller(request.headers)
     await this.parts.initialSync.wait()
     // The newest manifest counts, also when it came while the body was read.
     const newest = this.parts.manifest.current
-    if (newest === null) return this.sendError(request, answer, GatewayErrorKind.NoManifest, NO_MANIFEST_RETRY_MS)
+    if (newest === null) return this.sendError(request, callerResponse, GatewayErrorKind.NoManifest, NO_MANIFEST_RETRY_MS)
     const access = newest.access({ host: hostOf(request), path: pathOf(request), key: head.key })
-    if (access.kind !== AccessKind.Allowed) return this.denyAccess(request, answer, access, newest)
+    if (access.kind !== AccessKind.Allowed) return this.denyAccess(request, callerResponse, access, newest)
     const service = this.pickService(access.route)
     const { route, workspace, priority } = access
     const content: RequestContent = { service, method: request.method!, target: request.url!, caller: workspace, model: head.model, body: body.value }
     const admission = await this.parts.poison.guard.admit(content)
-    if (answer.isClosed) return admission.release()
-    if (admission.kind !== AdmissionKind.Admitted) return this.refusePoison(request, answer, admission)
+    if (callerResponse.isClosed) return admission.release()
+    if (admission.kind !== AdmissionKind.Admitted) return this.refusePoison(request, callerResponse, admission)
     const spentBeforeMs = this.parts.dispatch.noteRequest(service, route, head)
     const requestId = head.requestId ?? randomUUID()
-    await this.dispatch(response, answer, { request, content, head, requestId, route, service, workspace, priority, arrivedAtMs, spentBeforeMs }).finally(admission.release)
+    await this.dispatch(response, callerResponse, { request, content, head, requestId, route, service, workspace, priority, arrivedAtMs, spentBeforeMs }).finally(admission.release)
   }
 
   /** A request that ends endpoints gets no time to come back: it would be refused again. */
-  private refusePoison (request: IncomingMessage, answer: CallerResponse, { kind, fingerprint }: PoisonAdmission): void {
-    if (kind === AdmissionKind.Quarantined) this.sendError(request, answer, GatewayErrorKind.Quarantined, null, { fingerprint })
-    else this.sendError(request, answer, GatewayErrorKind.NotRun, SUSPECT_RETRY_MS, { fingerprint })
+  private refusePoison (request: IncomingMessage, callerResponse: CallerResponse, { kind, fingerprint }: PoisonAdmission): void {
+    if (kind === AdmissionKind.Quarantined) this.sendError(request, callerResponse, GatewayErrorKind.Quarantined, null, { fingerprint })
+    else this.sendError(request, callerResponse, GatewayErrorKind.NotRun, SUSPECT_RETRY_MS, { fingerprint })
   }
 
-  private async dispatch (response: ServerResponse, answer: CallerResponse, admitted: AdmittedRequest): Promise<void> {
-    const run = new GatewayRequest(this.parts, admitted, answer)
+  private async dispatch (response: ServerResponse, callerResponse: CallerResponse, admitted: AdmittedRequest): Promise<void> {
+    const run = new GatewayRequest(this.parts, admitted, callerResponse)
     response.on('close', () => {
       if (!response.writableFinished) run.onCallerDisconnect()
     })
@@ -159,13 +159,13 @@
     return (share ?? pick(this.parts.random, shares)!).service
   }
 
-  private denyAccess (request: IncomingMessage, answer: CallerResponse, access: Access, table: RouteTable): void {
+  private denyAccess (request: IncomingMessage, callerResponse: CallerResponse, access: Access, table: RouteTable): void {
     const kind = access.kind === AccessKind.NoRoute ? GatewayErrorKind.NoRoute : GatewayErrorKind.Unauthorized
-    this.sendError(request, answer, kind, null, { manifestVersion: table.version })
+    this.sendError(request, callerResponse, kind, null, { manifestVersion: table.version })
   }
 
-  private sendError (request: IncomingMessage, answer: CallerResponse, kind: GatewayErrorKind, retryAfterMs: number | null, fields: LogFields = {}): void {
-    answer.sendError(kind, retryAfterMs)
+  private sendError (request: IncomingMessage, callerResponse: CallerResponse, kind: GatewayErrorKind, retryAfterMs: number | null, fields: LogFields = {}): void {
+    callerResponse.sendError(kind, retryAfterMs)
     this.parts.metrics.countOwnAnswer(kind)
     this.parts.log.write(LogKind.RequestEnded, { request: this.parts.wire.readCaller(request.headers).requestId, answeredWith: kind, path: request.url, manifestVersion: null, ...fields })
   }
--- a/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
@@ -131,10 +131,10 @@
   }
 
   /** Links to `nodes` while `decides()` holds. */
-  maintain (nodes: () => readonly NodeRecord[], isLeaseHolder: () => boolean): void {
+  maintain (nodes: () => readonly NodeRecord[], isCoordinator: () => boolean): void {
     this.cancelTimer = this.clock.registerTimer(PING_INTERVAL_MS, () => {
-      this.maintain(nodes, isLeaseHolder)
-      if (isLeaseHolder()) this.link(nodes())
+      this.maintain(nodes, isCoordinator)
+      if (isCoordinator()) this.link(nodes())
       else this.closeLinks()
     })
   }
@@ -225,8 +225,8 @@
     }
   }
 
-  private dial (record: NodeRecord, former: Link | undefined): void {
-    former?.socket.terminate()
+  private dial (record: NodeRecord, previous: Link | undefined): void {
+    previous?.socket.terminate()
     const socket = new WebSocket(`ws://${record.peers}`, { handshakeTimeout: HANDSHAKE_TIMEOUT_MS, perMessageDeflate: false, maxPayload: MAX_FRAME_BYTES })
     const link: Link = { socket, node: record }
     this.links.set(record.node, link)
--- a/packages/dotterelspur-gateway/src/request/EndpointCall.ts
+++ b/packages/dotterelspur-gateway/src/request/EndpointCall.ts
@@ -40,7 +40,7 @@
   readonly sink: ResponseSink | null
   /** Bytes or a head came: the endpoint lives. */
   readonly onProgress: (head: AnswerHead | null) => void
-  readonly onEnd: (end: ExchangeEnd, held: BufferedResponse | null, head: AnswerHead | null) => void
+  readonly onEnd: (end: ExchangeEnd, buffered: BufferedResponse | null, head: AnswerHead | null) => void
 }
 
 /** Codes of undici's errors for bytes that are no answer in the protocol. */
@@ -120,10 +120,10 @@
     this.finish(isGarbled(error) ? ExchangeEnd.Garbled : ExchangeEnd.BrokenOff, null)
   }
 
-  private finish (end: ExchangeEnd, held: BufferedResponse | null): void {
+  private finish (end: ExchangeEnd, buffered: BufferedResponse | null): void {
     if (this.ended) return
     this.ended = true
-    this.options.onEnd(end, held, this.head)
+    this.options.onEnd(end, buffered, this.head)
   }
 }
 
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -153,13 +153,13 @@
       channel,
       sink: streams ? { start: (start) => { this.streamStart = start }, data: (chunk) => this.handleData(chunk) } : null,
       onProgress: (head) => { running.noteProgress(head) },
-      onEnd: (end, held, head) => {
+      onEnd: (end, buffered, head) => {
         running.stop()
         dispatch.releaseChannel(target, channel)
         if (end === ExchangeEnd.Rejected && head !== null && head.lostMember !== null) dispatch.blame(target, end)
-        const judged = this.reclassifyEnd(end, held)
-        this.handleEnd(judged, held)
-        resolve(judged)
+        const finalEnd = this.reclassifyEnd(end, buffered)
+        this.handleEnd(finalEnd, buffered)
+        resolve(finalEnd)
       }
     })
     this.currentCall = call
@@ -179,13 +179,13 @@
   }
 
   private handleData (chunk: Buffer): boolean {
-    const whole = this.cursor.take(chunk)
-    if (whole === null) return true
+    const completeEvents = this.cursor.take(chunk)
+    if (completeEvents === null) return true
     this.eventCount += 1
     if (this.eventCount === 1) this.currentExchange?.noteFirstEvent()
     this.noteProgress()
     this.startStream()
-    this.paused = !this.response.write(whole)
+    this.paused = !this.response.write(completeEvents)
     if (this.paused) this.currentExchange?.noteHeld(true)
     return !this.paused
   }
@@ -200,22 +200,22 @@
   }
 
   /** A stream that the caller has begun to get is not completed by an answer of another kind. */
-  private reclassifyEnd (end: ExchangeEnd, held: BufferedResponse | null): ExchangeEnd {
-    const isStream = held !== null && held.status < FIRST_REDIRECT
+  private reclassifyEnd (end: ExchangeEnd, buffered: BufferedResponse | null): ExchangeEnd {
+    const isStream = buffered !== null && buffered.status < FIRST_REDIRECT
     return end === ExchangeEnd.Answered && this.response.isStarted && !isStream ? ExchangeEnd.BrokenOff : end
   }
 
-  private handleEnd (end: ExchangeEnd, held: BufferedResponse | null): void {
-    if (held === null) return
-    if (end === ExchangeEnd.Failed) this.lastFailure = held
+  private handleEnd (end: ExchangeEnd, buffered: BufferedResponse | null): void {
+    if (buffered === null) return
+    if (end === ExchangeEnd.Failed) this.lastFailure = buffered
     if (end !== ExchangeEnd.Answered) return
     this.parts.poison.guard.noteAnswer(this.admitted.content)
-    if (this.streamStart !== null && held.status < FIRST_REDIRECT) {
+    if (this.streamStart !== null && buffered.status < FIRST_REDIRECT) {
       this.startStream()
       return this.response.end(this.cursor.takeRest())
     }
     this.noteFirstByte()
-    this.response.deliver(held)
+    this.response.deliver(buffered)
   }
 
   private resume (): void {
@@ -234,10 +234,10 @@
   }
 }
 
-type Responder = (end: DispatchEnd, answer: CallerResponse, lastFailure: BufferedResponse | null) => GatewayErrorKind | null
+type Responder = (end: DispatchEnd, response: CallerResponse, lastFailure: BufferedResponse | null) => GatewayErrorKind | null
 
-function sendError (answer: CallerResponse, kind: GatewayErrorKind, retryAfterMs: number | null): GatewayErrorKind {
-  answer.sendError(kind, retryAfterMs)
+function sendError (response: CallerResponse, kind: GatewayErrorKind, retryAfterMs: number | null): GatewayErrorKind {
+  response.sendError(kind, retryAfterMs)
   return kind
 }
 
@@ -245,23 +245,23 @@
 const RESPONDERS: Readonly<Record<DispatchEndKind, Responder>> = {
   [DispatchEndKind.Delivered]: () => null,
   [DispatchEndKind.CallerLeft]: () => null,
-  [DispatchEndKind.CutOff]: (_end, answer) => {
-    answer.abort()
+  [DispatchEndKind.CutOff]: (_end, response) => {
+    response.abort()
     return null
   },
-  [DispatchEndKind.DeliverFailure]: (_end, answer, lastFailure) => {
-    if (lastFailure === null) return sendError(answer, GatewayErrorKind.EndpointLost, null)
-    answer.deliver(lastFailure)
+  [DispatchEndKind.DeliverFailure]: (_end, response, lastFailure) => {
+    if (lastFailure === null) return sendError(response, GatewayErrorKind.EndpointLost, null)
+    response.deliver(lastFailure)
     return null
   },
-  [DispatchEndKind.NotRun]: (end, answer) => sendError(answer, GatewayErrorKind.NotRun, end.refusal?.retryAfterMs ?? DEFAULT_RETRY_MS),
-  [DispatchEndKind.Unknown]: (end, answer, lastFailure) => {
+  [DispatchEndKind.NotRun]: (end, response) => sendError(response, GatewayErrorKind.NotRun, end.refusal?.retryAfterMs ?? DEFAULT_RETRY_MS),
+  [DispatchEndKind.Unknown]: (end, response, lastFailure) => {
     if (lastFailure !== null) {
-      answer.deliver(lastFailure)
+      response.deliver(lastFailure)
       return null
     }
     const kind = end.lastExchange === ExchangeEnd.TimedOut ? GatewayErrorKind.TimedOut : GatewayErrorKind.EndpointLost
-    return sendError(answer, kind, null)
+    return sendError(response, kind, null)
   }
 }
 
