--- a/packages/dotterelspur-gateway/src/__tests__/unit/EndpointCall.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/EndpointCall.test.ts
@@ -27,7 +27,7 @@
 async function callServer (respond: (socket: Socket, requests: number) => void, calls = 1): Promise<CallResult[]> {
   let requests = 0
   const server: Server = createServer((socket) => {
-    socket.on('error', () => { /* The client closes channels that it can't trust. */ })
+    socket.on('error', () => { /* The client may reset connections. */ })
     socket.on('data', () => { respond(socket, ++requests) })
   })
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
@@ -73,17 +73,17 @@
 }
 
 const CASES: readonly ResponseCase[] = [
-  { name: 'a whole answer with a length', respond: (socket) => socket.write(responseText('200 OK', [OWN, 'Content-Length: 4'], 'full')), end: ExchangeEnd.Answered, body: 'full' },
-  { name: 'an answer that ends with its channel', respond: (socket) => socket.end(responseText('200 OK', [OWN], 'full')), end: ExchangeEnd.Answered, body: 'full' },
+  { name: 'a complete response with Content-Length', respond: (socket) => socket.write(responseText('200 OK', [OWN, 'Content-Length: 4'], 'full')), end: ExchangeEnd.Answered, body: 'full' },
+  { name: 'a response that ends with its connection', respond: (socket) => socket.end(responseText('200 OK', [OWN], 'full')), end: ExchangeEnd.Answered, body: 'full' },
   { name: 'a server error', respond: (socket) => socket.write(responseText('500 Oops', [OWN, 'Content-Length: 0'], '')), end: ExchangeEnd.Failed },
-  { name: 'a refusal that declares itself not executed', respond: (socket) => socket.write(responseText('503 Full', [OWN, 'X-Not-Executed: 1', 'Content-Length: 0'], '')), end: ExchangeEnd.Rejected },
-  { name: 'another endpoint at the address', respond: (socket) => socket.write(responseText('421 Misdirected', [OWN, 'Content-Length: 0'], '')), end: ExchangeEnd.Misdirected },
-  { name: 'an answer to another request', respond: (socket) => socket.write(responseText('200 OK', [FOREIGN, 'Content-Length: 4'], 'full')), end: ExchangeEnd.Foreign },
-  { name: 'an answer without an id', respond: (socket) => socket.write(responseText('200 OK', ['Content-Length: 4'], 'full')), end: ExchangeEnd.Foreign },
+  { name: 'a refusal with the not-executed header', respond: (socket) => socket.write(responseText('503 Full', [OWN, 'X-Not-Executed: 1', 'Content-Length: 0'], '')), end: ExchangeEnd.Rejected },
+  { name: 'a 421 from another endpoint at the address', respond: (socket) => socket.write(responseText('421 Misdirected', [OWN, 'Content-Length: 0'], '')), end: ExchangeEnd.Misdirected },
+  { name: 'a response to another request', respond: (socket) => socket.write(responseText('200 OK', [FOREIGN, 'Content-Length: 4'], 'full')), end: ExchangeEnd.Foreign },
+  { name: 'a response without a request id', respond: (socket) => socket.write(responseText('200 OK', ['Content-Length: 4'], 'full')), end: ExchangeEnd.Foreign },
   { name: 'a refusal of another request', respond: (socket) => socket.write(responseText('503 Full', [FOREIGN, 'X-Not-Executed: 1', 'Content-Length: 0'], '')), end: ExchangeEnd.Foreign },
-  { name: 'bytes that are no answer', respond: (socket) => socket.write('garbage\r\n\r\n'), end: ExchangeEnd.Garbled },
-  { name: 'a close before the answer', respond: (socket) => socket.end(), end: ExchangeEnd.BrokenOff },
-  { name: 'a close before the stated length', respond: (socket) => socket.end(responseText('200 OK', [OWN, 'Content-Length: 9'], 'half')), end: ExchangeEnd.BrokenOff },
+  { name: 'bytes that are not HTTP', respond: (socket) => socket.write('garbage\r\n\r\n'), end: ExchangeEnd.Garbled },
+  { name: 'a close before the response', respond: (socket) => socket.end(), end: ExchangeEnd.BrokenOff },
+  { name: 'a close before the end of Content-Length', respond: (socket) => socket.end(responseText('200 OK', [OWN, 'Content-Length: 9'], 'half')), end: ExchangeEnd.BrokenOff },
   { name: 'a close before the last chunk', respond: (socket) => socket.end(responseText('200 OK', [OWN, 'Transfer-Encoding: chunked'], '4\r\nhalf\r\n')), end: ExchangeEnd.BrokenOff }
 ]
 
@@ -96,19 +96,17 @@
     })
   }
 
-  it('takes a reset in the middle of an answer without length for a break', async () => {
-    // Symptom: a caller gets a success with half a body. Sequence: an endpoint begins an answer that has no length
-    // and ends with its channel, then crashes, and the channel is reset. Cause: the client library takes a reset
-    // of a channel that won't be kept for the end of the answer.
+  it('detects a reset in the middle of a response without stated length', async () => {
+    // Guards against a success with a truncated body: an endpoint crashes while sending a response that ends with its
+    // connection, which is reset. undici takes the reset of a connection that won't be kept alive for the end of the response.
     const [result] = await callServer((socket) => {
       socket.write(responseText('200 OK', [OWN, 'Connection: close'], 'half'), () => { setTimeout(() => { socket.resetAndDestroy() }, 30) })
     })
     expect(result?.end).to.equal(ExchangeEnd.BrokenOff)
   })
 
-  it('takes a reset that comes together with the last bytes for a break', async () => {
-    // Symptom: a caller gets a success with half a body. Sequence: as above, but the bytes and the reset are read in
-    // one step. Cause: the event loop then reports an ordinary end, and the error is never seen.
+  it('detects a reset that arrives together with the last bytes', async () => {
+    // As above, but the bytes and the reset are read in one step: the event loop then reports an ordinary end instead of an error.
     const [result] = await callServer((socket) => {
       socket.write(responseText('200 OK', [OWN, 'Connection: close'], 'half'))
       socket.resetAndDestroy()
@@ -116,25 +114,25 @@
     expect(result?.end).to.equal(ExchangeEnd.BrokenOff)
   })
 
-  it('takes a close before the last chunk for a break, also where the channel would not be kept', async () => {
-    // Symptom: a caller gets a success with half a body. Sequence: an endpoint that is about to close its channel
-    // crashes between two chunks. Cause: the end of such a channel is the end of the answer only without chunks.
+  it('detects a close before the last chunk on a connection that would not be kept alive', async () => {
+    // Guards against a success with a truncated body: an endpoint that has announced `Connection: close` crashes between two
+    // chunks. The close of such a connection ends the response only if it is not chunked.
     const [result] = await callServer((socket) => {
       socket.end(responseText('200 OK', [OWN, 'Connection: close', 'Transfer-Encoding: chunked'], '4\r\nhalf\r\n'))
     })
     expect(result?.end).to.equal(ExchangeEnd.Garbled)
   })
 
-  it('takes chunks whole when the last one came before the close', async () => {
+  it('accepts a chunked response whose last chunk arrived before the close', async () => {
     const [result] = await callServer((socket) => {
       socket.end(responseText('200 OK', [OWN, 'Connection: close', 'Transfer-Encoding: chunked'], '4\r\nfull\r\n0\r\n\r\n'))
     })
     expect(result).to.deep.equal({ end: ExchangeEnd.Answered, body: 'full' })
   })
 
-  it('does not give a second answer to the next request', async () => {
-    // Symptom: a caller gets another caller's answer. Sequence: an endpoint sends two answers to one request; the
-    // second lies on the kept channel when the next request goes out. Cause: answers carry no place of their own.
+  it('does not deliver a surplus response to the next request', async () => {
+    // Guards against a caller that receives another caller's response: an endpoint sends two responses to one request, and the
+    // second is read from the kept-alive connection as the response to the next request.
     const results = await callServer((socket, requests) => {
       if (requests === 1) socket.write(responseText('200 OK', [OWN, 'Content-Length: 5'], 'first') + responseText('200 OK', [FOREIGN, 'Content-Length: 5'], 'extra'))
       else socket.write(responseText('200 OK', [OWN, 'Content-Length: 6'], 'second'))
@@ -143,7 +141,7 @@
     expect(results[1]?.end).to.equal(ExchangeEnd.Answered)
   })
 
-  it('proves that nothing was sent when nobody listens', async () => {
+  it('reports that nothing was sent when the connection is refused', async () => {
     const server = createServer()
     await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
     const { port } = server.address() as AddressInfo
--- a/packages/dotterelspur-gateway/src/__tests__/unit/ObservationCodec.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/ObservationCodec.test.ts
@@ -26,21 +26,21 @@
 }
 
 describe('ObservationCodec', () => {
-  it('gives back what another node coded', () => {
+  it('decodes what another node has encoded', () => {
     expect(createCodec('g1', 'g2').decodeFleet(createCodec('g1', 'g2').encodeFleet(FLEET))).to.deep.equal(FLEET)
   })
 
-  it('leaves out endpoints that are not listed here', () => {
+  it('drops endpoints that are not listed at this node', () => {
     expect(createCodec('g1').decodeFleet(createCodec('g1', 'g2').encodeFleet(FLEET)).inFlight).to.deep.equal({ g1: 4 })
   })
 
-  it('forgets endpoints that are gone', () => {
+  it('drops endpoints that are no longer listed', () => {
     const codec = createCodec('g1', 'g2')
     codec.setEndpoints(new Set(['g2']))
     expect(codec.decode(codec.encode(FLEET)).inFlight).to.deep.equal({ g2: 1 })
   })
 
-  it('takes less than a kilobyte for a hundred groups', () => {
+  it('encodes a hundred groups in less than a kilobyte', () => {
     const inFlight = Object.fromEntries(Array.from({ length: 100 }, (_unused, index) => [`i-${index}a7f3c91c2@1764731000000`, index % 12]))
     expect(pack(new ObservationCodec().encodeFleet({ ...FLEET, inFlight })).length).to.be.below(1_000)
   })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
@@ -7,12 +7,12 @@
 
 const POLL_MS = 20
 
-/** Waits for what the test claims; it fails by the time limit of all tests. */
+/** Polls until `condition` holds; otherwise the test runs into mocha's timeout. */
 async function until (condition: () => Promise<boolean>): Promise<void> {
   while (!await condition()) await new Promise((resolve) => { setTimeout(resolve, POLL_MS) })
 }
 
-/** Far above what one node can shake hands with at a time, far below how long a handshake may take. */
+/** Long enough for any further handshakes to start, and far below the handshake timeout. */
 const SETTLED_MS = 150
 
 function createListener (lost: string[]): PeerListener {
@@ -33,10 +33,10 @@
 }
 
 describe('PeerLinks', () => {
-  it('dial a few nodes at a time, and take none for lost whose turn has not come', async () => {
-    // Symptom: after a takeover 195 nodes go to the store themselves for half a minute (19,660 priced calls). Sequence: the next
-    // deciding node dials 194 others at once from a third of a core; most handshakes run into their timeout; after 2.8 s their
-    // nodes are taken off the directory, and write themselves again. Cause: nothing bounded the handshakes.
+  it('limit concurrent handshakes, and report no node as lost that has not been dialled', async () => {
+    // Guards against 195 nodes that poll the store themselves for half a minute after a takeover (19,660 priced calls): without a
+    // limit, the new lease holder dials 194 nodes at once from a third of a core, and most handshakes run into their timeout. After
+    // 2.8 s these nodes are removed from the directory, and register again.
     const sockets = new Set<Socket>()
     const server = createServer((socket) => {
       socket.on('error', () => {})
@@ -65,9 +65,9 @@
     }
   })
 
-  it('let a node that the store turns away learn of endpoints from the one that decides', async () => {
-    // Symptom: one node sends requests to groups that are gone, and knows none of the new ones. Sequence: the store turns
-    // that node away for nine seconds and serves the others. Cause: nodes learned of endpoints from the store alone.
+  it('pass endpoints from the lease holder to a node that the store refuses to serve', async () => {
+    // Guards against a node that sends requests to groups that no longer exist and none to new ones, while the store refuses it
+    // for nine seconds and serves the other nodes: endpoints must not be read from the store alone.
     const first = await GatewayWorld.start('n1')
     const second = await GatewayWorld.start('n2', first.store)
     try {
--- a/packages/dotterelspur-gateway/src/__tests__/unit/connectWithin.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/connectWithin.test.ts
@@ -6,10 +6,10 @@
 const TIMEOUT_MS = 1
 const BLOCK_MS = 20
 
-/** Holds the event loop past the timer, so that it is due before anything that the network may say. */
+/** Blocks the event loop until the timer is due, so that it fires before any network event. */
 function blockEventLoop (): void {
   const untilMs = Date.now() + BLOCK_MS
-  while (Date.now() < untilMs) { /* Nothing else may run. */ }
+  while (Date.now() < untilMs) { /* Busy wait. */ }
 }
 
 describe('connectWithin', () => {
@@ -23,7 +23,7 @@
     }
   }
 
-  it('connects, and shows the socket before the library has it', async () => {
+  it('connects, and calls `onConnected` with the socket', async () => {
     await withServer(async (port) => {
       let shown = 0
       const client = new Client(`http://127.0.0.1:${port}`, { connect: connectWithin(5_000, () => { shown += 1 }) })
@@ -33,10 +33,10 @@
     })
   })
 
-  it('ends a request whose connection does not come about by its own timer, not by the library\'s', async () => {
-    // Symptom: a group stands still for two seconds longer than two questions of a quarter second should take.
-    // Sequence: a member dies, its address answers nothing, and the question waits for its connection. Cause: the
-    // library's timer for connections ticks every half second, and an abort does not reach a request before it has one.
+  it('fails a request whose connection is not established by its own timer, not by undici\'s', async () => {
+    // Guards against a group that stalls for two seconds longer than two status requests of a quarter second take: a member
+    // dies and its address does not respond. undici's connect timer ticks every half second, and an abort does not reach a request
+    // before it has a connection.
     await withServer(async (port) => {
       const client = new Client(`http://127.0.0.1:${port}`, {
         connect: (options, callback) => {
@@ -45,7 +45,7 @@
         }
       })
       const error = await client.request({ method: 'GET', path: '/' }).then(() => null, (reason: Error) => reason)
-      expect(error?.message).to.equal('no connection in time')
+      expect(error?.message).to.equal(`no connection within ${TIMEOUT_MS} ms`)
       await client.destroy()
     })
   })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/malformedInput.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/malformedInput.test.ts
@@ -12,17 +12,17 @@
 
 const SEED = 4_711
 const SAMPLES = 60
-/** Longer than the time between two rounds in which links are made. */
+/** Longer than the interval at which missing links are dialled. */
 const LINK_ROUND_MS = 900
 const POLL_MS = 20
 
-/** Anything, and what is nearly right: known fields of any type. */
+/** Arbitrary JSON, or an object with some of the expected fields, of any type. */
 function arbitraryValue (...fields: string[]): fc.Arbitrary<unknown> {
   const nearlyRight = fc.record(Object.fromEntries(fields.map((field) => [field, fc.jsonValue()])), { requiredKeys: [] })
   return fc.oneof(fc.jsonValue(), nearlyRight)
 }
 
-describe('A node that is given what it can\'t read', () => {
+describe('A node that receives malformed input', () => {
   let store: MemoryStore
   let world: GatewayWorld
   let endpoint: StubEndpoint
@@ -52,22 +52,22 @@
     await directory.body.dump()
   }
 
-  // Guards against an entry that ends each node which reads it, one after the other.
-  it('serves on, whatever stands among the nodes', async () => {
+  // Guards against a store entry that crashes each node that reads it, one after the other.
+  it('keeps serving with malformed node entries in the store', async () => {
     const entries = fc.sample(arbitraryValue('node', 'incarnation', 'failureDomain', 'callers', 'peers'), { seed: SEED, numRuns: SAMPLES })
     for (const [index, entry] of entries.entries()) store.put(`nodes/x${index}`, entry)
     await delay(LINK_ROUND_MS)
     await expectServing()
   })
 
-  it('serves on, whatever stands in the quarantine', async () => {
+  it('keeps serving with malformed quarantine entries in the store', async () => {
     const entries = fc.sample(arbitraryValue('outline', 'ends', 'state', 'node'), { seed: SEED, numRuns: SAMPLES })
     for (const [index, entry] of entries.entries()) store.put(`quarantine/x${index}`, entry)
     await delay(LINK_ROUND_MS)
     await expectServing()
   })
 
-  it('serves on, whatever stands in the lease', async () => {
+  it('keeps serving with malformed leases in the store', async () => {
     for (const entry of fc.sample(arbitraryValue('holder', 'fencing', 'released', 'memory'), { seed: SEED, numRuns: SAMPLES / 4 })) {
       store.put('leases/fleet', entry)
       await delay(POLL_MS)
@@ -76,10 +76,10 @@
     await expectServing()
   })
 
-  it('serves on, whatever another node tells it', async () => {
+  it('keeps serving when a peer sends malformed frames', async () => {
     const codec = new Packr({ useRecords: true })
     const socket = new WebSocket(`ws://${world.peers.host}:${world.peers.port}`)
-    socket.on('error', () => { /* The node may close it. */ })
+    socket.on('error', () => { /* The node may close the connection. */ })
     await new Promise((resolve) => { socket.on('open', resolve) })
     const observation = arbitraryValue('inFlight', 'speeds', 'flows', 'demand', 'pauses', 'firstEvents', 'deadlines', 'leastDeadlineShare', 'limits', 'rests', 'leaving', 'nodes', 'ageMs', 'intervalMs')
     const frames = fc.sample(fc.record({
--- a/packages/dotterelspur-gateway/src/connection/CallerListener.ts
+++ b/packages/dotterelspur-gateway/src/connection/CallerListener.ts
@@ -17,13 +17,16 @@
 import { GatewayRequest, type AdmittedRequest, type RequestReport } from '../request/GatewayRequest.js'
 import { BodyErrorKind, readBody } from '../request/readBody.js'
 
-/** Until the manifest is known where it was waited for in vain. */
+/** Retry-After of requests that arrive before this node has read a manifest. */
 const NO_MANIFEST_RETRY_MS = 500
-/** When a suspect may come back that runs elsewhere: by then one end more, or an answer, has shown what it is. */
+/**
+ * Retry-After of a suspect request that is deferred while the same request runs elsewhere: by then that run has either crashed its
+ * endpoint or returned a response, which shows whether the request is a poison request.
+ */
 const SUSPECT_RETRY_MS = 1_500
-/** Kept beyond the operators' idle limit, so that a caller that keeps to it never meets a closing channel. */
+/** Added to the configured idle timeout, so that a caller that respects the timeout never sends a request on a closing connection. */
 const IDLE_SLACK_MS = 2_000
-/** Before the first manifest there is nothing to keep to but this. */
+/** Limits in force until the first manifest is read. */
 const INITIAL_LIMITS: CallerLimits = { maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 }
 
 export interface CallerListenerParts {
@@ -38,13 +41,13 @@
   readonly poison: PoisonKeeper
 }
 
-/** A port that was opened before the program had loaded. */
+/** A listening port that was opened before the program had finished loading. */
 export interface OpenedPort {
-  /** `server` takes the port over, with all who have connected. */
+  /** Transfers the listening socket and all accepted connections to `server`. */
   handOver (server: Server): void
 }
 
-/** Takes callers' requests: finds their route and key, and runs each to its one answer. */
+/** The HTTP server for callers: authenticates and routes each request, and runs it until exactly one response has been sent. */
 export class CallerListener {
   private readonly app: FastifyInstance
   private draining = false
@@ -56,7 +59,7 @@
     this.applyLimits(INITIAL_LIMITS)
   }
 
-  /** Requests that have no whole answer yet. */
+  /** Number of requests whose response is not complete yet. */
   get runningRequests (): number {
     return this.running
   }
@@ -70,13 +73,13 @@
     }
   }
 
-  /** From now on each answer asks its caller to connect elsewhere; idle channels are closed. */
+  /** From now on each response carries `Connection: close`, so that callers reconnect to other nodes; idle connections are closed. */
   drain (): void {
     this.draining = true
     this.closeIdle()
   }
 
-  /** Takes no new channels. Those that are open finish what they have. */
+  /** Accepts no new connections. Requests on open connections are completed. */
   stopListening (): void {
     this.app.server.close()
     this.closeIdle()
@@ -109,7 +112,7 @@
         this.running -= 1
         if (this.draining) this.closeIdle()
       })
-      .catch(() => { /* `run` has reported what it met. */ })
+      .catch(() => { /* Errors of `run` have been logged above. */ })
   }
 
   private async run (request: IncomingMessage, response: ServerResponse, callerResponse: CallerResponse): Promise<void> {
@@ -122,7 +125,7 @@
     }
     const head = this.parts.wire.readCaller(request.headers)
     await this.parts.initialSync.wait()
-    // The newest manifest counts, also when it came while the body was read.
+    // Uses the newest manifest, which may have been read while the body was being received.
     const newest = this.parts.manifest.current
     if (newest === null) return this.sendError(request, callerResponse, GatewayErrorKind.NoManifest, NO_MANIFEST_RETRY_MS)
     const access = newest.access({ host: hostOf(request), path: pathOf(request), key: head.key })
@@ -138,7 +141,7 @@
     await this.dispatch(response, callerResponse, { request, content, head, requestId, route, service, workspace, priority, arrivedAtMs, spentBeforeMs }).finally(admission.release)
   }
 
-  /** A request that ends endpoints gets no time to come back: it would be refused again. */
+  /** A quarantined request gets no Retry-After: a retry would be refused as well. */
   private refusePoison (request: IncomingMessage, callerResponse: CallerResponse, { kind, fingerprint }: PoisonAdmission): void {
     if (kind === AdmissionKind.Quarantined) this.sendError(request, callerResponse, GatewayErrorKind.Quarantined, null, { fingerprint })
     else this.sendError(request, callerResponse, GatewayErrorKind.NotRun, SUSPECT_RETRY_MS, { fingerprint })
@@ -196,39 +199,39 @@
   }
 }
 
-/** Endpoints whose need decided a refusal, for its log line; undefined where none did. */
+/** Endpoints whose backpressure caused a refusal, for its log line; undefined if there are none. */
 function backpressuredEndpoints (refusal: PlacementRefusal | null): readonly string[] | undefined {
   return refusal === null || refusal.inNeed.length === 0 ? undefined : refusal.inNeed
 }
 
-/** What a refusal was decided by, for its log line. */
+/** The figures on which a refusal was based, for its log line. */
 function roundedBasis (refusal: PlacementRefusal | null): Readonly<Record<string, number | null>> {
   if (refusal === null || refusal.basis === null) return {}
   const { expectedMs, limitMs, loadAgeMs } = refusal.basis
   return { expectedMs: Math.round(expectedMs), limitMs: Math.round(limitMs), loadAgeMs: loadAgeMs === null ? null : Math.round(loadAgeMs) }
 }
 
-/** Every method and path comes to the one handler, as it was sent: the library's own routing and body parsing stay out of the way. */
+/** Passes requests of every method and path unchanged to one handler, bypassing Fastify's routing and body parsing. */
 function createApp (accept: (request: IncomingMessage, response: ServerResponse) => void): FastifyInstance {
   const app = fastify({
     logger: false,
     rewriteUrl: () => '/',
     http: { maxHeaderSize: INITIAL_LIMITS.maxHeaderBytes },
     requestTimeout: 0,
-    // Bodies are neither checked nor written by the library: its compilers for that take 14 ms of each start.
+    // Fastify neither validates nor serializes bodies here; creating its schema compilers would take 14 ms of each start.
     schemaController: { compilersFactory: { buildValidator: noCompiler, buildSerializer: noCompiler } },
     keepAliveTimeout: INITIAL_LIMITS.idleTimeoutMs + IDLE_SLACK_MS,
     forceCloseConnections: false
   })
   app.removeAllContentTypeParsers()
   app.addContentTypeParser('*', (_request, _payload, done) => { done(null) })
-  // Not calling back ends the library's part: it runs no handler, and leaves the answer to `take`.
+  // The hook does not call `done`, so that Fastify runs no handler and leaves the response to `accept`.
   app.addHook('onRequest', (request, reply) => {
     reply.hijack()
     request.raw.url = request.originalUrl
     accept(request.raw, reply.raw)
   })
-  app.route({ method: ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'], url: '/', handler: async () => { /* The hook has taken the request. */ } })
+  app.route({ method: ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'], url: '/', handler: async () => { /* Never called: the hook handles the request. */ } })
   return app
 }
 
@@ -236,7 +239,7 @@
   throw new Error('invariant: no route has a schema')
 }
 
-/** Host names are compared without port and case. */
+/** The host name without its port, in lower case, as routes are matched. */
 function hostOf (request: IncomingMessage): string {
   return (request.headers.host ?? '').replace(/:\d+$/, '').toLowerCase()
 }
--- a/packages/dotterelspur-gateway/src/connection/EndpointChannel.ts
+++ b/packages/dotterelspur-gateway/src/connection/EndpointChannel.ts
@@ -2,26 +2,29 @@
 import { Client, type Dispatcher } from 'undici'
 import { connectWithin } from './connectWithin.js'
 
-/** A living endpoint accepts within a few milliseconds; a dark one never answers. */
+/** A live endpoint accepts a connection within a few milliseconds; one that is down or unreachable may never respond. */
 const CONNECT_TIMEOUT_MS = 350
-/** Idle channels are closed after this, unless the endpoint states a shorter time. */
+/** Idle connections are closed after this time, unless the endpoint's Keep-Alive header states a shorter one. */
 const IDLE_TIMEOUT_MS = 4_000
-/** A channel is not used any more this long before the end that the endpoint states: its close may be on the way. */
+/**
+ * A connection is not reused when less than this remains of the endpoint's stated keep-alive timeout, as the endpoint may be closing
+ * it already.
+ */
 const IDLE_MARGIN_MS = 1_500
 
-/** The name that a reset gets; any but the system's own, see `watchEnds`. */
+/** Replaces the error code ECONNRESET, which undici treats specially; see `detectReset`. */
 const RESET_CODE = 'ECHANNELRESET'
 
-/** An empty line, which endpoints ignore between requests. */
+/** An empty line, which HTTP servers ignore between requests. */
 const RESET_PROBE = '\r\n'
 
 /**
- * One connection to an endpoint, with one request at a time; connects again when it was closed in between.
+ * One connection to an endpoint, which carries one request at a time. Reconnects if the connection was closed between requests.
  *
- * An answer without a length ends with its connection. A worker that crashes in the middle of such an answer resets
- * the connection, and its caller would get a success with half a body if the reset were taken for the end: the
- * client library does so when it sees the reset, and the event loop reports a reset that comes together with the
- * last bytes as an ordinary end. So the channel finds out itself how its connection ended.
+ * A response without Content-Length and Transfer-Encoding ends when its connection closes. A worker that crashes while sending such
+ * a response resets the connection. If the reset were taken for the end of the response, the caller would receive a success with a
+ * truncated body: undici does so when it sees the reset, and the event loop reports a reset that arrives together with the last
+ * bytes as an ordinary end. The channel therefore determines itself whether the connection was closed or reset.
  */
 export class EndpointChannel {
   private readonly client: Client
@@ -39,12 +42,12 @@
     })
   }
 
-  /** The answer that has begun has no length: the end of the connection will be its end. */
+  /** The current response has no stated length, so the close of the connection marks its end. */
   noteUnframedResponse (): void {
     this.closeEndsResponse = true
   }
 
-  /** Whether the connection was closed in the ordinary way, and not reset. Asked after the end of an answer without length. */
+  /** Whether the connection was closed normally rather than reset. To be called after the end of a response without stated length. */
   async closedCleanly (): Promise<boolean> {
     return await this.cleanClose
   }
@@ -53,12 +56,12 @@
     this.client.dispatch(options, handler)
   }
 
-  /** Closes at once, also in the middle of an exchange. */
+  /** Closes immediately, aborting a running exchange. */
   destroy (): void {
     this.client.destroy().catch(() => { /* Already closed: nothing is left to do. */ })
   }
 
-  /** Closes after the exchange that is under way. */
+  /** Closes once the running exchange has ended. */
   close (): void {
     this.client.close().catch(() => { /* Already closed: nothing is left to do. */ })
   }
@@ -70,8 +73,9 @@
   }
 
   /**
-   * Runs before the library's own listeners. A reset is recognised there by its code, so it gets another one. Behind
-   * an ordinary end a write still succeeds; on a connection that was reset it fails at once.
+   * Registers listeners that run before undici's. undici recognises a reset by its error code and takes it for the end of the
+   * response, so the code is replaced. A reset that was reported as an ordinary end is detected by a write: after a normal close by
+   * the peer it still succeeds, on a connection that was reset it fails immediately.
    */
   private detectReset (socket: Socket): void {
     socket.prependListener('end', () => {
--- a/packages/dotterelspur-gateway/src/connection/EndpointChannels.ts
+++ b/packages/dotterelspur-gateway/src/connection/EndpointChannels.ts
@@ -3,18 +3,18 @@
 
 interface Pool {
   readonly origin: string
-  /** The one used last is taken first, so that the others reach their idle time. */
+  /** Used last in, first out, so that surplus connections reach their idle timeout. */
   readonly idle: EndpointChannel[]
   readonly busy: Set<EndpointChannel>
-  /** The endpoint is gone: channels are closed as they become free. */
+  /** The endpoint is no longer listed: its channels are closed as they become free. */
   retired: boolean
 }
 
-/** Channels to endpoints, one pool for each life of an endpoint, one request at a time on each channel. */
+/** Connection pools, one for each incarnation of an endpoint. */
 export class EndpointChannels {
   private readonly pools = new Map<EndpointId, Pool>()
 
-  /** Takes a channel for one exchange; `release` gives it back. */
+  /** Takes a channel for one exchange, to be returned with `release`. */
   acquire (endpoint: EndpointId, address: string): EndpointChannel {
     const pool = this.poolOf(endpoint, address)
     const channel = pool.idle.pop() ?? new EndpointChannel(pool.origin)
@@ -22,7 +22,7 @@
     return channel
   }
 
-  /** The exchange has ended. A channel that was broken in it connects again when it is next used. */
+  /** Returns a channel after its exchange. A channel whose connection broke reconnects when it is next used. */
   release (endpoint: EndpointId, channel: EndpointChannel): void {
     const pool = this.pools.get(endpoint)
     if (pool === undefined || !pool.busy.delete(channel)) return channel.close()
@@ -30,7 +30,7 @@
     else this.closeRetired(endpoint, pool, channel)
   }
 
-  /** Closes the channels of endpoints that are gone, once what is on them has ended. */
+  /** Closes the channels of all endpoints that are not in `endpoints`, once their exchanges have ended. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     for (const [endpoint, pool] of this.pools) {
       if (endpoints.has(endpoint)) continue
--- a/packages/dotterelspur-gateway/src/connection/ObservationCodec.ts
+++ b/packages/dotterelspur-gateway/src/connection/ObservationCodec.ts
@@ -1,16 +1,16 @@
 import { hashText, type EndpointId, type FleetObservation, type NodeObservation } from 'dotterelspur'
 
-/** Rates and sums are sent as whole numbers of hundredths: two or three bytes each instead of nine. */
+/** Rates and sums are sent as integer hundredths, which take two or three bytes each instead of the nine of a double. */
 const HUNDREDTHS = 100
-/** Stands for an endpoint that names no limit any more. */
+/** Encodes that an endpoint has withdrawn its rate limit. */
 const NO_LIMIT = -1
 
-/** Names with numbers, as one flat list: a name, its numbers, the next name. */
+/** A flat list in which each name is followed by its numbers. */
 type NamedNumbers = ReadonlyArray<string | number>
 
 /**
- * A node's observation on a link. Endpoints are sent as numbers of four bytes: the names of a hundred groups, sent to 200
- * nodes four times a second, would fill a link of 14 Mbit/s.
+ * The wire form of a node's observation. Endpoints are encoded as four-byte hashes: the names of a hundred groups, sent to 200 nodes
+ * four times a second, would fill a link of 14 Mbit/s.
  */
 export interface EncodedObservation {
   readonly inFlight: readonly number[]
@@ -19,28 +19,28 @@
   readonly demand: NamedNumbers
   readonly pauses: NamedNumbers
   readonly firstEvents: NamedNumbers
-  /** Usual deadlines by route. */
+  /** Usual deadline by route. */
   readonly deadlines: NamedNumbers
   readonly leastDeadlineShare: readonly number[]
-  /** Absent from nodes of the former release. */
+  /** This and the following fields are absent in observations from nodes of the previous release. */
   readonly limits?: readonly number[]
   readonly rests?: readonly number[]
   readonly leaving?: readonly number[]
 }
 
-/** The sum of all nodes' observations on a link. */
+/** The wire form of the sum of all nodes' observations. */
 export interface EncodedFleetObservation extends EncodedObservation {
   readonly nodes: number
   readonly ageMs: number
   readonly intervalMs: number
 }
 
-/** Translates observations between the core's types and a link's. Endpoints that are not listed here are left out. */
+/** Converts observations to and from their wire form. Decoding drops endpoints that are not listed at this node. */
 export class ObservationCodec {
   private readonly byCode = new Map<number, EndpointId>()
   private readonly codes = new Map<EndpointId, number>()
 
-  /** Takes in the endpoints that are listed. */
+  /** Sets the endpoints that are listed, whose hashes can be decoded. */
   setEndpoints (endpoints: ReadonlySet<EndpointId>): void {
     for (const endpoint of this.codes.keys()) {
       if (!endpoints.has(endpoint)) this.forget(endpoint)
@@ -118,7 +118,7 @@
   return Math.round(value * HUNDREDTHS)
 }
 
-/** Splits a flat list into names and the `width` numbers that follow each. */
+/** Splits a flat list into names, each with the `width` numbers that follow it. */
 function chunks<Name extends string | number> (flat: ReadonlyArray<Name | number>, width: number): Array<readonly [Name, readonly number[]]> {
   const found: Array<readonly [Name, readonly number[]]> = []
   for (let at = 0; at + width < flat.length; at += width + 1) found.push([flat[at] as Name, flat.slice(at + 1, at + 1 + width) as number[]])
--- a/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
+++ b/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
@@ -2,19 +2,22 @@
 import type { EncodedFleetObservation, EncodedObservation } from './ObservationCodec.js'
 import { ObservationCodec } from './ObservationCodec.js'
 
-/** Part of the time until the next word after which a node tells its own part: fresh for it, and not all at once. */
+/**
+ * A node replies to a round's sum after a random share of the round interval within these bounds: late enough that its observation is
+ * recent when the next sum is computed, and spread out so that not all nodes reply at the same time.
+ */
 const REPLY_DELAY_SHARE = { least: 0.5, most: 0.9 } as const
 
-/** What the exchange asks and tells of this node. */
+/** The node whose observations are exchanged. */
 export interface ObservationSource {
-  /** What this node sees now; it remembers what it told of its own requests. */
+  /** Returns this node's current observation; the node remembers which of its own requests it has reported. */
   observe (): NodeObservation
   onFleetObservation (fleet: FleetObservation): void
 }
 
 /**
- * Exchanges what nodes see of the fleet: each tells the node that coordinates, and that one tells all of them the same
- * sum. Telling one's own is the answer to the sum, so that it stops when nobody adds up any more.
+ * Exchanges the nodes' observations of the fleet in rounds: each node sends its observation to the coordinator, which broadcasts the
+ * sum to all nodes. A node sends its observation only in reply to a sum, so that nodes stop sending when there is no coordinator.
  */
 export class ObservationExchange {
   private readonly ledger = new FleetLedger()
@@ -24,7 +27,7 @@
 
   constructor (private readonly clock: Clock, private readonly random: Random, private readonly source: ObservationSource) {}
 
-  /** Tells all nodes again and again while this one coordinates. */
+  /** Broadcasts the sum once per round while this node is the coordinator. */
   startRounds (nodeCount: () => number, isCoordinator: () => boolean, broadcast: (coded: EncodedFleetObservation) => void): void {
     const intervalMs = roundMs(nodeCount())
     this.cancelRound = this.clock.registerTimer(intervalMs, () => {
@@ -36,7 +39,7 @@
     })
   }
 
-  /** The coordinating node's word; `answer` sends the own part back to it. */
+  /** Handles the coordinator's sum; `reply` sends this node's own observation back to it. */
   receiveFleet (coded: EncodedFleetObservation, reply: (coded: EncodedObservation) => void): void {
     this.source.onFleetObservation(this.codec.decodeFleet(coded))
     const delayMs = (REPLY_DELAY_SHARE.least + (REPLY_DELAY_SHARE.most - REPLY_DELAY_SHARE.least) * this.random.next()) * coded.intervalMs
@@ -52,7 +55,7 @@
     this.ledger.forget(node)
   }
 
-  /** Nodes that had requests under way at an endpoint when they last told. */
+  /** Number of nodes whose last observation has requests in flight at an endpoint. */
   sendersTo (endpoint: EndpointId): number {
     return this.ledger.sendersTo(endpoint)
   }
--- a/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
@@ -4,33 +4,33 @@
 import type { EncodedFleetObservation, EncodedObservation } from './ObservationCodec.js'
 
 export enum PeerFrameKind {
-  /** Streams of a group have fallen silent, or its head refuses for lack of a member. */
+  /** The sender suspects a group: its streams have paused, or its head refuses requests for lack of a member. */
   GroupSuspected = 'group-suspected',
-  /** The deciding node has been told so of groups, and is asking their members. */
+  /** Groups that are suspected and whose members the coordinator is probing. */
   SuspectedGroups = 'groups-doubted',
-  /** What the sender sees of the fleet. */
+  /** The sender's own observation of the fleet. */
   NodeObserved = 'node-observed',
-  /** What all nodes together see. */
+  /** The sum of all nodes' observations. */
   FleetObserved = 'fleet-observed',
-  /** Another node has taken the lease since the receiver held it. */
+  /** The lease of a later holder, sent to a coordinator whose fencing number is outdated. */
   NewerLease = 'lease-seen',
-  /** What the deciding node knows that its successor will need. */
+  /** State of the lease holder that its successor will need. */
   LeaseHolderState = 'decider-word',
-  /** What it read in the store. */
+  /** Changes that the sender has read from the store. */
   FeedUpdate = 'feed-news',
-  /** What the sender knows of requests that end endpoints. */
+  /** The sender's records of requests that crash endpoints. */
   PoisonRecords = 'poison-seen'
 }
 
-/** How a node came to suspect a group. */
+/** Why a node suspects a group. */
 export enum Suspicion {
-  /** Its own streams there have paused, which others may not confirm. */
+  /** The node's own streams at the group have paused; other nodes may not confirm it. */
   Paused = 'paused',
-  /** The group itself, or its address, says that it doesn't serve. */
+  /** The head refused a request for lack of a member, broke off the connection, or is not reached at its address. */
   Refused = 'refused'
 }
 
-/** What nodes send each other over their links. */
+/** A message between nodes. */
 export type PeerFrame =
   | { readonly kind: PeerFrameKind.GroupSuspected, readonly head: EndpointId, readonly suspicion: Suspicion }
   | { readonly kind: PeerFrameKind.SuspectedGroups, readonly heads: readonly EndpointId[] }
--- a/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
@@ -9,52 +9,52 @@
 import { ObservationExchange, type ObservationSource } from './ObservationExchange.js'
 import { PeerFrameKind, type PeerFrame, type Suspicion } from './PeerFrame.js'
 
-/** Between two pings to a node; also how often missing links are made. */
+/** Interval between pings to a node, and between attempts to dial nodes without a link. */
 const PING_INTERVAL_MS = 700
-/** A node without a sign of life for this long is taken off the directory: callers would try its address in vain. */
+/** A node from which nothing has been received for this long is removed from the directory, as callers would fail to connect to it. */
 const NODE_TIMEOUT_MS = 2_800
-/** Changes of a few hundred endpoints at once, as when a store comes back. */
+/** Holds the changes of a few hundred endpoints in one frame, as occur when the store recovers from an outage. */
 const MAX_FRAME_BYTES = 1_048_576
-/** What may wait for a peer that reads slowly: three seconds' news of a busy fleet. */
+/** Bytes that may be buffered for a peer that reads slowly: three seconds of feed updates of a busy fleet. */
 const MAX_BACKLOG_BYTES = 262_144
 const HANDSHAKE_TIMEOUT_MS = 600
 /**
- * Handshakes under way at once. A node that takes over dials all others: on a small share of a core hundreds at once run into
- * their timeout, are dialled again, and their nodes are taken off the directory as lost.
+ * A new lease holder dials all other nodes. On a small share of a core, hundreds of concurrent handshakes run into their timeout and
+ * are repeated, and the nodes are removed from the directory as lost.
  */
 const MAX_CONCURRENT_HANDSHAKES = 24
-/** Between two words: three of them may be late before nodes turn to the store themselves. */
+/** Interval between broadcasts of the lease holder's state: three may be late before nodes poll the store themselves. */
 const STATE_INTERVAL_MS = 350
 
-/** Who sent a frame: a node that this one dialled, or one that dialled it. */
+/** The sender of a frame: a node that this node dialled, or one that dialled this node. */
 interface Sender {
   readonly socket: WebSocket
-  /** Null where the other one coordinates. */
+  /** Null if the sender dialled this node, as only a coordinator does. */
   readonly node: NodeId | null
 }
 
-/** Writes the names of fields once a frame: a batch of endpoints takes a third of what it takes with them in each. */
+/** Writes field names once per frame, which reduces a batch of endpoints to a third of its size. */
 const codec = new Packr({ useRecords: true })
 
 type FrameHandlers = { readonly [Kind in PeerFrameKind]: (frame: Extract<PeerFrame, { kind: Kind }>, sender: Sender) => void }
 
-/** What the links tell and ask this node. */
+/** Receives the peers' messages, and provides the state that is sent to peers. */
 export interface PeerListener extends ObservationSource {
-  /** A node's callers suspect a group, at which `senders` nodes have requests. */
+  /** `node` suspects a group, at which `senders` nodes have requests in flight. */
   onGroupSuspected (head: EndpointId, suspicion: Suspicion, node: NodeId, senders: number): void
-  /** The deciding node passes on that groups are suspected. */
+  /** The coordinator reports that groups are suspected. */
   onSuspectedGroups (heads: readonly EndpointId[]): void
-  /** A node gives no sign of life. */
+  /** Nothing has been received from a node for `NODE_TIMEOUT_MS`. */
   onNodeLost (node: NodeRecord): void
-  /** The lease of a later holder than the one of this number; null where none is known. */
+  /** The lease of a holder with a higher fencing number than this one; null if none has been read or received. */
   newerLease (fencing: number): StoredObject<LeaseObject> | null
   onNewerLease (lease: StoredObject<LeaseObject>): void
-  /** What this node tells; null unless it decides. */
+  /** The state that this node broadcasts as the lease holder; null unless it holds the lease. */
   leaseHolderState (): DeciderWord | null
   onLeaseHolderState (word: DeciderWord): void
   onFeedUpdate (news: FeedNews): void
   onPoisonRecords (records: readonly PoisonRecord[]): void
-  /** What a node that has just been linked is told; all that is known where it adds up. */
+  /** The records to send to a newly linked node: `all` of them if it is the coordinator, otherwise those that are shared with all nodes. */
   poisonRecords (all: boolean): readonly PoisonRecord[]
 }
 
@@ -64,16 +64,16 @@
 }
 
 /**
- * Links between the node that decides and all others. It dials them; they tell it at once which groups their
- * callers' streams show to be silent, seconds before the list does. Its pings show which nodes live. Through it nodes
- * learn what all of them see of the fleet, without which several of them would fill the same group at once.
+ * WebSocket links between the coordinator, which dials, and all other nodes. Over them, nodes report at once the groups whose streams
+ * have paused, seconds before the endpoint list shows it. The coordinator's pings detect lost nodes. It also
+ * broadcasts the sum of all nodes' observations, without which several nodes would fill the same group at the same time.
  */
 export class PeerLinks {
   private server: WebSocketServer | null = null
   private readonly inbound = new Set<WebSocket>()
   private readonly links = new Map<NodeId, Link>()
   private readonly lastSeenAtMs = new Map<NodeId, number>()
-  /** Nodes that are dialled once a handshake ends. */
+  /** Nodes waiting for a free handshake slot. */
   private dialQueue: NodeRecord[] = []
   private readonly handshakes = new Set<WebSocket>()
   private checkedAtMs = -Infinity
@@ -115,22 +115,22 @@
     })
   }
 
-  /** Tells whoever decides; nobody may be connected, then the list will tell it later. */
+  /** Reports a suspected group to the coordinator. If none is connected, the endpoint list will show the failure later. */
   sendSuspicion (head: EndpointId, suspicion: Suspicion): void {
     this.send(this.inbound, { kind: PeerFrameKind.GroupSuspected, head, suspicion })
   }
 
-  /** Nodes that had requests under way at an endpoint when they last told. */
+  /** Number of nodes whose last observation has requests in flight at an endpoint. */
   sendersTo (endpoint: EndpointId): number {
     return this.exchange.sendersTo(endpoint)
   }
 
-  /** Takes in the endpoints that are listed. */
+  /** Sets the endpoints that are listed, for the exchange of observations. */
   setEndpoints (endpoints: ReadonlySet<EndpointId>): void {
     this.exchange.setEndpoints(endpoints)
   }
 
-  /** Links to `nodes` while `decides()` holds. */
+  /** Keeps links to `nodes` while this node is the coordinator, and closes them otherwise. */
   maintain (nodes: () => readonly NodeRecord[], isCoordinator: () => boolean): void {
     this.cancelTimer = this.clock.registerTimer(PING_INTERVAL_MS, () => {
       this.maintain(nodes, isCoordinator)
@@ -139,14 +139,14 @@
     })
   }
 
-  /** Exchanges what nodes see of the fleet while this one coordinates, under the number that `fencing()` gives. */
+  /** Exchanges observations while this node is the coordinator, which it is as long as `fencing()` returns a fencing number. */
   exchangeObservations (nodeCount: () => number, fencing: () => number | null): void {
     this.exchange.startRounds(nodeCount, () => fencing() !== null, (observation) => {
       this.send(this.linkedSockets(), { kind: PeerFrameKind.FleetObserved, observation, fencing: fencing()! })
     })
   }
 
-  /** Tells all linked nodes its word, again and again while this one decides. */
+  /** Broadcasts the lease holder's state at regular intervals while this node holds the lease. */
   startStateBroadcasts (): void {
     this.cancelStateTimer = this.clock.registerTimer(STATE_INTERVAL_MS, () => {
       this.startStateBroadcasts()
@@ -154,23 +154,23 @@
     })
   }
 
-  /** Tells its word out of turn, as when a group is lost. */
+  /** Broadcasts the lease holder's state immediately, for example when a group is lost. */
   broadcastState (): void {
     const word = this.listener.leaseHolderState()
     if (word !== null) this.send(this.linkedSockets(), { kind: PeerFrameKind.LeaseHolderState, word })
   }
 
-  /** All nodes send requests to a group; the first whose streams pause there spares the others the wait. */
+  /** Informs all nodes of suspected groups, so that each does not have to wait until its own streams there pause. */
   broadcastSuspectedGroups (heads: readonly EndpointId[]): void {
     this.send(this.linkedSockets(), { kind: PeerFrameKind.SuspectedGroups, heads })
   }
 
-  /** A node that can't take it finds a gap and asks the store. */
+  /** A node that misses an update detects the gap in versions and reads from the store. */
   broadcastFeedUpdate (news: FeedNews): void {
     this.send(this.linkedSockets(), { kind: PeerFrameKind.FeedUpdate, news })
   }
 
-  /** `all` goes to nodes that add up, `shared` to those for which this one does. */
+  /** Sends `all` records to the coordinator, and the `shared` ones to the nodes that this node coordinates. */
   sendPoisonRecords (all: readonly PoisonRecord[], shared: readonly PoisonRecord[]): void {
     this.sendPoisonTo(this.inbound, all)
     this.sendPoisonTo(this.linkedSockets(), shared)
@@ -185,7 +185,7 @@
     this.server?.close()
   }
 
-  /** Links to all of them that are not linked yet, and pings the others. */
+  /** Dials the nodes that have no link yet, and pings the others. */
   link (nodes: readonly NodeRecord[]): void {
     const wanted = new Set(nodes.map(({ node }) => node))
     for (const [node, { socket }] of this.links) {
@@ -197,7 +197,7 @@
     this.dialNext()
   }
 
-  /** What others sent while this process stood still has not been read yet: their silence says nothing. */
+  /** After a pause of this process, messages that peers sent meanwhile are still unread, so their silence must not count against them. */
   private noteOwnPause (): void {
     const nowMs = this.clock.nowMs()
     if (nowMs - this.checkedAtMs > 2 * PING_INTERVAL_MS) {
@@ -231,7 +231,7 @@
     const link: Link = { socket, node: record }
     this.links.set(record.node, link)
     this.handshakes.add(socket)
-    // A node counts as silent from when it was first asked, not while its turn hasn't come.
+    // The timeout of a node starts with the first dial, not while it waits in the queue.
     if (!this.lastSeenAtMs.has(record.node)) this.lastSeenAtMs.set(record.node, this.clock.nowMs())
     const endHandshake = (): void => { if (this.handshakes.delete(socket)) this.dialNext() }
     const noteSeen = (): void => { this.lastSeenAtMs.set(record.node, this.clock.nowMs()) }
@@ -254,7 +254,7 @@
     })
   }
 
-  /** A node of another version may send kinds that this one doesn't know: they are passed over. */
+  /** A node of another release may send unknown kinds of frames, which are ignored. */
   private handleFrame (data: Buffer, sender: Sender): void {
     try {
       const frame = codec.unpack(data) as PeerFrame
@@ -272,7 +272,7 @@
   private send (sockets: Iterable<WebSocket>, frame: PeerFrame): void {
     const bytes = codec.pack(frame)
     for (const socket of sockets) {
-      // A peer that takes nothing is not waited for: what it misses is old by the time it would read it.
+      // Frames for a peer with a full backlog are dropped: they would be outdated by the time it read them.
       if (socket.readyState === WebSocket.OPEN && socket.bufferedAmount < MAX_BACKLOG_BYTES) socket.send(bytes)
     }
   }
--- a/packages/dotterelspur-gateway/src/connection/connectWithin.ts
+++ b/packages/dotterelspur-gateway/src/connection/connectWithin.ts
@@ -1,18 +1,18 @@
 import { connect, type Socket } from 'node:net'
 import type { buildConnector } from 'undici'
 
-/** Unused connections are asked by the system whether their peer lives, from this time on. */
+/** Idle time of a connection after which the operating system sends TCP keep-alive probes. */
 const KEEP_ALIVE_DELAY_MS = 5_000
 
 /**
- * Makes a connector for the client library that gives up when it says. The library's own looks at its connections
- * every half second only, and a request that is aborted while its connection is still being made waits for that: a
- * question to a dead endpoint that should end after 0.25 s took 1 s, and the repair of a group began as much later.
+ * Creates a connector for undici with an exact timeout. undici's own connector checks its timeouts only every half second, and a
+ * request that is aborted while its connection is being established waits for that check: a status request to a dead endpoint
+ * that should end after 0.25 s took 1 s, which delayed the repair of a group by as much.
  */
 export function connectWithin (timeoutMs: number, onConnected: (socket: Socket) => void = () => {}): buildConnector.connector {
   return (options, callback) => {
     const socket = connect({ host: options.hostname, port: Number(options.port), noDelay: true, keepAlive: true, keepAliveInitialDelay: KEEP_ALIVE_DELAY_MS })
-    const timer = setTimeout(() => { socket.destroy(new Error('no connection in time')) }, timeoutMs)
+    const timer = setTimeout(() => { socket.destroy(new Error(`no connection within ${timeoutMs} ms`)) }, timeoutMs)
     const fail = (error: Error): void => {
       clearTimeout(timer)
       callback(error, null)
--- a/packages/dotterelspur-gateway/src/connection/headers.ts
+++ b/packages/dotterelspur-gateway/src/connection/headers.ts
@@ -1,14 +1,14 @@
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http'
 
-/** Headers that concern one connection only and are not handed on. */
+/** Hop-by-hop headers, which apply to one connection only and are not forwarded. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'expect'
 ])
 
-/** Set anew for each hop, since the body is sent with a length of its own. */
+/** Not forwarded either: it is set again for each hop, together with the body. */
 const LENGTH_HEADER = 'content-length'
 
-/** The caller's headers that go on to an endpoint, as a flat list of names and values. */
+/** The caller's headers that are forwarded to an endpoint, as a flat list of names and values. */
 export function forwardedHeaders (rawHeaders: readonly string[]): string[] {
   const named = connectionHeaderNames(rawHeaders)
   const kept: string[] = []
@@ -20,7 +20,7 @@
   return kept
 }
 
-/** The endpoint's headers that go back to the caller. */
+/** The endpoint's headers that are returned to the caller. */
 export function responseHeaders (headers: IncomingHttpHeaders): OutgoingHttpHeaders {
   const kept: OutgoingHttpHeaders = {}
   for (const [name, value] of Object.entries(headers)) {
@@ -29,7 +29,7 @@
   return kept
 }
 
-/** Names that the sender's `Connection` header declares to be for this connection only. */
+/** Names that the sender's `Connection` header lists as hop-by-hop. */
 function connectionHeaderNames (rawHeaders: readonly string[]): Set<string> {
   const named = new Set<string>()
   for (let index = 0; index < rawHeaders.length; index += 2) {
--- a/packages/dotterelspur-gateway/src/connection/simpleServer.ts
+++ b/packages/dotterelspur-gateway/src/connection/simpleServer.ts
@@ -10,12 +10,12 @@
   readonly body: string
 }
 
-/** Answers a request by its path alone; null for a path that isn't known. */
+/** Handles a request by its URL alone; null for an unknown path. */
 export type SimpleHandler = (url: URL) => Promise<SimpleResponse | null> | SimpleResponse | null
 
 /**
- * A listener for questions that have no body: the directory, readiness and metrics. Bare, because each is asked
- * several times a second and answers in one step.
+ * A minimal HTTP server for requests without a body: the directory, readiness and metrics. It uses no framework because each of them is
+ * requested several times a second and needs no more than this.
  */
 export async function startSimpleServer ({ host, port }: ListenAddress, handler: SimpleHandler): Promise<Server> {
   const server = createServer((request, response) => {
--- a/packages/dotterelspur-gateway/src/request/CallerResponse.ts
+++ b/packages/dotterelspur-gateway/src/request/CallerResponse.ts
@@ -2,23 +2,23 @@
 import { responseHeaders } from '../connection/headers.js'
 import type { ResponseStart, BufferedResponse } from './EndpointCall.js'
 
-/** Why a request got an answer of the system's own. */
+/** Errors that the gateway itself returns instead of an endpoint's response. */
 export enum GatewayErrorKind {
   NoManifest = 'no-manifest',
   NoRoute = 'no-route',
   Unauthorized = 'unauthorized',
   BodyTooLarge = 'body-too-large',
-  /** Not run, and never will be. */
+  /** The request was not run and will not be run. */
   NotRun = 'not-run',
-  /** Not run, and never will be: it ends the endpoints that run it. */
+  /** The request was not run and will not be run, because it crashes the endpoints that run it. */
   Quarantined = 'quarantined',
-  /** It may have run; its endpoint was lost. */
+  /** The request may have run; its endpoint was lost. */
   EndpointLost = 'endpoint-lost',
-  /** It may have run; its time is over. */
+  /** The request may have run; its deadline has passed. */
   TimedOut = 'timed-out'
 }
 
-/** 429, 503, 408 and 421 promise that the request has not run: only `NoManifest`, `NotRun` and `Quarantined` may use them. */
+/** 408, 421, 429 and 503 guarantee that the request has not run, so only `NoManifest`, `NotRun` and `Quarantined` may use them. */
 const STATUS: Readonly<Record<GatewayErrorKind, number>> = {
   [GatewayErrorKind.NoManifest]: 503,
   [GatewayErrorKind.NoRoute]: 404,
@@ -32,13 +32,13 @@
 
 const SECOND_MS = 1_000
 
-/** The caller's side of one request: at most one answer, whole or visibly cut off. */
+/** The response to one caller's request. Sends at most one response, which is either complete or visibly aborted. */
 export class CallerResponse {
   private headSent = false
 
   constructor (private readonly request: IncomingMessage, private readonly response: ServerResponse, private readonly isDraining: () => boolean) {}
 
-  /** Part of an answer is with the caller. */
+  /** Whether part of a response has been sent. */
   get isStarted (): boolean {
     return this.headSent
   }
@@ -47,7 +47,7 @@
     return this.response.writableEnded || this.response.destroyed
   }
 
-  /** Begins an answer whose length is not known. */
+  /** Starts a response of unknown length. */
   start ({ status, headers }: ResponseStart): void {
     if (this.headSent || this.isClosed) return
     this.headSent = true
@@ -55,7 +55,7 @@
     this.response.writeHead(status, responseHeaders(headers))
   }
 
-  /** Returns false while the caller is slow to take what is there. */
+  /** Returns false while the caller reads more slowly than data is written. */
   write (chunk: Buffer): boolean {
     return this.isClosed || this.response.write(chunk)
   }
@@ -70,7 +70,7 @@
     else this.response.end(chunk)
   }
 
-  /** An endpoint's answer in one piece, unchanged. */
+  /** Sends an endpoint's buffered response unchanged. */
   deliver ({ status, headers, body }: BufferedResponse): void {
     if (this.headSent || this.isClosed) return
     this.headSent = true
@@ -82,7 +82,7 @@
     this.response.end(bodyless ? undefined : body)
   }
 
-  /** An answer of the system's own. `retryAfterMs` tells when to come back; null where that can't help. */
+  /** Sends an error of the gateway itself. `retryAfterMs` is null where a retry can't succeed. */
   sendError (kind: GatewayErrorKind, retryAfterMs: number | null): void {
     if (this.headSent || this.isClosed) return
     this.headSent = true
@@ -94,12 +94,12 @@
     this.response.end(body)
   }
 
-  /** Ends an answer that can't be completed in a way that can't be taken for its end. */
+  /** Destroys the connection, so that an incomplete response can't be mistaken for a complete one. */
   abort (): void {
     this.response.destroy()
   }
 
-  /** Before a planned stop each answer asks the caller to connect elsewhere, so that no request meets a closed channel. */
+  /** While the node drains, asks the caller to reconnect elsewhere, so that no request is sent on a connection that is being closed. */
   private announceClose (): void {
     if (this.isDraining()) this.response.setHeader('connection', 'close')
   }
--- a/packages/dotterelspur-gateway/src/request/EndpointCall.ts
+++ b/packages/dotterelspur-gateway/src/request/EndpointCall.ts
@@ -8,25 +8,25 @@
 const FIRST_REDIRECT = 300
 const FIRST_SERVER_ERROR = 500
 
-/** What an endpoint answered, without its body. */
+/** Status and headers of an endpoint's response. */
 export interface ResponseStart {
   readonly status: number
   readonly headers: IncomingHttpHeaders
 }
 
-/** A whole answer, kept to be handed on in one piece. */
+/** A complete response, buffered to be delivered as a whole. */
 export interface BufferedResponse extends ResponseStart {
   readonly body: Buffer
 }
 
-/** Who takes a successful answer as it comes. */
+/** Consumes a successful response as it arrives. */
 export interface ResponseSink {
   start (start: ResponseStart): void
-  /** Returns false when no more should come until `resume` is called on the call. */
+  /** Returns false to pause the response until `resume` is called on the call. */
   data (chunk: Buffer): boolean
 }
 
-/** How the connection under an exchange ends. */
+/** Detects whether a connection was closed or reset at the end of a response without stated length. */
 export interface ChannelCloseDetector {
   noteUnframedResponse (): void
   closedCleanly (): Promise<boolean>
@@ -36,18 +36,18 @@
   readonly requestId: string
   readonly wire: WireFormat
   readonly channel: ChannelCloseDetector
-  /** Null where the whole answer is to be held. */
+  /** Null if the complete response is to be buffered. */
   readonly sink: ResponseSink | null
-  /** Bytes or a head came: the endpoint lives. */
+  /** Called when a response head or data arrives, which shows that the endpoint is alive. */
   readonly onProgress: (head: AnswerHead | null) => void
   readonly onEnd: (end: ExchangeEnd, buffered: BufferedResponse | null, head: AnswerHead | null) => void
 }
 
-/** Codes of undici's errors for bytes that are no answer in the protocol. */
+/** undici's error codes for bytes that are not a valid HTTP response. */
 const GARBLED_CODES: ReadonlySet<string> = new Set(['UND_ERR_HEADERS_OVERFLOW', 'UND_ERR_RES_EXCEEDED_MAX_SIZE'])
 const PARSER_ERROR = 'HTTPParserError'
 
-/** One request on one channel to one endpoint. Ends exactly once. */
+/** One request on one channel to one endpoint. Calls `onEnd` exactly once. */
 export class EndpointCall implements Dispatcher.DispatchHandler {
   private controller: Dispatcher.DispatchController | null = null
   private sent = false
@@ -61,12 +61,12 @@
 
   constructor (private readonly options: EndpointCallOptions) {}
 
-  /** Gives the exchange up; the channel is closed, so that the endpoint stops working on it. */
+  /** Aborts the exchange and closes its connection, so that the endpoint stops working on it. */
   abort (end: ExchangeEnd): void {
     if (this.ended || this.abortedWith !== null) return
     this.abortedWith = end
     this.controller?.abort(new Error(end))
-    // Not sent yet: nothing has to be closed, and nothing will be sent.
+    // The request has not been sent: there is no connection to close, and `onRequestStart` prevents the sending.
     if (this.controller === null) this.finish(end, null)
   }
 
@@ -76,7 +76,7 @@
 
   onRequestStart (controller: Dispatcher.DispatchController): void {
     this.controller = controller
-    if (this.ended) return controller.abort(new Error('given up before it was sent'))
+    if (this.ended) return controller.abort(new Error('request aborted before it was sent'))
     this.sent = true
   }
 
@@ -127,7 +127,7 @@
   }
 }
 
-/** What a whole answer means. */
+/** The outcome of an exchange that ended with a complete response. */
 function classifyResponse (status: number, head: AnswerHead): ExchangeEnd {
   if (status === MISDIRECTED) return ExchangeEnd.Misdirected
   if (head.notExecuted) return ExchangeEnd.Rejected
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -11,9 +11,9 @@
 import { GatewayErrorKind, type CallerResponse } from './CallerResponse.js'
 import { EndpointCall, type ResponseStart, type BufferedResponse } from './EndpointCall.js'
 
-/** The endpoint itself answers at the deadline that it was told; its word says more than ours. */
+/** Time beyond the deadline for the endpoint's own timeout response, which says more about the request than the gateway's would. */
 const DEADLINE_GRACE_MS = 100
-/** Below this no endpoint can do anything useful, and a send would not be an offer. */
+/** With less time left than this, no endpoint can do useful work, so the request is not sent. */
 const MIN_USEFUL_MS = 20
 const FIRST_REDIRECT = 300
 
@@ -24,7 +24,7 @@
   readonly poison: PoisonKeeper
 }
 
-/** What was decided about a request before it is sent anywhere. */
+/** A request that has been authenticated, routed and admitted, before it is sent to an endpoint. */
 export interface AdmittedRequest {
   readonly request: IncomingMessage
   readonly content: RequestContent
@@ -35,11 +35,11 @@
   readonly workspace: WorkspaceId | null
   readonly priority: number
   readonly arrivedAtMs: number
-  /** What its caller has spent of its time elsewhere, as far as its deadline shows. */
+  /** Time that the caller spent on earlier attempts, inferred from its deadline. */
   readonly spentBeforeMs: number
 }
 
-/** How a request ended, for the log and the counters. */
+/** The outcome of a request, for the log and the metrics. */
 export interface RequestReport {
   readonly end: DispatchEnd
   readonly answeredWith: GatewayErrorKind | null
@@ -47,16 +47,16 @@
   readonly targets: readonly string[]
 }
 
-/** One admitted request: runs its dispatch and writes its one answer. */
+/** Dispatches one admitted request and sends its response. */
 export class GatewayRequest {
   private currentCall: EndpointCall | null = null
   private readonly cursor: EventCursor
   private lastFailure: BufferedResponse | null = null
   private firstByteAtMs: number | null = null
-  /** Pieces of the answer that came from the present endpoint, of one or more whole events each. */
+  /** Chunks of complete events that the current endpoint has sent, each of one or more events. */
   private eventCount = 0
   private noteProgress = (): void => {}
-  /** Resolves once it is known whether the last endpoint that was lost has ended. */
+  /** Resolves once it has been determined whether the endpoint that was lost last has terminated. */
   private lossRecorded: Promise<void> = Promise.resolve()
   private stoppedWith: ExchangeEnd | null = null
   private readonly targets: string[] = []
@@ -71,7 +71,7 @@
     this.deadlineAtMs = arrivedAtMs + Math.min(route.timeoutMs, head.deadlineMs ?? Infinity)
   }
 
-  /** The caller closed its connection: whatever is under way for it stops. */
+  /** The caller closed its connection: aborts the running exchange. */
   onCallerDisconnect (): void {
     this.stop(ExchangeEnd.CallerLeft)
   }
@@ -191,15 +191,15 @@
   }
 
   /**
-   * The head goes out with the first whole event: until then another endpoint's answer, or a refusal, can take its
-   * place. A continued stream keeps the head that the caller has.
+   * Sends the response head with the first complete event: until then, another endpoint's response or an error can take its place. A
+   * resumed stream keeps the head that the caller has already received.
    */
   private startStream (): void {
     this.noteFirstByte()
     if (this.streamStart !== null) this.response.start(this.streamStart)
   }
 
-  /** A stream that the caller has begun to get is not completed by an answer of another kind. */
+  /** A stream that the caller has partly received can't be completed by a response that isn't a stream. */
   private reclassifyEnd (end: ExchangeEnd, buffered: BufferedResponse | null): ExchangeEnd {
     const isStream = buffered !== null && buffered.status < FIRST_REDIRECT
     return end === ExchangeEnd.Answered && this.response.isStarted && !isStream ? ExchangeEnd.BrokenOff : end
@@ -241,7 +241,7 @@
   return kind
 }
 
-/** The caller's answer for each end of a dispatch. */
+/** Sends the response for each kind of end of a dispatch. */
 const RESPONDERS: Readonly<Record<DispatchEndKind, Responder>> = {
   [DispatchEndKind.Delivered]: () => null,
   [DispatchEndKind.CallerLeft]: () => null,
@@ -265,7 +265,7 @@
   }
 }
 
-/** After an endpoint refused a request: a slot is free about this often. */
+/** Retry-After where an endpoint refused the request: a slot becomes free about this often. */
 const DEFAULT_RETRY_MS = 400
 
 function isRetryable (route: Route): boolean {
--- a/packages/dotterelspur-gateway/src/request/readBody.ts
+++ b/packages/dotterelspur-gateway/src/request/readBody.ts
@@ -3,11 +3,14 @@
 
 export enum BodyErrorKind {
   TooLarge = 'too-large',
-  /** The caller closed its connection before the body was whole. */
+  /** The caller closed its connection before the body was complete. */
   Aborted = 'broken-off'
 }
 
-/** Reads a request's body up to a limit. Held whole, so that it can be sent again or refused truthfully. */
+/**
+ * Reads a request's body up to a limit. The body is buffered completely, so that the request can be retried, or refused with the
+ * guarantee that it has not run.
+ */
 export async function readBody (request: IncomingMessage, limitBytes: number): Promise<Result<Buffer, BodyErrorKind>> {
   return await new Promise((resolve) => {
     const chunks: Buffer[] = []
