--- a/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
@@ -19,7 +19,7 @@
   return {
     observe: () => ({ inFlight: {}, flows: {}, demand: {}, speeds: {}, pauses: {}, firstEvents: {}, deadlines: NOTHING_LEARNED, limits: {}, rests: {}, leaving: [] }),
     onFleetObservation: () => {},
-    onGroupSuspected: () => {},
+    onSuspicionReport: () => {},
     onSuspectedGroups: () => {},
     onNodeLost: ({ node }) => { lost.push(node) },
     newerLease: () => null,
--- a/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
+++ b/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
@@ -6,7 +6,7 @@
  * A node replies to a round's sum after a random share of the round interval within these bounds: late enough that its observation is
  * recent when the next sum is computed, and spread out so that not all nodes reply at the same time.
  */
-const REPLY_DELAY_SHARE = { least: 0.5, most: 0.9 } as const
+const REPLY_DELAY_SHARE = { min: 0.5, max: 0.9 } as const
 
 /** The node whose observations are exchanged. */
 export interface ObservationSource {
@@ -28,7 +28,7 @@
   constructor (private readonly clock: Clock, private readonly random: Random, private readonly source: ObservationSource) {}
 
   /** Broadcasts the sum once per round while this node is the coordinator. */
-  startRounds (nodeCount: () => number, isCoordinator: () => boolean, broadcast: (coded: EncodedFleetObservation) => void): void {
+  startRounds (nodeCount: () => number, isCoordinator: () => boolean, broadcast: (encoded: EncodedFleetObservation) => void): void {
     const intervalMs = roundMs(nodeCount())
     this.cancelRound = this.clock.registerTimer(intervalMs, () => {
       this.startRounds(nodeCount, isCoordinator, broadcast)
@@ -40,15 +40,15 @@
   }
 
   /** Handles the coordinator's sum; `reply` sends this node's own observation back to it. */
-  receiveFleet (coded: EncodedFleetObservation, reply: (coded: EncodedObservation) => void): void {
-    this.source.onFleetObservation(this.codec.decodeFleet(coded))
-    const delayMs = (REPLY_DELAY_SHARE.least + (REPLY_DELAY_SHARE.most - REPLY_DELAY_SHARE.least) * this.random.next()) * coded.intervalMs
+  receiveFleet (encoded: EncodedFleetObservation, reply: (coded: EncodedObservation) => void): void {
+    this.source.onFleetObservation(this.codec.decodeFleet(encoded))
+    const delayMs = (REPLY_DELAY_SHARE.min + (REPLY_DELAY_SHARE.max - REPLY_DELAY_SHARE.min) * this.random.next()) * encoded.intervalMs
     this.cancelReply()
     this.cancelReply = this.clock.registerTimer(delayMs, () => { reply(this.codec.encode(this.source.observe())) })
   }
 
-  receiveNode (node: NodeId, coded: EncodedObservation): void {
-    this.ledger.note(node, this.codec.decode(coded), this.clock.nowMs())
+  receiveNode (node: NodeId, encoded: EncodedObservation): void {
+    this.ledger.note(node, this.codec.decode(encoded), this.clock.nowMs())
   }
 
   forgetNode (node: NodeId): void {
--- a/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
@@ -5,7 +5,7 @@
 
 export enum PeerFrameKind {
   /** The sender suspects a group: its streams have paused, or its head refuses requests for lack of a member. */
-  GroupSuspected = 'group-suspected',
+  SuspicionReport = 'group-suspected',
   /** Groups that are suspected and whose members the coordinator is probing. */
   SuspectedGroups = 'groups-doubted',
   /** The sender's own observation of the fleet. */
@@ -32,7 +32,7 @@
 
 /** A message between nodes. */
 export type PeerFrame =
-  | { readonly kind: PeerFrameKind.GroupSuspected, readonly head: EndpointId, readonly suspicion: Suspicion }
+  | { readonly kind: PeerFrameKind.SuspicionReport, readonly head: EndpointId, readonly suspicion: Suspicion }
   | { readonly kind: PeerFrameKind.SuspectedGroups, readonly heads: readonly EndpointId[] }
   | { readonly kind: PeerFrameKind.NodeObserved, readonly observation: EncodedObservation }
   | { readonly kind: PeerFrameKind.FleetObserved, readonly observation: EncodedFleetObservation, readonly fencing: number }
--- a/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
@@ -41,7 +41,7 @@
 /** Receives the peers' messages, and provides the state that is sent to peers. */
 export interface PeerListener extends ObservationSource {
   /** `node` suspects a group, at which `senders` nodes have requests in flight. */
-  onGroupSuspected (head: EndpointId, suspicion: Suspicion, node: NodeId, senders: number): void
+  onSuspicionReport (head: EndpointId, suspicion: Suspicion, node: NodeId, senders: number): void
   /** The coordinator reports that groups are suspected. */
   onSuspectedGroups (heads: readonly EndpointId[]): void
   /** Nothing has been received from a node for `NODE_TIMEOUT_MS`. */
@@ -81,12 +81,12 @@
   private cancelTimer: Teardown = () => {}
   private cancelStateTimer: Teardown = () => {}
   private readonly handlers: FrameHandlers = {
-    [PeerFrameKind.GroupSuspected]: ({ head, suspicion }, { node }) => { if (node !== null) this.listener.onGroupSuspected(head, suspicion, node, this.exchange.sendersTo(head)) },
+    [PeerFrameKind.SuspicionReport]: ({ head, suspicion }, { node }) => { if (node !== null) this.listener.onSuspicionReport(head, suspicion, node, this.exchange.sendersTo(head)) },
     [PeerFrameKind.SuspectedGroups]: ({ heads }) => { this.listener.onSuspectedGroups(heads) },
     [PeerFrameKind.NodeObserved]: ({ observation }, { node }) => { if (node !== null) this.exchange.receiveNode(node, observation) },
     [PeerFrameKind.FleetObserved]: ({ observation, fencing }, { socket }) => {
-      const later = this.listener.newerLease(fencing)
-      if (later !== null) return this.send([socket], { kind: PeerFrameKind.NewerLease, lease: later })
+      const newer = this.listener.newerLease(fencing)
+      if (newer !== null) return this.send([socket], { kind: PeerFrameKind.NewerLease, lease: newer })
       this.exchange.receiveFleet(observation, (own) => { this.send([socket], { kind: PeerFrameKind.NodeObserved, observation: own }) })
     },
     [PeerFrameKind.NewerLease]: ({ lease }) => { this.listener.onNewerLease(lease) },
@@ -117,7 +117,7 @@
 
   /** Reports a suspected group to the coordinator. If none is connected, the endpoint list will show the failure later. */
   sendSuspicion (head: EndpointId, suspicion: Suspicion): void {
-    this.send(this.inbound, { kind: PeerFrameKind.GroupSuspected, head, suspicion })
+    this.send(this.inbound, { kind: PeerFrameKind.SuspicionReport, head, suspicion })
   }
 
   /** Number of nodes whose last observation has requests in flight at an endpoint. */
--- a/packages/dotterelspur-gateway/src/process/Gateway.ts
+++ b/packages/dotterelspur-gateway/src/process/Gateway.ts
@@ -148,7 +148,7 @@
     })
     this.callers = new CallerListener({ clock, random, log, metrics: this.metrics, wire: parts.wire, manifest: this.manifest, initialSync: this.firstKnowledge, dispatch: this.dispatch, poison: this.poison })
     this.peers = new PeerLinks(clock, random, log, {
-      onGroupSuspected: (head, suspicion, node, senders) => { this.takeSuspicion(head, suspicion, node, senders) },
+      onSuspicionReport: (head, suspicion, node, senders) => { this.takeSuspicion(head, suspicion, node, senders) },
       onSuspectedGroups: (heads) => { this.dispatch.noteStoppedGroups(heads, StopCertainty.Doubted) },
       onNodeLost: (node) => { if (this.lease.mayOrder()) this.dropNode(node) },
       observe: () => this.dispatch.knowledge.observe(),
