--- a/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
@@ -65,8 +65,8 @@
 
 /**
  * WebSocket links between the coordinator, which dials, and all other nodes. Over them, nodes report at once the groups whose streams
- * have paused, seconds before the endpoint list shows it. The coordinator's pings detect lost nodes. It also
- * broadcasts the sum of all nodes' observations, without which several nodes would fill the same group at the same time.
+ * have paused, seconds before the endpoint list shows it. The coordinator pings all nodes to detect lost ones. It also broadcasts the sum
+ * of all nodes' observations, without which several nodes would fill the same group at the same time.
  */
 export class PeerLinks {
   private server: WebSocketServer | null = null
