--- a/packages/dotterelspur-gateway/src/connection/ObservationCodec.ts
+++ b/packages/dotterelspur-gateway/src/connection/ObservationCodec.ts
@@ -1,47 +1,47 @@
 import { hashText, type EndpointId, type FleetObservation, type NodeObservation } from 'dotterelspur'
 
-/** Rates and sums are sent as whole numbers of hundredths: two or three bytes each instead of nine. */
+/** Rates and sums are sent as integer hundredths, which take two or three bytes each instead of the nine of a double. */
 const HUNDREDTHS = 100
-/** Stands for an endpoint that names no limit any more. */
+/** Encodes that an endpoint has withdrawn its rate limit. */
 const NO_LIMIT = -1
 
-/** Names with numbers, as one flat list: a name, its numbers, the next name. */
+/** A flat list in which each name is followed by its numbers. */
 type NamedNumbers = ReadonlyArray<string | number>
 
 /**
- * A node's observation on a link. Endpoints are sent as numbers of four bytes: the names of a hundred groups, sent to 200
- * nodes four times a second, would fill a link of 14 Mbit/s.
+ * The wire form of a node's observation. Endpoints are encoded as four-byte hashes: the names of a hundred groups, sent to 200 nodes
+ * four times a second, would fill a link of 14 Mbit/s.
  */
-export interface CodedObservation {
+export interface EncodedObservation {
   readonly inFlight: readonly number[]
   readonly speeds: readonly number[]
   readonly flows: NamedNumbers
   readonly demand: NamedNumbers
   readonly pauses: NamedNumbers
   readonly firstEvents: NamedNumbers
-  /** Usual deadlines by route. */
+  /** Usual deadline by route. */
   readonly deadlines: NamedNumbers
   readonly leastDeadlineShare: readonly number[]
-  /** Absent from nodes of the former release. */
+  /** This and the following fields are absent in observations from nodes of the previous release. */
   readonly limits?: readonly number[]
   readonly rests?: readonly number[]
   readonly leaving?: readonly number[]
 }
 
-/** The sum of all nodes' observations on a link. */
-export interface CodedFleetObservation extends CodedObservation {
+/** The wire form of the sum of all nodes' observations. */
+export interface EncodedFleetObservation extends EncodedObservation {
   readonly nodes: number
   readonly ageMs: number
   readonly intervalMs: number
 }
 
-/** Translates observations between the core's types and a link's. Endpoints that are not listed here are left out. */
+/** Converts observations to and from their wire form. Decoding drops endpoints that are not listed at this node. */
 export class ObservationCodec {
   private readonly byCode = new Map<number, EndpointId>()
   private readonly codes = new Map<EndpointId, number>()
 
-  /** Takes in the endpoints that are listed. */
-  noteEndpoints (endpoints: ReadonlySet<EndpointId>): void {
+  /** Sets the endpoints that are listed, whose hashes can be decoded. */
+  setEndpoints (endpoints: ReadonlySet<EndpointId>): void {
     for (const endpoint of this.codes.keys()) {
       if (!endpoints.has(endpoint)) this.forget(endpoint)
     }
@@ -50,7 +50,7 @@
     }
   }
 
-  encode ({ inFlight, flows, demand, speeds, pauses, firstEvents, deadlines, limits, rests, leaving }: NodeObservation): CodedObservation {
+  encode ({ inFlight, flows, demand, speeds, pauses, firstEvents, deadlines, limits, rests, leaving }: NodeObservation): EncodedObservation {
     return {
       inFlight: Object.entries(inFlight).flatMap(([endpoint, count]) => [this.codeOf(endpoint), count]),
       speeds: Object.entries(speeds).flatMap(([endpoint, speed]) => [this.codeOf(endpoint), hundredths(speed.ratioSum), hundredths(speed.pauses)]),
@@ -66,10 +66,10 @@
     }
   }
 
-  decode ({ inFlight, flows, demand, speeds, pauses, firstEvents, deadlines, leastDeadlineShare, limits = [], rests = [], leaving = [] }: CodedObservation): NodeObservation {
+  decode ({ inFlight, flows, demand, speeds, pauses, firstEvents, deadlines, leastDeadlineShare, limits = [], rests = [], leaving = [] }: EncodedObservation): NodeObservation {
     return {
-      inFlight: Object.fromEntries(this.byEndpoint(inFlight, 1).map(([endpoint, [count]]) => [endpoint, count!])),
-      speeds: Object.fromEntries(this.byEndpoint(speeds, 2).map(([endpoint, [ratioSum, count]]) => [endpoint, { ratioSum: ratioSum! / HUNDREDTHS, pauses: count! / HUNDREDTHS }])),
+      inFlight: Object.fromEntries(this.decodeByEndpoint(inFlight, 1).map(([endpoint, [count]]) => [endpoint, count!])),
+      speeds: Object.fromEntries(this.decodeByEndpoint(speeds, 2).map(([endpoint, [ratioSum, count]]) => [endpoint, { ratioSum: ratioSum! / HUNDREDTHS, pauses: count! / HUNDREDTHS }])),
       flows: Object.fromEntries(chunks(flows, 3).map(([pool, [asked, sent, ended]]) => [pool, { asked: asked! / HUNDREDTHS, sent: sent! / HUNDREDTHS, ended: ended! / HUNDREDTHS }])),
       demand: Object.fromEntries(chunks(demand, 2).map(([model, [groupTimeMs, requests]]) => [model, { groupTimeMs: groupTimeMs!, requests: requests! / HUNDREDTHS }])),
       pauses: Object.fromEntries(chunks(pauses, 2).map(([model, [longestSumMs, nodes]]) => [model, { longestSumMs: longestSumMs!, nodes: nodes! }])),
@@ -78,21 +78,21 @@
         usual: Object.fromEntries(chunks(deadlines, 2).map(([route, [usualSumMs, nodes]]) => [route, { usualSumMs: usualSumMs!, nodes: nodes! }])),
         leastShare: { sum: leastDeadlineShare[0]! / HUNDREDTHS, nodes: leastDeadlineShare[1]! }
       },
-      limits: Object.fromEntries(this.byEndpoint(limits, 2).map(([endpoint, [limit, ageMs]]) => [endpoint, { requestsPerSecond: limit === NO_LIMIT ? null : limit! / HUNDREDTHS, ageMs: ageMs! }])),
-      rests: Object.fromEntries(this.byEndpoint(rests, 1).map(([endpoint, [leftMs]]) => [endpoint, leftMs!])),
-      leaving: this.byEndpoint(leaving, 0).map(([endpoint]) => endpoint)
+      limits: Object.fromEntries(this.decodeByEndpoint(limits, 2).map(([endpoint, [limit, ageMs]]) => [endpoint, { requestsPerSecond: limit === NO_LIMIT ? null : limit! / HUNDREDTHS, ageMs: ageMs! }])),
+      rests: Object.fromEntries(this.decodeByEndpoint(rests, 1).map(([endpoint, [leftMs]]) => [endpoint, leftMs!])),
+      leaving: this.decodeByEndpoint(leaving, 0).map(([endpoint]) => endpoint)
     }
   }
 
-  encodeFleet (observation: FleetObservation): CodedFleetObservation {
+  encodeFleet (observation: FleetObservation): EncodedFleetObservation {
     return { ...this.encode(observation), nodes: observation.nodes, ageMs: Math.round(observation.ageMs), intervalMs: observation.intervalMs }
   }
 
-  decodeFleet (coded: CodedFleetObservation): FleetObservation {
+  decodeFleet (coded: EncodedFleetObservation): FleetObservation {
     return { ...this.decode(coded), nodes: coded.nodes, ageMs: coded.ageMs, intervalMs: coded.intervalMs }
   }
 
-  private byEndpoint (coded: readonly number[], width: number): Array<readonly [EndpointId, readonly number[]]> {
+  private decodeByEndpoint (coded: readonly number[], width: number): Array<readonly [EndpointId, readonly number[]]> {
     return chunks(coded, width).flatMap(([code, values]) => {
       const endpoint = this.byCode.get(code)
       return endpoint === undefined ? [] : [[endpoint, values] as const]
@@ -118,7 +118,7 @@
   return Math.round(value * HUNDREDTHS)
 }
 
-/** Splits a flat list into names and the `width` numbers that follow each. */
+/** Splits a flat list into names, each with the `width` numbers that follow it. */
 function chunks<Name extends string | number> (flat: ReadonlyArray<Name | number>, width: number): Array<readonly [Name, readonly number[]]> {
   const found: Array<readonly [Name, readonly number[]]> = []
   for (let at = 0; at + width < flat.length; at += width + 1) found.push([flat[at] as Name, flat.slice(at + 1, at + 1 + width) as number[]])
--- a/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
+++ b/packages/dotterelspur-gateway/src/connection/ObservationExchange.ts
@@ -1,68 +1,71 @@
 import { FleetAggregator, roundMs, type Clock, type EndpointId, type FleetObservation, type NodeId, type NodeObservation, type Random, type Teardown } from 'dotterelspur'
-import type { CodedFleetObservation, CodedObservation } from './ObservationCodec.js'
+import type { EncodedFleetObservation, EncodedObservation } from './ObservationCodec.js'
 import { ObservationCodec } from './ObservationCodec.js'
 
-/** Part of the time until the next word after which a node tells its own part: fresh for it, and not all at once. */
-const TELLS_AFTER = { least: 0.5, most: 0.9 } as const
+/**
+ * A node replies to a round's sum after a random share of the round interval within these bounds: late enough that its observation is
+ * recent when the next sum is computed, and spread out so that not all nodes reply at the same time.
+ */
+const REPLY_DELAY_SHARE = { min: 0.5, max: 0.9 } as const
 
-/** What the exchange asks and tells of this node. */
+/** The node whose observations are exchanged. */
 export interface ObservationSource {
-  /** What this node sees now; it remembers what it told of its own requests. */
+  /** Returns this node's current observation; the node remembers which of its own requests it has reported. */
   observe (): NodeObservation
-  observed (fleet: FleetObservation): void
+  onFleetObservation (fleet: FleetObservation): void
 }
 
 /**
- * Exchanges what nodes see of the fleet: each tells the node that coordinates, and that one tells all of them the same
- * sum. Telling one's own is the answer to the sum, so that it stops when nobody adds up any more.
+ * Exchanges the nodes' observations of the fleet in rounds: each node sends its observation to the coordinator, which broadcasts the
+ * sum to all nodes. A node sends its observation only in reply to a sum, so that nodes stop sending when there is no coordinator.
  */
 export class ObservationExchange {
   private readonly ledger = new FleetAggregator()
   private readonly codec = new ObservationCodec()
   private cancelRound: Teardown = () => {}
-  private cancelAnswer: Teardown = () => {}
+  private cancelReply: Teardown = () => {}
 
   constructor (private readonly clock: Clock, private readonly random: Random, private readonly source: ObservationSource) {}
 
-  /** Tells all nodes again and again while this one coordinates. */
-  run (nodeCount: () => number, coordinates: () => boolean, tellAll: (coded: CodedFleetObservation) => void): void {
+  /** Broadcasts the sum once per round while this node is the coordinator. */
+  startRounds (nodeCount: () => number, isCoordinator: () => boolean, broadcast: (encoded: EncodedFleetObservation) => void): void {
     const intervalMs = roundMs(nodeCount())
     this.cancelRound = this.clock.registerTimer(intervalMs, () => {
-      this.run(nodeCount, coordinates, tellAll)
-      if (!coordinates()) return
+      this.startRounds(nodeCount, isCoordinator, broadcast)
+      if (!isCoordinator()) return
       const fleet = this.ledger.aggregate(this.source.observe(), intervalMs, this.clock.nowMs())
-      tellAll(this.codec.encodeFleet(fleet))
-      this.source.observed(fleet)
+      broadcast(this.codec.encodeFleet(fleet))
+      this.source.onFleetObservation(fleet)
     })
   }
 
-  /** The coordinating node's word; `answer` sends the own part back to it. */
-  takeFleet (coded: CodedFleetObservation, answer: (coded: CodedObservation) => void): void {
-    this.source.observed(this.codec.decodeFleet(coded))
-    const delayMs = (TELLS_AFTER.least + (TELLS_AFTER.most - TELLS_AFTER.least) * this.random.next()) * coded.intervalMs
-    this.cancelAnswer()
-    this.cancelAnswer = this.clock.registerTimer(delayMs, () => { answer(this.codec.encode(this.source.observe())) })
+  /** Handles the coordinator's sum; `reply` sends this node's own observation back to it. */
+  receiveFleet (encoded: EncodedFleetObservation, reply: (coded: EncodedObservation) => void): void {
+    this.source.onFleetObservation(this.codec.decodeFleet(encoded))
+    const delayMs = (REPLY_DELAY_SHARE.min + (REPLY_DELAY_SHARE.max - REPLY_DELAY_SHARE.min) * this.random.next()) * encoded.intervalMs
+    this.cancelReply()
+    this.cancelReply = this.clock.registerTimer(delayMs, () => { reply(this.codec.encode(this.source.observe())) })
   }
 
-  takeNode (node: NodeId, coded: CodedObservation): void {
-    this.ledger.note(node, this.codec.decode(coded), this.clock.nowMs())
+  receiveNode (node: NodeId, encoded: EncodedObservation): void {
+    this.ledger.note(node, this.codec.decode(encoded), this.clock.nowMs())
   }
 
   forgetNode (node: NodeId): void {
     this.ledger.forget(node)
   }
 
-  /** Nodes that had requests under way at an endpoint when they last told. */
+  /** Number of nodes whose last observation has requests in flight at an endpoint. */
   sendersTo (endpoint: EndpointId): number {
     return this.ledger.senderCount(endpoint)
   }
 
-  noteEndpoints (endpoints: ReadonlySet<EndpointId>): void {
-    this.codec.noteEndpoints(endpoints)
+  setEndpoints (endpoints: ReadonlySet<EndpointId>): void {
+    this.codec.setEndpoints(endpoints)
   }
 
   close (): void {
     this.cancelRound()
-    this.cancelAnswer()
+    this.cancelReply()
   }
 }
--- a/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
@@ -1,42 +1,42 @@
 import type { EndpointId, LeaseObject, PoisonRecord, StoredObject } from 'dotterelspur'
 import type { DeciderWord } from '../process/DeciderWord.js'
 import type { FeedNews } from '../process/StoreFeed.js'
-import type { CodedFleetObservation, CodedObservation } from './ObservationCodec.js'
+import type { EncodedFleetObservation, EncodedObservation } from './ObservationCodec.js'
 
 export enum PeerFrameKind {
-  /** Streams of a group have fallen silent, or its head refuses for lack of a member. */
-  GroupSuspected = 'group-suspected',
-  /** The deciding node has been told so of groups, and is asking their members. */
-  GroupsDoubted = 'groups-doubted',
-  /** What the sender sees of the fleet. */
+  /** The sender suspects a group: its streams have paused, or its head refuses requests for lack of a member. */
+  SuspicionReport = 'group-suspected',
+  /** Groups that are suspected and whose members the coordinator is probing. */
+  SuspectedGroups = 'groups-doubted',
+  /** The sender's own observation of the fleet. */
   NodeObserved = 'node-observed',
-  /** What all nodes together see. */
+  /** The sum of all nodes' observations. */
   FleetObserved = 'fleet-observed',
-  /** Another node has taken the lease since the receiver held it. */
-  LeaseSeen = 'lease-seen',
-  /** What the deciding node knows that its successor will need. */
-  DeciderWord = 'decider-word',
-  /** What it read in the store. */
-  FeedNews = 'feed-news',
-  /** What the sender knows of requests that end endpoints. */
-  PoisonSeen = 'poison-seen'
+  /** The lease of a later holder, sent to a coordinator whose fencing number is outdated. */
+  NewerLease = 'lease-seen',
+  /** State of the lease holder that its successor will need. */
+  LeaseHolderState = 'decider-word',
+  /** Changes that the sender has read from the store. */
+  FeedUpdate = 'feed-news',
+  /** The sender's records of requests that crash endpoints. */
+  PoisonRecords = 'poison-seen'
 }
 
-/** How a node came to suspect a group. */
+/** Why a node suspects a group. */
 export enum Suspicion {
-  /** Its own streams there have paused, which others may not confirm. */
+  /** The node's own streams at the group have paused; other nodes may not confirm it. */
   Paused = 'paused',
-  /** The group itself, or its address, says that it doesn't serve. */
+  /** The head refused a request for lack of a member, broke off the connection, or is not reached at its address. */
   Refused = 'refused'
 }
 
-/** What nodes send each other over their links. */
+/** A message between nodes. */
 export type PeerFrame =
-  | { readonly kind: PeerFrameKind.GroupSuspected, readonly head: EndpointId, readonly suspicion: Suspicion }
-  | { readonly kind: PeerFrameKind.GroupsDoubted, readonly heads: readonly EndpointId[] }
-  | { readonly kind: PeerFrameKind.NodeObserved, readonly observation: CodedObservation }
-  | { readonly kind: PeerFrameKind.FleetObserved, readonly observation: CodedFleetObservation, readonly fencing: number }
-  | { readonly kind: PeerFrameKind.LeaseSeen, readonly lease: StoredObject<LeaseObject> }
-  | { readonly kind: PeerFrameKind.DeciderWord, readonly word: DeciderWord }
-  | { readonly kind: PeerFrameKind.FeedNews, readonly news: FeedNews }
-  | { readonly kind: PeerFrameKind.PoisonSeen, readonly records: readonly PoisonRecord[] }
+  | { readonly kind: PeerFrameKind.SuspicionReport, readonly head: EndpointId, readonly suspicion: Suspicion }
+  | { readonly kind: PeerFrameKind.SuspectedGroups, readonly heads: readonly EndpointId[] }
+  | { readonly kind: PeerFrameKind.NodeObserved, readonly observation: EncodedObservation }
+  | { readonly kind: PeerFrameKind.FleetObserved, readonly observation: EncodedFleetObservation, readonly fencing: number }
+  | { readonly kind: PeerFrameKind.NewerLease, readonly lease: StoredObject<LeaseObject> }
+  | { readonly kind: PeerFrameKind.LeaseHolderState, readonly word: DeciderWord }
+  | { readonly kind: PeerFrameKind.FeedUpdate, readonly news: FeedNews }
+  | { readonly kind: PeerFrameKind.PoisonRecords, readonly records: readonly PoisonRecord[] }
--- /dev/null
+++ b/packages/dotterelspur-gateway/src/connection/simpleServer.ts
@@ -0,0 +1,42 @@
+import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
+import type { ListenAddress } from '../process/GatewaySettings.js'
+
+const OK = 200
+const NOT_FOUND = 404
+
+export interface SimpleResponse {
+  readonly status: number
+  readonly contentType: string
+  readonly body: string
+}
+
+/** Handles a request by its URL alone; null for an unknown path. */
+export type SimpleHandler = (url: URL) => Promise<SimpleResponse | null> | SimpleResponse | null
+
+/**
+ * A minimal HTTP server for requests without a body: the directory, readiness and metrics. It uses no framework because each of them is
+ * requested several times a second and needs no more than this.
+ */
+export async function startSimpleServer ({ host, port }: ListenAddress, handler: SimpleHandler): Promise<Server> {
+  const server = createServer((request, response) => {
+    respond(request, response, handler).catch((error: unknown) => { response.destroy(error instanceof Error ? error : new Error(String(error))) })
+  })
+  await new Promise<void>((resolve, reject) => {
+    server.once('error', reject)
+    server.listen(port, host, resolve)
+  })
+  return server
+}
+
+export function jsonResponse (value: unknown, status = OK): SimpleResponse {
+  return { status, contentType: 'application/json', body: JSON.stringify(value) }
+}
+
+async function respond (request: IncomingMessage, response: ServerResponse, handler: SimpleHandler): Promise<void> {
+  request.resume()
+  const url = URL.canParse(request.url ?? '', 'http://node') ? new URL(request.url ?? '', 'http://node') : null
+  const found = url === null ? null : await handler(url)
+  const { status, contentType, body } = found ?? jsonResponse({ error: { type: 'not-found' } }, NOT_FOUND)
+  response.writeHead(status, { 'content-type': contentType, 'content-length': Buffer.byteLength(body) })
+  response.end(body)
+}
