--- a/packages/dotterelspur-bench/src/experiments/admission/AdmissionRun.ts
+++ b/packages/dotterelspur-bench/src/experiments/admission/AdmissionRun.ts
@@ -1,5 +1,5 @@
 import {
-  AdmissionController, AdmissionEffectKind, AttemptEnd, DEFAULT_ADMISSION_OPTIONS, ManualClock, OutcomeReason, PriorityClass, createRandom,
+  AdmissionController, AdmissionEffectKind, AttemptResult, DEFAULT_ADMISSION_OPTIONS, ManualClock, OutcomeReason, PriorityClass, createRandom,
   type AdmissionEffect, type AdmissionOptions, type Random, type Teardown
 } from 'dotterelspur'
 import { DEFAULT_ENGINE_SHAPE, EngineModel } from '../routing/EngineModel.js'
@@ -198,7 +198,7 @@
       },
       onEnd: (_whole, tokens) => {
         const nowMs = this.clock.nowMs()
-        node.policy.end(attempt, AttemptEnd.Whole, nowMs, tokens)
+        node.policy.end(attempt, AttemptResult.Completed, nowMs, tokens)
         if (this.isMeasured()) this.ended[priority].whole++
         if (id !== null) this.carryOut(node, node.admission.finish(id, { firstTokenMs, overloaded: false, tokens: request.promptTokens + tokens }, nowMs))
       }
--- a/packages/dotterelspur-bench/src/experiments/routing/FleetView.ts
+++ b/packages/dotterelspur-bench/src/experiments/routing/FleetView.ts
@@ -95,7 +95,7 @@
       evidenceExpiresAtMs: aliveMs + DEFAULT_EVIDENCE_TTL_MS,
       leaving: false,
       load: { ...reading.load, ageMs: nowMs - reading.atMs },
-      loadAskedAtMs: nowMs
+      loadRequestedAtMs: nowMs
     }
   }
 
--- a/packages/dotterelspur-bench/src/experiments/routing/Policy.ts
+++ b/packages/dotterelspur-bench/src/experiments/routing/Policy.ts
@@ -1,4 +1,4 @@
-import { Router, createRoutingOptions, pick, PriorityClass, TargetKind, type AttemptEnd, type CacheEventPage, type GroupQuery, type GroupTarget, type Random, type RouteAttempt, type RoutingOptions, type TargetId } from 'dotterelspur'
+import { Router, createRoutingOptions, pick, PriorityClass, TargetKind, type AttemptResult, type CacheEventPage, type GroupQuery, type GroupTarget, type Random, type RouteAttempt, type RoutingOptions, type TargetId } from 'dotterelspur'
 import type { EngineModel } from './EngineModel.js'
 import type { SimulatedRequest } from './Workload.js'
 
@@ -26,7 +26,7 @@
   choose (request: SimulatedRequest, excluded: ReadonlySet<TargetId>, nowMs: number): GroupTarget | undefined
   begin (target: GroupTarget, nowMs: number): PolicyAttempt
   firstToken (attempt: PolicyAttempt, nowMs: number): void
-  end (attempt: PolicyAttempt, end: AttemptEnd, nowMs: number, tokens: number): void
+  end (attempt: PolicyAttempt, end: AttemptResult, nowMs: number, tokens: number): void
 }
 
 /** What a policy of one node is built from. `engineOf` is the truth, for oracles only. */
@@ -97,7 +97,7 @@
   }
 
   learnCache (targetId: TargetId, page: CacheEventPage, nowMs: number): void {
-    this.router.noteCacheEvents(targetId, page, nowMs)
+    this.router.applyCacheEvents(targetId, page, nowMs)
   }
 
   choose (request: SimulatedRequest, excluded: ReadonlySet<TargetId>, nowMs: number): GroupTarget | undefined {
@@ -122,10 +122,10 @@
   }
 
   firstToken (attempt: PolicyAttempt, nowMs: number): void {
-    this.router.firstToken(attempt.routeAttempt!, nowMs)
+    this.router.recordFirstToken(attempt.routeAttempt!, nowMs)
   }
 
-  end (attempt: PolicyAttempt, end: AttemptEnd, nowMs: number, tokens: number): void {
+  end (attempt: PolicyAttempt, end: AttemptResult, nowMs: number, tokens: number): void {
     this.router.end(attempt.routeAttempt!, end, nowMs, tokens)
   }
 }
--- a/packages/dotterelspur-bench/src/experiments/routing/RoutingRun.ts
+++ b/packages/dotterelspur-bench/src/experiments/routing/RoutingRun.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd, ManualClock, RetryBudget, createRandom, type RoutingOptions, type TargetId } from 'dotterelspur'
+import { AttemptResult, ManualClock, RetryBudget, createRandom, type RoutingOptions, type TargetId } from 'dotterelspur'
 import { build } from 'hdr-histogram-js'
 import { DEFAULT_ENGINE_SHAPE, EngineModel, type EngineShape } from './EngineModel.js'
 import { FleetView } from './FleetView.js'
@@ -153,7 +153,7 @@
     const attempt = policy.begin(target, nowMs)
     const broke = (delayMs: number, tokens: number): void => {
       this.clock.registerTimer(delayMs, () => {
-        policy.end(attempt, AttemptEnd.Broken, this.clock.nowMs(), tokens)
+        policy.end(attempt, AttemptResult.Broken, this.clock.nowMs(), tokens)
         journey.excluded.add(target.id)
         this.retry(journey)
       })
@@ -172,7 +172,7 @@
       onEnd: (whole, tokens) => {
         journey.tokensDelivered += tokens
         if (!whole) return broke(BREAK_NOTICED_MS, tokens)
-        policy.end(attempt, AttemptEnd.Whole, this.clock.nowMs(), tokens)
+        policy.end(attempt, AttemptResult.Completed, this.clock.nowMs(), tokens)
         if (this.isMeasured()) this.counts.completed++
       }
     })
--- a/packages/dotterelspur-entry/src/process/CacheEventPoller.ts
+++ b/packages/dotterelspur-entry/src/process/CacheEventPoller.ts
@@ -87,7 +87,7 @@
     const costBytes = POLL_BYTES + EVENT_BYTES * page.value.events.length
     if (this.stopped || this.leaders.get(id) !== leader) return costBytes
     leader.afterSequence = page.value.nextSequence
-    router.noteCacheEvents(id, page.value, clock.nowMs())
+    router.applyCacheEvents(id, page.value, clock.nowMs())
     return costBytes
   }
 }
--- a/packages/dotterelspur-entry/src/process/FleetView.ts
+++ b/packages/dotterelspur-entry/src/process/FleetView.ts
@@ -106,7 +106,7 @@
       evidenceExpiresAtMs: nowMs - view.evidenceAgeMs + this.evidenceTtlMs,
       leaving: false,
       load: view.load,
-      loadAskedAtMs: nowMs - view.evidenceAgeMs,
+      loadRequestedAtMs: nowMs - view.evidenceAgeMs,
       group: view.group,
       formation: view.formation,
       model: teamScoped(view.team, view.model),
@@ -125,7 +125,7 @@
       evidenceExpiresAtMs: nowMs - worker.ageMs + this.evidenceTtlMs,
       leaving: false,
       load: worker.load,
-      loadAskedAtMs: nowMs - worker.ageMs,
+      loadRequestedAtMs: nowMs - worker.ageMs,
       service: worker.service,
       vm: worker.vm,
       incarnation: worker.incarnation
--- a/packages/dotterelspur-entry/src/request/ModelRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ModelRunner.ts
@@ -1,5 +1,5 @@
 import {
-  AttemptEnd, EndpointErrorKind, InterruptKind, LifecycleEffectKind, OutcomeKind, OutcomeReason, RequestSafety, RouteRefusalKind, StreamEventKind, TargetKind,
+  AttemptResult, EndpointErrorKind, InterruptKind, LifecycleEffectKind, OutcomeKind, OutcomeReason, RequestSafety, RouteRefusalKind, StreamEventKind, TargetKind,
   failed, groupTargetId, notRun, runModelRequest, runProcedure, success,
   type ChunkKind, type EffectHandlers, type EndpointError, type GenerateRequest, type GroupTarget, type GroupView, type ModelEffects, type ModelResult, type NextEvent, type Outcome, type RequestContent, type Result,
   type RouteAttempt, type RouteRefusal, type SendEffect
@@ -23,7 +23,7 @@
   private route: RouteAttempt | null = null
   private decidedAtMs = 0
   private attemptTokens = 0
-  private attemptEnd = AttemptEnd.Cancelled
+  private attemptEnd = AttemptResult.Cancelled
   private delivered = false
   private readonly prefixes: readonly number[]
   private readonly content: RequestContent
@@ -145,7 +145,7 @@
     this.route = router.begin(this.target!, nowMs)
     this.attemptTokens = 0
     this.exchange = this.context.poison.guard.begin(this.content)
-    this.attemptEnd = AttemptEnd.Cancelled
+    this.attemptEnd = AttemptResult.Cancelled
     this.open((signal) => engines.generate(group.leaderAddress, generate, signal))
     return true
   }
@@ -162,20 +162,20 @@
   }
 
   private note (event: NextEvent): NextEvent {
-    if (event === null) this.attemptEnd = AttemptEnd.Broken
+    if (event === null) this.attemptEnd = AttemptResult.Broken
     else if (!('kind' in event)) return event
     else if (event.kind === StreamEventKind.Chunk) this.noteChunk(event.chunk)
     else if (event.kind === StreamEventKind.Error) this.noteError(event.error)
-    else this.attemptEnd = event.kind === InterruptKind.Stalled ? AttemptEnd.Broken : AttemptEnd.Cancelled
-    if (this.attemptEnd === AttemptEnd.Refused) this.overloaded = true
+    else this.attemptEnd = event.kind === InterruptKind.Stalled ? AttemptResult.Broken : AttemptResult.Cancelled
+    if (this.attemptEnd === AttemptResult.Refused) this.overloaded = true
     if (isLost(event)) this.noteLoss()
-    if (this.attemptEnd === AttemptEnd.Whole) this.context.poison.guard.noteAnswer(this.content)
+    if (this.attemptEnd === AttemptResult.Completed) this.context.poison.guard.noteAnswer(this.content)
     return event
   }
 
   private noteError (error: EndpointError): void {
     this.attemptEnd = END_OF_ERROR[error.kind]
-    if (error.kind === EndpointErrorKind.Refused && this.route !== null) this.context.router.noteRest(this.route, error.retryAfterMs, this.context.clock.nowMs())
+    if (error.kind === EndpointErrorKind.Refused && this.route !== null) this.context.router.recordBackoff(this.route, error.retryAfterMs, this.context.clock.nowMs())
   }
 
   private noteLoss (): void {
@@ -186,11 +186,11 @@
 
   private noteChunk (chunk: { readonly kind: ChunkKind, readonly tokens?: number }): void {
     if (chunk.tokens === undefined) {
-      this.attemptEnd = AttemptEnd.Whole
+      this.attemptEnd = AttemptResult.Completed
       return
     }
     const nowMs = this.context.clock.nowMs()
-    if (this.route !== null) this.context.router.firstToken(this.route, nowMs)
+    if (this.route !== null) this.context.router.recordFirstToken(this.route, nowMs)
     this.firstTokenAtMs ??= nowMs
     this.attemptTokens += chunk.tokens
     this.exchange?.noteProgress()
@@ -199,7 +199,7 @@
   private closeStream (cancel: boolean): void {
     const { engines, timing } = this.context
     const { group, stream } = this
-    const finished = this.attemptEnd === AttemptEnd.Whole
+    const finished = this.attemptEnd === AttemptResult.Completed
     this.stream = null
     stream?.close()
     this.endAttempt()
@@ -251,18 +251,18 @@
   return event === null || ('kind' in event && event.kind === StreamEventKind.Error && LOST_BY.has(event.error.kind))
 }
 
-const END_OF_ERROR: Readonly<Record<EndpointErrorKind, AttemptEnd>> = {
-  [EndpointErrorKind.NotRun]: AttemptEnd.Broken,
-  [EndpointErrorKind.WrongFormation]: AttemptEnd.Refused,
-  [EndpointErrorKind.Fenced]: AttemptEnd.Refused,
-  [EndpointErrorKind.Refused]: AttemptEnd.Refused,
-  [EndpointErrorKind.Ambiguous]: AttemptEnd.Broken,
-  [EndpointErrorKind.Broken]: AttemptEnd.Broken,
-  [EndpointErrorKind.Failed]: AttemptEnd.Failed,
-  [EndpointErrorKind.Malformed]: AttemptEnd.Broken
+const END_OF_ERROR: Readonly<Record<EndpointErrorKind, AttemptResult>> = {
+  [EndpointErrorKind.NotRun]: AttemptResult.Broken,
+  [EndpointErrorKind.WrongFormation]: AttemptResult.Refused,
+  [EndpointErrorKind.Fenced]: AttemptResult.Refused,
+  [EndpointErrorKind.Refused]: AttemptResult.Refused,
+  [EndpointErrorKind.Ambiguous]: AttemptResult.Broken,
+  [EndpointErrorKind.Broken]: AttemptResult.Broken,
+  [EndpointErrorKind.Failed]: AttemptResult.Failed,
+  [EndpointErrorKind.Malformed]: AttemptResult.Broken
 }
 
-const OVERLOADED_BY: ReadonlySet<RouteRefusalKind> = new Set([RouteRefusalKind.AllTried, RouteRefusalKind.AllResting])
+const OVERLOADED_BY: ReadonlySet<RouteRefusalKind> = new Set([RouteRefusalKind.AllTried, RouteRefusalKind.AllBackingOff])
 
 /** A refusal to choose, as the outcome of a request that was never sent. */
 export function refusalOutcome (refusal: RouteRefusal): Outcome {
--- a/packages/dotterelspur-entry/src/request/ServiceRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ServiceRunner.ts
@@ -1,5 +1,5 @@
 import {
-  AttemptEnd, EndpointErrorKind, LifecycleEffectKind, RequestSafety, TargetKind, failed, runProcedure, runServiceRequest, success,
+  AttemptResult, EndpointErrorKind, LifecycleEffectKind, RequestSafety, TargetKind, failed, runProcedure, runServiceRequest, success,
   type CallServiceEffect, type EffectHandlers, type EndpointError, type Interrupt, type Outcome, type RequestContent, type Result, type RouteAttempt, type ServiceEffects, type ServiceResponse, type ServiceResult, type ServiceTarget, type ServiceWorker
 } from 'dotterelspur'
 import type { EntryContext } from '../process/EntryContext.js'
@@ -107,12 +107,12 @@
   private endRoute (route: RouteAttempt, result: Result<ServiceResponse, EndpointError> | Interrupt): void {
     const { router, clock } = this.context
     const nowMs = clock.nowMs()
-    if (!('ok' in result)) return router.end(route, AttemptEnd.Cancelled, nowMs)
+    if (!('ok' in result)) return router.end(route, AttemptResult.Cancelled, nowMs)
     if (!result.ok) {
-      if (result.error.kind === EndpointErrorKind.Refused) router.noteRest(route, result.error.retryAfterMs, nowMs)
-      return router.end(route, result.error.kind === EndpointErrorKind.Refused ? AttemptEnd.Refused : AttemptEnd.Broken, nowMs)
+      if (result.error.kind === EndpointErrorKind.Refused) router.recordBackoff(route, result.error.retryAfterMs, nowMs)
+      return router.end(route, result.error.kind === EndpointErrorKind.Refused ? AttemptResult.Refused : AttemptResult.Broken, nowMs)
     }
-    router.firstToken(route, nowMs)
-    router.end(route, AttemptEnd.Whole, nowMs)
+    router.recordFirstToken(route, nowMs)
+    router.end(route, AttemptResult.Completed, nowMs)
   }
 }
--- a/packages/dotterelspur/src/__tests__/unit/Router.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Router.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { AttemptEnd, RouteRefusalKind, Router, TargetKind, createRandom, createRoutingOptions, groupTargetId, type GroupQuery, type GroupTarget } from '../../index.js'
+import { AttemptResult, RouteRefusalKind, Router, TargetKind, createRandom, createRoutingOptions, groupTargetId, type GroupQuery, type GroupTarget } from '../../index.js'
 import { createQuery } from './routingFixture.js'
 
 function createTarget (group: string, overrides: Partial<GroupTarget> = {}): GroupTarget {
@@ -17,7 +17,7 @@
     evidenceExpiresAtMs: 2_500,
     leaving: false,
     load: { running: 0, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 },
-    loadAskedAtMs: 0,
+    loadRequestedAtMs: 0,
     ...overrides
   }
 }
@@ -64,15 +64,15 @@
   it('sends nothing to a target before the time that its refusal named, and one attempt then', () => {
     const { router, random } = createFixture([createTarget('a', { evidenceExpiresAtMs: 10_000 })])
     const refused = router.begin(createTarget('a'), 0)
-    router.noteRest(refused, 3_000, 0)
-    router.end(refused, AttemptEnd.Refused, 0)
+    router.recordBackoff(refused, 3_000, 0)
+    router.end(refused, AttemptResult.Refused, 0)
     const early = router.decide(createQuery(), 1_000, random)
     expect(early).to.deep.include({ ok: false })
-    expect(early.ok ? null : early.error).to.deep.include({ kind: RouteRefusalKind.AllResting, retryAfterMs: 2_000 })
+    expect(early.ok ? null : early.error).to.deep.include({ kind: RouteRefusalKind.AllBackingOff, retryAfterMs: 2_000 })
     expect(router.decide(createQuery(), 3_000, random).ok).to.equal(true)
     const trial = router.begin(createTarget('a'), 3_000)
     expect(router.decide(createQuery(), 3_001, random).ok).to.equal(false)
-    router.firstToken(trial, 3_002)
+    router.recordFirstToken(trial, 3_002)
     expect(router.decide(createQuery(), 3_002, random).ok).to.equal(true)
   })
 
@@ -80,7 +80,7 @@
     const { router } = createFixture([createTarget('a')])
     const attempt = router.begin(createTarget('a'), 0)
     expect(router.inFlightAt(attempt.targetId)).to.equal(1)
-    router.end(attempt, AttemptEnd.Whole, 10)
+    router.end(attempt, AttemptResult.Completed, 10)
     expect(router.inFlightAt(attempt.targetId)).to.equal(0)
   })
 })
--- a/packages/dotterelspur/src/__tests__/unit/RouterProperties.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/RouterProperties.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { AttemptEnd, CacheEventKind, PriorityClass, RouteCause, Router, TargetKind, createRandom, createRoutingOptions, groupTargetId, serviceTargetId, type GroupQuery, type GroupTarget, type RouteAttempt, type RoutingOptions, type ServiceTarget } from '../../index.js'
+import { AttemptResult, CacheEventKind, PriorityClass, RouteCause, Router, TargetKind, createRandom, createRoutingOptions, groupTargetId, serviceTargetId, type GroupQuery, type GroupTarget, type RouteAttempt, type RoutingOptions, type ServiceTarget } from '../../index.js'
 import { createQuery } from './routingFixture.js'
 
 const SEED = 20_261_202
-const FOREVER_MS = 1e9
+const NEVER_EXPIRES_MS = 1e9
 
 function createTarget (group: string, overrides: Partial<GroupTarget> = {}): GroupTarget {
   const formation = overrides.formation ?? 1
@@ -19,10 +19,10 @@
     address: `http://10.0.0.1/${group}`,
     region: 'perth',
     failureDomain: 'perth-1',
-    evidenceExpiresAtMs: FOREVER_MS,
+    evidenceExpiresAtMs: NEVER_EXPIRES_MS,
     leaving: false,
     load: { running: 0, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 },
-    loadAskedAtMs: 0,
+    loadRequestedAtMs: 0,
     ...overrides
   }
 }
@@ -48,10 +48,10 @@
     }
     return counts
   }
-  const breakOff = (target: GroupTarget, times: number, nowMs: number): void => {
-    for (let turn = 0; turn < times; turn++) router.end(router.begin(target, nowMs), AttemptEnd.Broken, nowMs)
+  const failAttempts = (target: GroupTarget, times: number, nowMs: number): void => {
+    for (let turn = 0; turn < times; turn++) router.end(router.begin(target, nowMs), AttemptResult.Broken, nowMs)
   }
-  return { router, random, choose, countChoices, breakOff }
+  return { router, random, choose, countChoices, failAttempts }
 }
 
 const GROUPS = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i', 'j']
@@ -71,7 +71,7 @@
     excluded: fc.subarray(GROUPS),
     pinned: fc.boolean(),
     prefixHashes: fc.array(fc.nat(5), { maxLength: 3 }),
-    end: fc.constantFrom(null, ...Object.values(AttemptEnd)),
+    end: fc.constantFrom(null, ...Object.values(AttemptResult)),
     waitMs: fc.nat(900)
   })
 
@@ -85,7 +85,7 @@
         nowMs += waitMs
         if (replaced !== null) {
           targets = replaced.map(({ running, evidenceExpiresAtMs, ...rest }) => createTarget(rest.group, {
-            ...rest, evidenceExpiresAtMs: nowMs + evidenceExpiresAtMs - 1_000, load: { running, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 }, loadAskedAtMs: nowMs
+            ...rest, evidenceExpiresAtMs: nowMs + evidenceExpiresAtMs - 1_000, load: { running, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 }, loadRequestedAtMs: nowMs
           }))
           router.replaceTargets(targets, nowMs)
         }
@@ -111,8 +111,8 @@
     // Sequence: three broken attempts, then choices over time.
     // Cause: probes and streams can fail apart; only the attempts show it.
     const targets = GROUPS.map((group) => createTarget(group))
-    const { router, countChoices, breakOff } = createFixture(targets)
-    breakOff(targets[0]!, 3, 0)
+    const { router, countChoices, failAttempts } = createFixture(targets)
+    failAttempts(targets[0]!, 3, 0)
     expect(router.ejectedTargets(0)).to.deep.equal([targets[0]!.id])
     expect(countChoices(500, 100).get('a') ?? 0).to.equal(0)
     const atReturn = countChoices(2_000, 5_100).get('a') ?? 0
@@ -121,8 +121,8 @@
 
   it('never ejects more than a share: when most break, the cause is likely elsewhere', () => {
     const targets = GROUPS.map((group) => createTarget(group))
-    const { router, breakOff, countChoices } = createFixture(targets)
-    for (const target of targets) breakOff(target, 5, 0)
+    const { router, failAttempts, countChoices } = createFixture(targets)
+    for (const target of targets) failAttempts(target, 5, 0)
     expect(router.ejectedTargets(0)).to.have.length(3)
     expect(countChoices(200, 1).get(null)).to.equal(undefined)
   })
@@ -132,8 +132,8 @@
     const { router, countChoices } = createFixture(targets)
     for (const target of targets) {
       const attempt = router.begin(target, 0)
-      router.firstToken(attempt, 0)
-      router.end(attempt, AttemptEnd.Whole, target.group === 'a' ? 6_000 : 2_000, 100)
+      router.recordFirstToken(attempt, 0)
+      router.end(attempt, AttemptResult.Completed, target.group === 'a' ? 6_000 : 2_000, 100)
     }
     expect(countChoices(400, 6_100).get('a') ?? 0).to.be.lessThan(40)
   })
@@ -176,8 +176,8 @@
     const home = router.decide(query, 0, random)
     const other = targets.find((target) => !home.ok || target.id !== home.value.target.id)!
     const stored = { sequence: 9, kind: CacheEventKind.Stored, prefixHash: 22 }
-    router.noteCacheEvents(other.id, { events: [stored, stored], nextSequence: 10 }, 0)
-    router.noteCacheEvents(home.ok ? home.value.target.id : '', { events: [21, 22].map((prefixHash, sequence) => ({ sequence, kind: CacheEventKind.Evicted, prefixHash })), nextSequence: 2 }, 0)
+    router.applyCacheEvents(other.id, { events: [stored, stored], nextSequence: 10 }, 0)
+    router.applyCacheEvents(home.ok ? home.value.target.id : '', { events: [21, 22].map((prefixHash, sequence) => ({ sequence, kind: CacheEventKind.Evicted, prefixHash })), nextSequence: 2 }, 0)
     const decision = router.decide(query, 0, random)
     expect(decision.ok && decision.value.target.id).to.equal(other.id)
     expect(decision.ok && decision.value.cause).to.equal(RouteCause.PrefixAffinity)
--- a/packages/dotterelspur/src/request/routing/Attempt.ts
+++ b/packages/dotterelspur/src/request/routing/Attempt.ts
@@ -1,9 +1,9 @@
 import type { TargetId } from './RouteTarget.js'
 
 /** How one attempt at a target ended, as far as the target's standing is concerned. */
-export enum AttemptEnd {
+export enum AttemptResult {
   /** A whole answer. */
-  Whole = 'whole',
+  Completed = 'whole',
   /** The endpoint answered that the request itself failed; says nothing against the endpoint. */
   Failed = 'failed',
   /** The endpoint refused: full, leaving, or at another formation. */
--- a/packages/dotterelspur/src/request/routing/HashRing.ts
+++ b/packages/dotterelspur/src/request/routing/HashRing.ts
@@ -25,18 +25,18 @@
 
   /** The first target from the key's place on that `accepts` takes; undefined when none does. */
   find (key: number, accepts: (record: TargetRecord) => boolean): TargetRecord | undefined {
-    const start = this.indexFrom(key)
-    const denied = new Set<TargetRecord>()
+    const start = this.lowerBound(key)
+    const rejected = new Set<TargetRecord>()
     for (let step = 0; step < this.points.length; step++) {
       const { record } = this.points[(start + step) % this.points.length]!
-      if (denied.has(record)) continue
+      if (rejected.has(record)) continue
       if (accepts(record)) return record
-      denied.add(record)
+      rejected.add(record)
     }
     return undefined
   }
 
-  private indexFrom (key: number): number {
+  private lowerBound (key: number): number {
     let low = 0
     let high = this.points.length
     while (low < high) {
--- a/packages/dotterelspur/src/request/routing/InFlightHistory.ts
+++ b/packages/dotterelspur/src/request/routing/InFlightHistory.ts
@@ -4,7 +4,7 @@
 }
 
 const BUCKET_MS = 250
-const KEPT_MS = 10_000
+const RETENTION_MS = 10_000
 
 /**
  * How many attempts of this node were under way at a target, now and a while ago. A load report includes this
@@ -17,7 +17,7 @@
     return this.samples.at(-1)?.count ?? 0
   }
 
-  change (difference: number, nowMs: number): void {
+  adjust (difference: number, nowMs: number): void {
     const count = Math.max(0, this.count + difference)
     const last = this.samples.at(-1)
     if (last !== undefined && nowMs - last.sinceMs < BUCKET_MS) {
@@ -38,8 +38,8 @@
   }
 
   private prune (nowMs: number): void {
-    let kept = 0
-    while (kept < this.samples.length - 1 && this.samples[kept + 1]!.sinceMs < nowMs - KEPT_MS) kept++
-    if (kept > 0) this.samples = this.samples.slice(kept)
+    let expired = 0
+    while (expired < this.samples.length - 1 && this.samples[expired + 1]!.sinceMs < nowMs - RETENTION_MS) expired++
+    if (expired > 0) this.samples = this.samples.slice(expired)
   }
 }
--- a/packages/dotterelspur/src/request/routing/Lane.ts
+++ b/packages/dotterelspur/src/request/routing/Lane.ts
@@ -12,8 +12,8 @@
   private cachedRing: HashRing | null = null
 
   /** `before` is the lane that this one replaces: what was learnt of requests as such goes on. */
-  constructor (readonly records: readonly TargetRecord[], private readonly options: RoutingOptions, before?: Lane) {
-    this.estimator = new LoadEstimator(records, options, before?.estimator.meanLifeMs)
+  constructor (readonly records: readonly TargetRecord[], private readonly options: RoutingOptions, previous?: Lane) {
+    this.estimator = new LoadEstimator(records, options, previous?.estimator.meanDurationMs)
   }
 
   get ring (): HashRing {
@@ -25,7 +25,7 @@
   ejectIfAllowed (record: TargetRecord, nowMs: number): void {
     const usable = this.records.filter((one) => !one.target.leaving && one.target.evidenceExpiresAtMs > nowMs)
     const ejected = usable.filter((one) => one.health.isEjected(nowMs)).length
-    const largest = usable.length < 2 ? 0 : Math.max(1, Math.floor(usable.length * this.options.largestEjectedShare))
-    if (ejected < largest) record.health.eject(nowMs)
+    const maxEjected = usable.length < 2 ? 0 : Math.max(1, Math.floor(usable.length * this.options.maxEjectedShare))
+    if (ejected < maxEjected) record.health.eject(nowMs)
   }
 }
--- a/packages/dotterelspur/src/request/routing/LoadEstimator.ts
+++ b/packages/dotterelspur/src/request/routing/LoadEstimator.ts
@@ -1,16 +1,16 @@
 import type { RoutingOptions } from './RoutingOptions.js'
 import type { TargetRecord } from './TargetRecord.js'
 
-const MEANS_VALID_MS = 100
-const LIFE_WEIGHT = 0.02
+const MEANS_CACHE_MS = 100
+const DURATION_SMOOTHING = 0.02
 
 /** What an estimate compares a target with; computed over the lane now and then. */
 interface LaneMeans {
-  readonly atMs: number
+  readonly computedAtMs: number
   /** Mean share of capacity that other nodes hold. */
   readonly othersShare: number
   /** A report of this age counts half; see trustMs below. */
-  readonly trustMs: number
+  readonly halfWeightAgeMs: number
   /** Mean utilisation, this node's own requests included. */
   readonly utilisation: number
   /** Median of the targets' pace; null when none is known. */
@@ -31,22 +31,22 @@
 export class LoadEstimator {
   private means: LaneMeans | null = null
 
-  constructor (private readonly records: readonly TargetRecord[], private readonly options: Pick<RoutingOptions, 'requestLifeMs' | 'stragglerRatio'>, private lifeMs = options.requestLifeMs) {}
+  constructor (private readonly records: readonly TargetRecord[], private readonly options: Pick<RoutingOptions, 'initialRequestDurationMs' | 'stragglerRatio'>, private averageDurationMs = options.initialRequestDurationMs) {}
 
   /** Mean time that an attempt of this node ran. */
-  get meanLifeMs (): number {
-    return this.lifeMs
+  get meanDurationMs (): number {
+    return this.averageDurationMs
   }
 
   /** An attempt of this node ran for this long. */
-  noteLife (durationMs: number): void {
-    this.lifeMs += LIFE_WEIGHT * (durationMs - this.lifeMs)
+  recordDuration (durationMs: number): void {
+    this.averageDurationMs += DURATION_SMOOTHING * (durationMs - this.averageDurationMs)
   }
 
   /** Requests at the target as a share of what it can run side by side; above 1 some wait. */
   utilisation (record: TargetRecord, nowMs: number): number {
-    const { othersShare, trustMs } = this.laneMeans(nowMs)
-    return this.estimate(record, othersShare, trustMs, nowMs)
+    const { othersShare, halfWeightAgeMs } = this.laneMeans(nowMs)
+    return this.estimate(record, othersShare, halfWeightAgeMs, nowMs)
   }
 
   meanUtilisation (nowMs: number): number {
@@ -62,28 +62,28 @@
     return ratio >= this.options.stragglerRatio ? ratio : 1
   }
 
-  private estimate (record: TargetRecord, meanOthersShare: number, trustMs: number, nowMs: number): number {
+  private estimate (record: TargetRecord, meanOthersShare: number, halfWeightAgeMs: number, nowMs: number): number {
     const capacity = record.capacity()
-    const ageMs = Math.max(0, nowMs - record.readAtMs())
-    const worth = trustMs / (trustMs + ageMs)
-    const reportedShare = record.othersReported() / capacity
-    const othersShare = meanOthersShare + (reportedShare - meanOthersShare) * worth
+    const ageMs = Math.max(0, nowMs - record.loadReadAtMs())
+    const weight = halfWeightAgeMs / (halfWeightAgeMs + ageMs)
+    const reportedShare = record.reportedOtherRequests() / capacity
+    const othersShare = meanOthersShare + (reportedShare - meanOthersShare) * weight
     return othersShare + record.inFlight.count / capacity
   }
 
-  private trustMs (ownShare: number, othersShare: number): number {
+  private halfWeightAgeMs (ownShare: number, othersShare: number): number {
     const share = ownShare / Math.max(Number.EPSILON, ownShare + othersShare)
-    return Math.max(1, share * this.lifeMs)
+    return Math.max(1, share * this.averageDurationMs)
   }
 
   private laneMeans (nowMs: number): LaneMeans {
-    if (this.means !== null && nowMs - this.means.atMs < MEANS_VALID_MS) return this.means
-    const live = this.records.filter((record) => record.target.evidenceExpiresAtMs > nowMs)
-    const othersShare = mean(live.map((record) => record.othersReported() / record.capacity()))
-    const ownShare = mean(live.map((record) => record.inFlight.count / record.capacity()))
-    const trustMs = this.trustMs(ownShare, othersShare)
-    const paces = live.map((record) => record.health.pace).filter((pace) => pace !== null)
-    this.means = { atMs: nowMs, othersShare, trustMs, utilisation: ownShare + othersShare, medianPaceMs: median(paces) }
+    if (this.means !== null && nowMs - this.means.computedAtMs < MEANS_CACHE_MS) return this.means
+    const fresh = this.records.filter((record) => record.target.evidenceExpiresAtMs > nowMs)
+    const othersShare = mean(fresh.map((record) => record.reportedOtherRequests() / record.capacity()))
+    const ownShare = mean(fresh.map((record) => record.inFlight.count / record.capacity()))
+    const halfWeightAgeMs = this.halfWeightAgeMs(ownShare, othersShare)
+    const paces = fresh.map((record) => record.health.pace).filter((pace) => pace !== null)
+    this.means = { computedAtMs: nowMs, othersShare, halfWeightAgeMs, utilisation: ownShare + othersShare, medianPaceMs: median(paces) }
     return this.means
   }
 }
--- a/packages/dotterelspur/src/request/routing/PrefixIndex.ts
+++ b/packages/dotterelspur/src/request/routing/PrefixIndex.ts
@@ -8,7 +8,7 @@
  */
 export class PrefixIndex {
   /** Hash to the time it was last used or reported; in order of that time. */
-  private readonly seenAtMs = new Map<number, number>()
+  private readonly lastSeenAtMs = new Map<number, number>()
   private nextSequence = 0
   /** Cache events that never arrived, for the counters. */
   lostEvents = 0
@@ -16,17 +16,17 @@
   constructor (private readonly options: RoutingOptions) {}
 
   /** A request with these prefixes was sent there. */
-  noteSent (prefixHashes: readonly number[], nowMs: number): void {
+  recordRequest (prefixHashes: readonly number[], nowMs: number): void {
     for (const hash of prefixHashes) this.store(hash, nowMs)
   }
 
-  noteEvents (page: CacheEventPage, nowMs: number): void {
+  applyEvents (page: CacheEventPage, nowMs: number): void {
     for (const event of page.events) {
       if (event.sequence < this.nextSequence) continue
       this.lostEvents += event.sequence - this.nextSequence
       this.nextSequence = event.sequence + 1
       if (event.kind === CacheEventKind.Stored) this.store(event.prefixHash, nowMs)
-      else this.seenAtMs.delete(event.prefixHash)
+      else this.lastSeenAtMs.delete(event.prefixHash)
     }
     this.nextSequence = Math.max(this.nextSequence, page.nextSequence)
   }
@@ -35,17 +35,17 @@
   matchedBlocks (prefixHashes: readonly number[], nowMs: number): number {
     const oldestMs = nowMs - this.options.prefixTtlMs
     for (let blocks = prefixHashes.length; blocks > 0; blocks--) {
-      const seenAtMs = this.seenAtMs.get(prefixHashes[blocks - 1]!)
+      const seenAtMs = this.lastSeenAtMs.get(prefixHashes[blocks - 1]!)
       if (seenAtMs !== undefined && seenAtMs >= oldestMs) return blocks
     }
     return 0
   }
 
   private store (hash: number, nowMs: number): void {
-    this.seenAtMs.delete(hash)
-    this.seenAtMs.set(hash, nowMs)
-    if (this.seenAtMs.size <= this.options.prefixesPerTarget) return
-    const oldest = this.seenAtMs.keys().next()
-    if (oldest.done !== true) this.seenAtMs.delete(oldest.value)
+    this.lastSeenAtMs.delete(hash)
+    this.lastSeenAtMs.set(hash, nowMs)
+    if (this.lastSeenAtMs.size <= this.options.maxPrefixesPerTarget) return
+    const oldest = this.lastSeenAtMs.keys().next()
+    if (oldest.done !== true) this.lastSeenAtMs.delete(oldest.value)
   }
 }
--- a/packages/dotterelspur/src/request/routing/RouteQuery.ts
+++ b/packages/dotterelspur/src/request/routing/RouteQuery.ts
@@ -64,7 +64,7 @@
   /** All that remain were tried by this request. */
   AllTried = 'all-tried',
   /** All that remain have refused requests of this node and said when to come back. */
-  AllResting = 'all-resting'
+  AllBackingOff = 'all-resting'
 }
 
 export interface RouteRefusal {
--- a/packages/dotterelspur/src/request/routing/RouteTarget.ts
+++ b/packages/dotterelspur/src/request/routing/RouteTarget.ts
@@ -9,7 +9,7 @@
   Service = 'service'
 }
 
-interface TargetPlace {
+interface TargetBase {
   readonly id: TargetId
   /** Base URL that takes the request: the group's leader, or the worker itself. */
   readonly address: string
@@ -21,11 +21,11 @@
   readonly leaving: boolean
   readonly load: LoadReport
   /** When `load` was asked for, on this node's monotonic clock; `load.ageMs` comes on top. */
-  readonly loadAskedAtMs: number
+  readonly loadRequestedAtMs: number
 }
 
 /** A complete group, as dispatch sees it. */
-export interface GroupTarget extends TargetPlace {
+export interface GroupTarget extends TargetBase {
   readonly kind: TargetKind.Group
   readonly group: GroupId
   readonly formation: number
@@ -35,7 +35,7 @@
 }
 
 /** One worker of a plain service. */
-export interface ServiceTarget extends TargetPlace {
+export interface ServiceTarget extends TargetBase {
   readonly kind: TargetKind.Service
   readonly service: ServiceId
   readonly vm: VmId
--- a/packages/dotterelspur/src/request/routing/Router.ts
+++ b/packages/dotterelspur/src/request/routing/Router.ts
@@ -3,7 +3,7 @@
 import type { Random } from '../../process/Random.js'
 import { failed, success, type Result } from '../../process/Result.js'
 import { EndpointRests } from '../need/EndpointRests.js'
-import { AttemptEnd, type RouteAttempt } from './Attempt.js'
+import { AttemptResult, type RouteAttempt } from './Attempt.js'
 import { selectCandidates } from './candidates.js'
 import { chooseTarget } from './choose.js'
 import { Lane } from './Lane.js'
@@ -13,7 +13,7 @@
 import { TargetRecord } from './TargetRecord.js'
 
 /** Tokens below which a finished stream says nothing about the target's pace. */
-const PACE_TOKENS = 8
+const MIN_PACE_TOKENS = 8
 
 /**
  * Chooses where a request runs. One per process.
@@ -25,8 +25,8 @@
 export class Router {
   private readonly records = new Map<TargetId, TargetRecord>()
   private readonly lanes = new Map<string, Lane>()
-  private readonly rests = new EndpointRests()
-  private started = false
+  private readonly backoffs = new EndpointRests()
+  private hasHadTargets = false
 
   constructor (private readonly options: RoutingOptions) {}
 
@@ -36,16 +36,16 @@
     for (const id of this.records.keys()) {
       if (!known.has(id)) this.records.delete(id)
     }
-    this.rests.retain(known, nowMs)
+    this.backoffs.retain(known, nowMs)
     const members = new Map<string, TargetRecord[]>()
     for (const target of [...targets].sort(byId)) {
       const key = laneKey(target)
       const lane = members.get(key) ?? []
-      lane.push(this.takeIn(target, nowMs))
+      lane.push(this.upsert(target, nowMs))
       members.set(key, lane)
     }
     this.rebuildLanes(members)
-    this.started ||= targets.length > 0
+    this.hasHadTargets ||= targets.length > 0
   }
 
   decide (query: GroupQuery, nowMs: number, random: Random): Result<GroupDecision, RouteRefusal>
@@ -56,49 +56,49 @@
     if (lane === undefined) {
       return failed({ kind: RouteRefusalKind.NoReplica, message: 'no replica that fits', retryAfterMs: options.retryAfterMs })
     }
-    const selection = selectCandidates(lane.records, query, nowMs, options, this.rests)
+    const selection = selectCandidates(lane.records, query, nowMs, options, this.backoffs)
     if (!selection.ok) return failed(selection.error)
     const { local, remote } = selection.value
     const { record, cause } = chooseTarget(selection.value, { lane, query, options, nowMs, random })
-    if (query.kind === TargetKind.Group) record.prefixes.noteSent(query.prefixHashes, nowMs)
+    if (query.kind === TargetKind.Group) record.prefixes.recordRequest(query.prefixHashes, nowMs)
     return success({ target: record.target, cause, candidates: local.length + remote.length })
   }
 
   /** The attempt counts as load on the target until `end`; call it right before the send. */
   begin (target: RouteTarget, nowMs: number): RouteAttempt {
-    this.records.get(target.id)?.inFlight.change(1, nowMs)
-    this.rests.take(target.id, nowMs)
+    this.records.get(target.id)?.inFlight.adjust(1, nowMs)
+    this.backoffs.take(target.id, nowMs)
     return { targetId: target.id, startedAtMs: nowMs, firstTokenAtMs: null, ended: false }
   }
 
   /** The first token, or a service's response, has arrived. */
-  firstToken (attempt: RouteAttempt, nowMs: number): void {
+  recordFirstToken (attempt: RouteAttempt, nowMs: number): void {
     attempt.firstTokenAtMs ??= nowMs
-    this.rests.note(attempt.targetId, null, nowMs)
+    this.backoffs.note(attempt.targetId, null, nowMs)
   }
 
   /** The target has refused an attempt and said after how long it is worth coming back. */
-  noteRest (attempt: RouteAttempt, restMs: number, nowMs: number): void {
-    this.rests.note(attempt.targetId, restMs, nowMs)
+  recordBackoff (attempt: RouteAttempt, backoffMs: number, nowMs: number): void {
+    this.backoffs.note(attempt.targetId, backoffMs, nowMs)
   }
 
   /** Exactly once per attempt. `tokens` is the number of tokens that arrived, 0 for services. */
-  end (attempt: RouteAttempt, end: AttemptEnd, nowMs: number, tokens = 0): void {
+  end (attempt: RouteAttempt, result: AttemptResult, nowMs: number, tokens = 0): void {
     invariant(!attempt.ended, 'an attempt ends once')
     attempt.ended = true
     const record = this.records.get(attempt.targetId)
     if (record === undefined) return
-    record.inFlight.change(-1, nowMs)
+    record.inFlight.adjust(-1, nowMs)
     const lane = this.lanes.get(laneKey(record.target))
-    if (end === AttemptEnd.Whole) lane?.estimator.noteLife(nowMs - attempt.startedAtMs)
+    if (result === AttemptResult.Completed) lane?.estimator.recordDuration(nowMs - attempt.startedAtMs)
     const paceMs = paceOf(attempt, record.target, nowMs, tokens)
-    if (paceMs !== null) record.health.notePace(paceMs)
-    if (record.health.noteEnd(end)) lane?.ejectIfAllowed(record, nowMs)
+    if (paceMs !== null) record.health.recordPace(paceMs)
+    if (record.health.recordResult(result)) lane?.ejectIfAllowed(record, nowMs)
   }
 
   /** Takes in a page of a group's cache events, which are late and may have gaps. */
-  noteCacheEvents (targetId: TargetId, page: CacheEventPage, nowMs: number): void {
-    this.records.get(targetId)?.prefixes.noteEvents(page, nowMs)
+  applyCacheEvents (targetId: TargetId, page: CacheEventPage, nowMs: number): void {
+    this.records.get(targetId)?.prefixes.applyEvents(page, nowMs)
   }
 
   /** Attempts of this node under way at a target. */
@@ -111,13 +111,13 @@
     return [...this.records.values()].filter((record) => record.health.isEjected(nowMs)).map((record) => record.target.id)
   }
 
-  private takeIn (target: RouteTarget, nowMs: number): TargetRecord {
+  private upsert (target: RouteTarget, nowMs: number): TargetRecord {
     const known = this.records.get(target.id)
     if (known !== undefined) {
       known.target = target
       return known
     }
-    const record = new TargetRecord(target, this.options, nowMs, this.started)
+    const record = new TargetRecord(target, this.options, nowMs, this.hasHadTargets)
     this.records.set(target.id, record)
     return record
   }
@@ -148,6 +148,6 @@
 function paceOf (attempt: RouteAttempt, target: RouteTarget, nowMs: number, tokens: number): number | null {
   if (attempt.firstTokenAtMs === null) return null
   if (target.kind === TargetKind.Service) return attempt.firstTokenAtMs - attempt.startedAtMs
-  if (tokens < PACE_TOKENS) return null
+  if (tokens < MIN_PACE_TOKENS) return null
   return (nowMs - attempt.firstTokenAtMs) / (tokens - 1)
 }
--- a/packages/dotterelspur/src/request/routing/TargetHealth.ts
+++ b/packages/dotterelspur/src/request/routing/TargetHealth.ts
@@ -1,9 +1,9 @@
-import { AttemptEnd } from './Attempt.js'
+import { AttemptResult } from './Attempt.js'
 import type { RoutingOptions } from './RoutingOptions.js'
 
-const LATENCY_WEIGHT = 0.2
-const ERROR_WEIGHT = 0.2
-const QUIET_EJECTIONS = 4
+const PACE_SMOOTHING = 0.2
+const ERROR_SMOOTHING = 0.2
+const EJECTION_RESET_FACTOR = 4
 
 /**
  * What this node's own attempts say of one target: its pace, its errors, and whether it is ejected or ramping up.
@@ -14,14 +14,14 @@
 export class TargetHealth {
   private paceMs: number | null = null
   private errorShare = 0
-  private brokenInRow = 0
+  private consecutiveFailures = 0
   private ejections = 0
   private lastEjectedAtMs = -Infinity
   private ejectedUntilMs = -Infinity
   private rampFromMs: number
 
-  constructor (private readonly options: RoutingOptions, seenAtMs: number, ramps: boolean) {
-    this.rampFromMs = ramps ? seenAtMs : -Infinity
+  constructor (private readonly options: RoutingOptions, addedAtMs: number, startsWithRamp: boolean) {
+    this.rampFromMs = startsWithRamp ? addedAtMs : -Infinity
   }
 
   /** Smoothed milliseconds per token, or per response of a service; null until there was one. */
@@ -30,30 +30,30 @@
   }
 
   /** Smoothed share of attempts that broke, 0 to 1. */
-  get errors (): number {
+  get errorRate (): number {
     return this.errorShare
   }
 
-  notePace (paceMs: number): void {
-    this.paceMs = this.paceMs === null ? paceMs : this.paceMs + LATENCY_WEIGHT * (paceMs - this.paceMs)
+  recordPace (paceMs: number): void {
+    this.paceMs = this.paceMs === null ? paceMs : this.paceMs + PACE_SMOOTHING * (paceMs - this.paceMs)
   }
 
   /** Takes in how an attempt ended. Returns true when the target should be ejected, which the caller may deny. */
-  noteEnd (end: AttemptEnd): boolean {
-    if (end === AttemptEnd.Cancelled || end === AttemptEnd.Refused) return false
-    const broke = end === AttemptEnd.Broken
-    this.errorShare += ERROR_WEIGHT * ((broke ? 1 : 0) - this.errorShare)
-    this.brokenInRow = broke ? this.brokenInRow + 1 : 0
-    return this.brokenInRow >= this.options.ejectAfterBroken
+  recordResult (result: AttemptResult): boolean {
+    if (result === AttemptResult.Cancelled || result === AttemptResult.Refused) return false
+    const isBroken = result === AttemptResult.Broken
+    this.errorShare += ERROR_SMOOTHING * ((isBroken ? 1 : 0) - this.errorShare)
+    this.consecutiveFailures = isBroken ? this.consecutiveFailures + 1 : 0
+    return this.consecutiveFailures >= this.options.ejectAfterFailures
   }
 
   /** Takes the target out for a while; each ejection soon after another lasts twice as long. */
   eject (nowMs: number): void {
-    const { ejectionMs, longestEjectionMs, rampMs } = this.options
-    if (nowMs - this.lastEjectedAtMs > QUIET_EJECTIONS * longestEjectionMs) this.ejections = 0
-    const durationMs = Math.min(longestEjectionMs, ejectionMs * 2 ** this.ejections)
+    const { ejectionMs, maxEjectionMs, rampMs } = this.options
+    if (nowMs - this.lastEjectedAtMs > EJECTION_RESET_FACTOR * maxEjectionMs) this.ejections = 0
+    const durationMs = Math.min(maxEjectionMs, ejectionMs * 2 ** this.ejections)
     this.ejections++
-    this.brokenInRow = 0
+    this.consecutiveFailures = 0
     this.lastEjectedAtMs = nowMs
     this.ejectedUntilMs = nowMs + durationMs
     this.rampFromMs = rampMs > 0 ? this.ejectedUntilMs : -Infinity
@@ -64,10 +64,10 @@
   }
 
   /** Share of its usual traffic that a new or returning target may take, from `rampStart` to 1. */
-  ramp (nowMs: number): number {
-    const { rampMs, rampStart } = this.options
+  trafficShare (nowMs: number): number {
+    const { rampMs, rampStartShare } = this.options
     const passedMs = nowMs - this.rampFromMs
     if (passedMs >= rampMs) return 1
-    return Math.max(rampStart, Math.min(1, rampStart + (1 - rampStart) * passedMs / rampMs))
+    return Math.max(rampStartShare, Math.min(1, rampStartShare + (1 - rampStartShare) * passedMs / rampMs))
   }
 }
--- a/packages/dotterelspur/src/request/routing/TargetRecord.ts
+++ b/packages/dotterelspur/src/request/routing/TargetRecord.ts
@@ -10,8 +10,8 @@
   readonly health: TargetHealth
   readonly prefixes: PrefixIndex
 
-  constructor (public target: RouteTarget, options: RoutingOptions, nowMs: number, ramps: boolean) {
-    this.health = new TargetHealth(options, nowMs, ramps)
+  constructor (public target: RouteTarget, options: RoutingOptions, nowMs: number, startsWithRamp: boolean) {
+    this.health = new TargetHealth(options, nowMs, startsWithRamp)
     this.prefixes = new PrefixIndex(options)
   }
 
@@ -19,14 +19,14 @@
    * Requests of other nodes at the target when its load was read, as far as the report tells: what it reported
    * less what this node had there at the time.
    */
-  othersReported (): number {
+  reportedOtherRequests (): number {
     const { running, waiting } = this.target.load
-    return Math.max(0, running + waiting - this.inFlight.countAt(this.readAtMs()))
+    return Math.max(0, running + waiting - this.inFlight.countAt(this.loadReadAtMs()))
   }
 
   /** When the load was read, on this node's clock. */
-  readAtMs (): number {
-    return this.target.loadAskedAtMs - this.target.load.ageMs
+  loadReadAtMs (): number {
+    return this.target.loadRequestedAtMs - this.target.load.ageMs
   }
 
   capacity (): number {
--- a/packages/dotterelspur/src/request/routing/candidates.ts
+++ b/packages/dotterelspur/src/request/routing/candidates.ts
@@ -21,20 +21,20 @@
   query: RouteQuery,
   nowMs: number,
   options: RoutingOptions,
-  rests: EndpointRests
+  backoffs: EndpointRests
 ): Result<Candidates, RouteRefusal> {
-  const able = records.filter((record) => canServe(record.target, query))
-  if (able.length === 0) return refuse(RouteRefusalKind.NoReplica, 'no replica that fits', options)
-  const fresh = able.filter((record) => record.target.evidenceExpiresAtMs > nowMs)
+  const matching = records.filter((record) => canServe(record.target, query))
+  if (matching.length === 0) return refuse(RouteRefusalKind.NoReplica, 'no replica that fits', options)
+  const fresh = matching.filter((record) => record.target.evidenceExpiresAtMs > nowMs)
   if (fresh.length === 0) return refuse(RouteRefusalKind.NoFreshEvidence, 'no replica is known to be complete', options)
   const staying = fresh.filter((record) => !record.target.leaving)
   if (staying.length === 0) return refuse(RouteRefusalKind.AllLeaving, 'every replica is leaving', options)
   const untried = staying.filter((record) => !query.excluded.has(record.target.id))
   if (untried.length === 0) return refuse(RouteRefusalKind.AllTried, 'every replica was tried', options)
-  const awake = untried.filter((record) => rests.waitMs(record.target.id, nowMs) === 0)
-  if (awake.length === 0) return failed({ kind: RouteRefusalKind.AllResting, message: 'every replica has asked for rest', retryAfterMs: Math.min(...untried.map((record) => rests.waitMs(record.target.id, nowMs))) })
-  const sound = awake.filter((record) => !record.health.isEjected(nowMs))
-  return success(byRegion(sound.length > 0 ? sound : awake, options))
+  const available = untried.filter((record) => backoffs.waitMs(record.target.id, nowMs) === 0)
+  if (available.length === 0) return failed({ kind: RouteRefusalKind.AllBackingOff, message: 'every replica has asked for rest', retryAfterMs: Math.min(...untried.map((record) => backoffs.waitMs(record.target.id, nowMs))) })
+  const healthy = available.filter((record) => !record.health.isEjected(nowMs))
+  return success(splitByRegion(healthy.length > 0 ? healthy : available, options))
 }
 
 function canServe (target: RouteTarget, query: RouteQuery): boolean {
@@ -44,7 +44,7 @@
   return query.adapter === null || target.adapters.includes(query.adapter)
 }
 
-function byRegion (records: readonly TargetRecord[], options: RoutingOptions): Candidates {
+function splitByRegion (records: readonly TargetRecord[], options: RoutingOptions): Candidates {
   const isLocal = (record: TargetRecord): boolean => record.target.region === options.region
   if (records.every(isLocal)) return { local: records, remote: [] }
   return { local: records.filter(isLocal), remote: records.filter((record) => !isLocal(record)) }
--- a/packages/dotterelspur/src/request/routing/choose.ts
+++ b/packages/dotterelspur/src/request/routing/choose.ts
@@ -11,7 +11,7 @@
   readonly cause: RouteCause
 }
 
-interface Option extends Choice {
+interface CostedChoice extends Choice {
   readonly cost: number
 }
 
@@ -22,25 +22,25 @@
  */
 export function chooseTarget (candidates: Candidates, context: ChoiceContext): Choice {
   const { options } = context
-  if (candidates.local.length === 0) return cheapest(drawOptions(candidates.remote, context))
-  const local = cheapest(drawOptions(candidates.local, context))
-  if (local.cost <= options.spillCost || candidates.remote.length === 0) return local
-  return cheapest([local, ...drawOptions(candidates.remote, context)])
+  if (candidates.local.length === 0) return cheapest(drawChoices(candidates.remote, context))
+  const local = cheapest(drawChoices(candidates.local, context))
+  if (local.cost <= options.spilloverThreshold || candidates.remote.length === 0) return local
+  return cheapest([local, ...drawChoices(candidates.remote, context)])
 }
 
-function drawOptions (records: readonly TargetRecord[], context: ChoiceContext): Option[] {
-  if (records.length === 1) return [priced(records[0]!, RouteCause.OnlyCandidate, context)]
+function drawChoices (records: readonly TargetRecord[], context: ChoiceContext): CostedChoice[] {
+  if (records.length === 1) return [withCost(records[0]!, RouteCause.OnlyCandidate, context)]
   const drawn = [drawRamped(records, context), drawRamped(records, context)]
-    .map((record) => priced(record, RouteCause.LessLoaded, context))
+    .map((record) => withCost(record, RouteCause.LessLoaded, context))
   const holders = prefixHolders(records, context)
-    .map((record) => priced(record, RouteCause.PrefixAffinity, context))
+    .map((record) => withCost(record, RouteCause.PrefixAffinity, context))
   return [...holders, ...drawn]
 }
 
 /** One at random; a target that ramps up is passed over in proportion to what it may not take yet. */
 function drawRamped (records: readonly TargetRecord[], { random, nowMs }: ChoiceContext): TargetRecord {
   const first = pick(random, records)!
-  if (random.next() < first.health.ramp(nowMs)) return first
+  if (random.next() < first.health.trafficShare(nowMs)) return first
   return pick(random, records)!
 }
 
@@ -48,14 +48,14 @@
   const { query, lane, options, nowMs, random } = context
   if (query.kind !== TargetKind.Group || query.prefixHashes.length === 0) return []
   const boundUtilisation = options.loadBound * lane.estimator.meanUtilisation(nowMs) + 1 / records[0]!.capacity()
-  const roomy = records.filter((record) => !isReportedFull(record))
-  const attracting = roomy.length * 2 < records.length ? records : roomy
-  const eligible = new Set(attracting)
-  const key = query.prefixHashes[Math.min(query.prefixHashes.length, options.affinityBlocks) - 1]!
+  const notFull = records.filter((record) => !isReportedFull(record))
+  const affinityTargets = notFull.length * 2 < records.length ? records : notFull
+  const eligible = new Set(affinityTargets)
+  const key = query.prefixHashes[Math.min(query.prefixHashes.length, options.maxAffinityBlocks) - 1]!
   const onRing = lane.ring.find(key, (record) => eligible.has(record) &&
     lane.estimator.utilisation(record, nowMs) <= boundUtilisation &&
-    random.next() < record.health.ramp(nowMs))
-  const holder = bestHolder(attracting, query.prefixHashes, context)
+    random.next() < record.health.trafficShare(nowMs))
+  const holder = bestHolder(affinityTargets, query.prefixHashes, context)
   return [onRing, holder].filter((record) => record !== undefined)
 }
 
@@ -73,12 +73,12 @@
   return best
 }
 
-function priced (record: TargetRecord, cause: RouteCause, context: ChoiceContext): Option {
+function withCost (record: TargetRecord, cause: RouteCause, context: ChoiceContext): CostedChoice {
   return { record, cause, cost: targetCost(record, context) }
 }
 
-function cheapest (options: readonly Option[]): Option {
-  return options.reduce((best, option) => option.cost < best.cost ? option : best)
+function cheapest (choices: readonly CostedChoice[]): CostedChoice {
+  return choices.reduce((best, choice) => choice.cost < best.cost ? choice : best)
 }
 
 /**
--- a/packages/dotterelspur/src/request/routing/cost.ts
+++ b/packages/dotterelspur/src/request/routing/cost.ts
@@ -6,12 +6,12 @@
 
 /** What it costs to send the request to a target, in shares of its capacity; see RoutingOptions. */
 export function targetCost (record: TargetRecord, context: ChoiceContext): number {
-  return loadCost(record, context) + prefixCost(record, context) + placeCost(record, context) + versionCost(record, context) +
-    ERROR_COST * record.health.errors
+  return loadCost(record, context) + prefixCost(record, context) + localityCost(record, context) + versionCost(record, context) +
+    ERROR_COST * record.health.errorRate
 }
 
 function loadCost (record: TargetRecord, { lane, options, nowMs }: ChoiceContext): number {
-  const room = record.health.ramp(nowMs) / lane.estimator.slowness(record, nowMs)
+  const room = record.health.trafficShare(nowMs) / lane.estimator.slowness(record, nowMs)
   const utilisation = lane.estimator.utilisation(record, nowMs) / room
   return utilisation + options.overflowCost * Math.max(0, utilisation - 1)
 }
@@ -23,7 +23,7 @@
   return options.prefixMissCost * missedTokens / options.referencePromptTokens
 }
 
-function placeCost ({ target }: TargetRecord, { options }: ChoiceContext): number {
+function localityCost ({ target }: TargetRecord, { options }: ChoiceContext): number {
   if (target.region !== options.region) return options.regionCost
   return target.failureDomain === options.failureDomain ? 0 : options.failureDomainCost
 }
