--- a/packages/dotterelspur/src/__tests__/unit/Router.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Router.test.ts
@@ -34,7 +34,7 @@
     { name: 'another model only', targets: [createTarget('a', { model: 'draft' })], kind: RouteRefusalKind.NoReplica },
     { name: 'adapter not loaded', targets: [createTarget('a')], query: { adapter: 'tax' }, kind: RouteRefusalKind.NoReplica },
     { name: 'pinned version not served', targets: [createTarget('a', { version: 'v2' })], query: { versionPinned: true }, kind: RouteRefusalKind.NoReplica },
-    { name: 'evidence expires at this very moment', targets: [createTarget('a')], nowMs: 2_500, kind: RouteRefusalKind.NoFreshEvidence },
+    { name: 'evidence expires exactly now', targets: [createTarget('a')], nowMs: 2_500, kind: RouteRefusalKind.NoFreshEvidence },
     { name: 'all leaving', targets: [createTarget('a', { leaving: true })], kind: RouteRefusalKind.AllLeaving },
     { name: 'all tried', targets: [createTarget('a')], query: { excluded: new Set([groupTargetId('a', 1)]) }, kind: RouteRefusalKind.AllTried }
   ]
@@ -49,7 +49,7 @@
 })
 
 describe('Router', () => {
-  it('counts its own attempts as load at once', () => {
+  it('counts its own attempts as load immediately', () => {
     const { router, random } = createFixture([createTarget('a'), createTarget('b')])
     const busy = createTarget('a')
     for (let index = 0; index < 20; index++) router.begin(busy, 0)
@@ -61,7 +61,7 @@
     expect(toBusy).to.be.lessThan(40)
   })
 
-  it('sends nothing to a target before the time that its refusal named, and one attempt then', () => {
+  it('sends no request to a target until its back-off has passed, and then a single probe request', () => {
     const { router, random } = createFixture([createTarget('a', { evidenceExpiresAtMs: 10_000 })])
     const refused = router.begin(createTarget('a'), 0)
     router.recordBackoff(refused, 3_000, 0)
@@ -76,7 +76,7 @@
     expect(router.decide(createQuery(), 3_002, random).ok).to.equal(true)
   })
 
-  it('forgets an attempt when it ends', () => {
+  it('no longer counts an attempt after it has ended', () => {
     const { router } = createFixture([createTarget('a')])
     const attempt = router.begin(createTarget('a'), 0)
     expect(router.inFlightAt(attempt.targetId)).to.equal(1)
--- a/packages/dotterelspur/src/__tests__/unit/RouterProperties.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/RouterProperties.test.ts
@@ -75,7 +75,7 @@
     waitMs: fc.nat(900)
   })
 
-  it('never chooses a target that has expired, leaves, was tried or does not fit, and refuses only when there is none', () => {
+  it('never chooses a target that is expired, leaving, already tried or unsuitable, and refuses only when no other exists', () => {
     fc.assert(fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       const { router, random } = createFixture([])
       const attempts: RouteAttempt[] = []
@@ -105,11 +105,10 @@
   })
 })
 
-describe('Router and bad targets', () => {
-  it('ejects what breaks again and again, lets it back by a ramp, and no further than its share', () => {
-    // Symptom: a group that is present by its probes breaks every stream.
-    // Sequence: three broken attempts, then choices over time.
-    // Cause: probes and streams can fail apart; only the attempts show it.
+describe('Router and unhealthy targets', () => {
+  it('ejects a target after consecutive broken attempts and ramps its traffic up afterwards', () => {
+    // Failure: a group whose probes succeed breaks every stream and keeps receiving requests. Probes and streams
+    // can fail independently, so only the attempts show it.
     const targets = GROUPS.map((group) => createTarget(group))
     const { router, countChoices, failAttempts } = createFixture(targets)
     failAttempts(targets[0]!, 3, 0)
@@ -119,7 +118,7 @@
     expect(atReturn).to.be.lessThan(100)
   })
 
-  it('never ejects more than a share: when most break, the cause is likely elsewhere', () => {
+  it('ejects at most the maximum share of the targets when most of them break', () => {
     const targets = GROUPS.map((group) => createTarget(group))
     const { router, failAttempts, countChoices } = createFixture(targets)
     for (const target of targets) failAttempts(target, 5, 0)
@@ -127,7 +126,7 @@
     expect(countChoices(200, 1).get(null)).to.equal(undefined)
   })
 
-  it('sends a straggler less, by its pace', () => {
+  it('sends fewer requests to a straggler', () => {
     const targets = GROUPS.slice(0, 4).map((group) => createTarget(group, { load: { running: 4, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 } }))
     const { router, countChoices } = createFixture(targets)
     for (const target of targets) {
@@ -138,7 +137,7 @@
     expect(countChoices(400, 6_100).get('a') ?? 0).to.be.lessThan(40)
   })
 
-  it('gives a group that joins later only part of its share at first', () => {
+  it('ramps up the traffic of a group that joins later', () => {
     const targets = GROUPS.slice(0, 3).map((group) => createTarget(group, { load: { running: 5, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 } }))
     const { router, countChoices } = createFixture(targets)
     router.replaceTargets([...targets, createTarget('new')], 1_000)
@@ -148,7 +147,7 @@
 })
 
 describe('Router and prefixes, versions, regions, services', () => {
-  it('sends equal prefixes to one group, from every node, as long as it has room', () => {
+  it('sends equal prefixes from every node to the same group while that has capacity', () => {
     const targets = GROUPS.map((group) => createTarget(group))
     const chosen = [1, 2, 3].map(() => createFixture(targets).choose(0, { prefixHashes: [11, 12, 13], promptTokens: 800 }))
     expect(new Set(chosen).size).to.equal(1)
@@ -156,10 +155,10 @@
     expect(createFixture(full).choose(0, { prefixHashes: [11, 12, 13], promptTokens: 800 })).to.not.equal(chosen[0])
   })
 
-  it('draws no prefix to a group that was reported full, however old the report', () => {
-    // Symptom: a few groups keep a queue while the others have room; worse with more nodes.
-    // Sequence: prefixes in demand, reports too old to be trusted, every node sends them to their holder.
-    // Cause: the estimate fades to the mean and hides what lasts.
+  it('gives no prefix affinity to a group that was reported full, however old the report', () => {
+    // Failure: a few groups keep a queue while others have capacity; worse with more nodes. It happens with
+    // frequently requested prefixes and old load reports: the estimate moves towards the mean as a report ages, so
+    // every node keeps sending those prefixes to the group that has them cached.
     const targets = GROUPS.map((group) => createTarget(group))
     const query = { prefixHashes: [31, 32], promptTokens: 512 }
     const { router, choose, countChoices } = createFixture(targets)
@@ -169,7 +168,7 @@
     expect(countChoices(200, 0, query).get(home) ?? 0).to.be.lessThan(60)
   })
 
-  it('follows cache events through gaps and repeats', () => {
+  it('applies cache events despite gaps and duplicates', () => {
     const targets = GROUPS.map((group) => createTarget(group))
     const { router, random } = createFixture(targets)
     const query = createQuery({ prefixHashes: [21, 22], promptTokens: 512 })
@@ -195,7 +194,7 @@
     expect(seen).to.not.include(null)
   })
 
-  it('stays in its region until that is overloaded or empty', () => {
+  it('stays in its region until that is overloaded or has no target', () => {
     const near = createTarget('near')
     const far = createTarget('far', { region: 'atlanta', failureDomain: 'atlanta-1' })
     expect(createFixture([near, far]).countChoices(100, 0).get('far')).to.equal(undefined)
@@ -203,7 +202,7 @@
     expect(createFixture([{ ...near, leaving: true }, far]).choose(0)).to.equal('far')
   })
 
-  it('prefers its failure domain where loads are equal, and not where they differ', () => {
+  it('prefers its failure domain at equal load, but not over a less loaded target', () => {
     const near = createTarget('near')
     const far = createTarget('far', { failureDomain: 'perth-2' })
     const equal = createFixture([near, far]).countChoices(400, 0)
@@ -212,7 +211,7 @@
     expect(busy.get('far')).to.be.greaterThan(busy.get('near')!)
   })
 
-  it('spreads a service over its workers by its own requests', () => {
+  it('balances a service over its workers by the node\'s own requests', () => {
     const workers = ['w1', 'w2', 'w3'].map(createWorker)
     const router = new Router(createRoutingOptions({ region: 'perth', failureDomain: 'perth-1' }))
     const random = createRandom(SEED)
--- a/packages/dotterelspur/src/__tests__/unit/routingFixture.ts
+++ b/packages/dotterelspur/src/__tests__/unit/routingFixture.ts
@@ -1,6 +1,6 @@
 import { PriorityClass, TargetKind, type GroupQuery } from '../../index.js'
 
-/** A query that any group of the model can serve, changed by `overrides`. */
+/** A query that any group of the model can serve, with `overrides` applied. */
 export function createQuery (overrides: Partial<GroupQuery> = {}): GroupQuery {
   return {
     kind: TargetKind.Group,
--- a/packages/dotterelspur/src/request/routing/Attempt.ts
+++ b/packages/dotterelspur/src/request/routing/Attempt.ts
@@ -1,24 +1,24 @@
 import type { TargetId } from './RouteTarget.js'
 
-/** How one attempt at a target ended, as far as the target's standing is concerned. */
+/** How one attempt at a target ended; updates the health record of the target. */
 export enum AttemptResult {
-  /** A whole answer. */
+  /** The complete response arrived. */
   Completed = 'whole',
-  /** The endpoint answered that the request itself failed; says nothing against the endpoint. */
+  /** The endpoint reported that the request failed. Not counted as a fault of the endpoint. */
   Failed = 'failed',
-  /** The endpoint refused: full, leaving, or at another formation. */
+  /** The endpoint refused the request: no capacity, leaving, or at another formation. */
   Refused = 'refused',
-  /** No connection, a broken stream, a malformed answer or silence. */
+  /** Connection failure, broken or silent stream, or malformed response. */
   Broken = 'broken',
-  /** The caller or a faster hedge ended it. */
+  /** Ended by the caller, or because a hedged attempt finished first. */
   Cancelled = 'cancelled'
 }
 
-/** One attempt that is under way; the router hands it out and takes it back when it ends. */
+/** An attempt in flight: returned by `Router.begin` and passed to `Router.end`. */
 export interface RouteAttempt {
   readonly targetId: TargetId
   readonly startedAtMs: number
-  /** Null until the first token, or a service's response. */
+  /** Arrival of the first token, or of a service's response; null until then. */
   firstTokenAtMs: number | null
   ended: boolean
 }
--- a/packages/dotterelspur/src/request/routing/ChoiceContext.ts
+++ b/packages/dotterelspur/src/request/routing/ChoiceContext.ts
@@ -3,7 +3,7 @@
 import type { RouteQuery } from './RouteQuery.js'
 import type { RoutingOptions } from './RoutingOptions.js'
 
-/** All that one choice depends on. */
+/** The inputs of one routing choice, besides the candidates. */
 export interface ChoiceContext {
   readonly lane: Lane
   readonly query: RouteQuery
--- a/packages/dotterelspur/src/request/routing/HashRing.ts
+++ b/packages/dotterelspur/src/request/routing/HashRing.ts
@@ -10,9 +10,9 @@
 const POINTS_PER_TARGET = 40
 
 /**
- * A consistent hash ring over the targets of one lane. Every node that knows the same targets has the same ring,
- * so prompts with the same prefix meet at the same group without any message between nodes; a target that goes
- * moves only its own keys.
+ * Consistent hash ring over the targets of one lane. Nodes with the same set of targets build the same ring, so
+ * they route prompts with the same prefix to the same group without exchanging messages. Removing a target remaps
+ * only the keys of that target.
  */
 export class HashRing {
   private readonly points: readonly Point[]
@@ -23,7 +23,7 @@
       .sort((left, right) => left.position - right.position)
   }
 
-  /** The first target from the key's place on that `accepts` takes; undefined when none does. */
+  /** Walks the ring from the key's position and returns the first target that `accepts`; undefined if none is accepted. */
   find (key: number, accepts: (record: TargetRecord) => boolean): TargetRecord | undefined {
     const start = this.lowerBound(key)
     const rejected = new Set<TargetRecord>()
@@ -53,7 +53,7 @@
   return Array.from({ length: POINTS_PER_TARGET }, (_, index) => ({ position: hashText(`${name}#${index}`), record }))
 }
 
-/** The name without formation or incarnation: a target that comes back takes its old place. */
+/** Excludes the formation and the incarnation, so that a restarted target returns to its former ring positions. */
 function stableName (target: RouteTarget): string {
   return target.kind === TargetKind.Group ? target.group : target.vm
 }
--- a/packages/dotterelspur/src/request/routing/InFlightHistory.ts
+++ b/packages/dotterelspur/src/request/routing/InFlightHistory.ts
@@ -7,8 +7,9 @@
 const RETENTION_MS = 10_000
 
 /**
- * How many attempts of this node were under way at a target, now and a while ago. A load report includes this
- * node's own requests of the time of its reading; they are taken out of it, since the exact count is known here.
+ * Number of this node's attempts in flight at a target, now and over the last 10 s. A load report of the target
+ * includes this node's own requests at the time it was measured; TargetRecord subtracts them, because this node
+ * counts its own requests exactly.
  */
 export class InFlightHistory {
   private samples: Sample[] = []
@@ -28,7 +29,7 @@
     this.prune(nowMs)
   }
 
-  /** The count at a time in the past, exact to a quarter of a second. */
+  /** The count at a time in the past, with a resolution of `BUCKET_MS`. */
   countAt (atMs: number): number {
     for (let index = this.samples.length - 1; index >= 0; index--) {
       const sample = this.samples[index]!
--- a/packages/dotterelspur/src/request/routing/Lane.ts
+++ b/packages/dotterelspur/src/request/routing/Lane.ts
@@ -4,14 +4,14 @@
 import type { TargetRecord } from './TargetRecord.js'
 
 /**
- * All targets of one model, or of one service, with what is computed over them together. Replaced whenever the
- * set of targets changes; the records in it go on.
+ * All targets of one model or of one service, with their shared hash ring and load estimator. A lane is replaced
+ * when its set of targets changes; the target records are reused in the new lane.
  */
 export class Lane {
   readonly estimator: LoadEstimator
   private cachedRing: HashRing | null = null
 
-  /** `before` is the lane that this one replaces: what was learnt of requests as such goes on. */
+  /** `previous` is the lane that this one replaces; its mean request duration is carried over. */
   constructor (readonly records: readonly TargetRecord[], private readonly options: RoutingOptions, previous?: Lane) {
     this.estimator = new LoadEstimator(records, options, previous?.estimator.meanDurationMs)
   }
@@ -21,7 +21,10 @@
     return this.cachedRing
   }
 
-  /** Ejects the target unless that would leave too few: with many bad ones at once the cause is likely elsewhere. */
+  /**
+   * Ejects the target unless the maximum share of the lane is ejected already: when many targets fail at once, the
+   * cause is probably not the targets themselves.
+   */
   ejectIfAllowed (record: TargetRecord, nowMs: number): void {
     const usable = this.records.filter((one) => !one.target.leaving && one.target.evidenceExpiresAtMs > nowMs)
     const ejected = usable.filter((one) => one.health.isEjected(nowMs)).length
--- a/packages/dotterelspur/src/request/routing/LoadEstimator.ts
+++ b/packages/dotterelspur/src/request/routing/LoadEstimator.ts
@@ -4,46 +4,47 @@
 const MEANS_CACHE_MS = 100
 const DURATION_SMOOTHING = 0.02
 
-/** What an estimate compares a target with; computed over the lane now and then. */
+/** Means over the fresh targets of a lane, cached for `MEANS_CACHE_MS`. */
 interface LaneMeans {
   readonly computedAtMs: number
-  /** Mean share of capacity that other nodes hold. */
+  /** Mean share of capacity in use by other nodes' requests. */
   readonly othersShare: number
-  /** A report of this age counts half; see trustMs below. */
+  /** Age at which a load report has half its weight; see LoadEstimator. */
   readonly halfWeightAgeMs: number
-  /** Mean utilisation, this node's own requests included. */
+  /** Mean utilisation, including this node's own requests. */
   readonly utilisation: number
-  /** Median of the targets' pace; null when none is known. */
+  /** Median pace of the targets; null when no target has a measured pace. */
   readonly medianPaceMs: number | null
 }
 
 /**
- * Estimates how full each target is now. Reports are late and the same for every node: taken at face value they
- * send all nodes to the same target until the next report. So this node's own requests are counted exactly, and
- * what is reported of the others' fades to the mean of the lane as the report ages.
+ * Estimates the current utilisation of each target. Load reports arrive late and are the same for every node; used
+ * unchanged, they would send the requests of all nodes to the same target until the next report. The estimate
+ * therefore counts this node's own requests exactly, and moves the reported load of the other nodes towards the
+ * mean of the lane as the report ages.
  *
- * How fast it fades decides between order and oscillation: all nodes act on the same report until the next one,
- * and what a node did wrong shows in its own count at once, in the others' only later. A node may therefore steer
- * by a report only as far as its own requests can correct it: a report as old as (its share of the load) x (how
- * long a request runs) counts half. Trusted longer, the groups fill and empty in turn, and p95 first token grows
- * with the number of nodes.
+ * All nodes act on the same report until the next one. A node sees the effect of its own routing at once and that
+ * of the other nodes only in a later report, so a report that keeps its weight for too long makes the groups fill
+ * up and empty in turn, and p95 time to first token grows with the number of nodes. A report has half its weight
+ * at the age of (this node's share of the load) x (mean request duration), the time within which this node's own
+ * requests can correct it.
  */
 export class LoadEstimator {
   private means: LaneMeans | null = null
 
   constructor (private readonly records: readonly TargetRecord[], private readonly options: Pick<RoutingOptions, 'initialRequestDurationMs' | 'stragglerRatio'>, private averageDurationMs = options.initialRequestDurationMs) {}
 
-  /** Mean time that an attempt of this node ran. */
+  /** Exponential moving average of the duration of this node's completed attempts. */
   get meanDurationMs (): number {
     return this.averageDurationMs
   }
 
-  /** An attempt of this node ran for this long. */
+  /** Records the duration of a completed attempt of this node. */
   recordDuration (durationMs: number): void {
     this.averageDurationMs += DURATION_SMOOTHING * (durationMs - this.averageDurationMs)
   }
 
-  /** Requests at the target as a share of what it can run side by side; above 1 some wait. */
+  /** Estimated requests at the target divided by its concurrent capacity; above 1, some are waiting there. */
   utilisation (record: TargetRecord, nowMs: number): number {
     const { othersShare, halfWeightAgeMs } = this.laneMeans(nowMs)
     return this.estimate(record, othersShare, halfWeightAgeMs, nowMs)
@@ -53,7 +54,7 @@
     return this.laneMeans(nowMs).utilisation
   }
 
-  /** How many times slower than the median the target is; 1 for those that are not stragglers. */
+  /** Ratio of the target's pace to the median pace; 1 for targets below the straggler ratio. */
   slowness (record: TargetRecord, nowMs: number): number {
     const { medianPaceMs } = this.laneMeans(nowMs)
     const paceMs = record.health.pace
--- a/packages/dotterelspur/src/request/routing/PrefixIndex.ts
+++ b/packages/dotterelspur/src/request/routing/PrefixIndex.ts
@@ -2,20 +2,20 @@
 import type { RoutingOptions } from './RoutingOptions.js'
 
 /**
- * Which prompt prefixes one group is expected to hold: those that this node sent there and those that its cache
- * events named. Events come late and with gaps, so an entry is only an expectation: it ages out, and a wrong
- * one costs a recomputed prefix and nothing else.
+ * Prompt prefixes that one group is expected to have in its cache: those of requests that this node sent to it and
+ * those named by its cache events. Cache events arrive late and with gaps, so entries may be wrong. They expire,
+ * and a wrong entry only costs recomputing the prefix.
  */
 export class PrefixIndex {
-  /** Hash to the time it was last used or reported; in order of that time. */
+  /** Prefix hash to the time of its last use or cache event, oldest first. */
   private readonly lastSeenAtMs = new Map<number, number>()
   private nextSequence = 0
-  /** Cache events that never arrived, for the counters. */
+  /** Number of cache events missing from the sequence so far; exported as a counter. */
   lostEvents = 0
 
   constructor (private readonly options: RoutingOptions) {}
 
-  /** A request with these prefixes was sent there. */
+  /** Records that this node sent a request with these prefixes to the group. */
   recordRequest (prefixHashes: readonly number[], nowMs: number): void {
     for (const hash of prefixHashes) this.store(hash, nowMs)
   }
@@ -31,7 +31,7 @@
     this.nextSequence = Math.max(this.nextSequence, page.nextSequence)
   }
 
-  /** How many leading blocks of a prompt the group is expected to hold. */
+  /** Number of leading blocks of a prompt that the group is expected to have cached. */
   matchedBlocks (prefixHashes: readonly number[], nowMs: number): number {
     const oldestMs = nowMs - this.options.prefixTtlMs
     for (let blocks = prefixHashes.length; blocks > 0; blocks--) {
--- a/packages/dotterelspur/src/request/routing/RouteQuery.ts
+++ b/packages/dotterelspur/src/request/routing/RouteQuery.ts
@@ -3,31 +3,31 @@
 import type { GroupTarget, RouteTarget, ServiceTarget, TargetId, TargetKind } from './RouteTarget.js'
 
 interface QueryCommon {
-  /** Targets that this request has tried already; never chosen again for it. */
+  /** Targets already tried for this request; they are not chosen again. */
   readonly excluded: ReadonlySet<TargetId>
   readonly priority: PriorityClass
   readonly idempotent: boolean
 }
 
-/** Asks for a group that can answer a model request. */
+/** Query for a group that can serve a model request. */
 export interface GroupQuery extends QueryCommon {
   readonly kind: TargetKind.Group
   readonly model: ModelId
-  /** The version that the team's settings want now. */
+  /** The version selected by the team's settings. */
   readonly version: ModelVersion
   /**
-   * True when only `version` will do: a caller named it, or an answer was begun on it and goes on elsewhere.
-   * Otherwise other versions of the model take the request while a switch is under way.
+   * True when only `version` is acceptable: the caller named it, or the answer is being continued after an attempt
+   * at that version. Otherwise groups at other versions are candidates too, so that a version switch leaves no gap.
    */
   readonly versionPinned: boolean
   readonly adapter: AdapterId | null
-  /** Hash of each prefix of the prompt, one per full block, shortest first; empty when unknown. */
+  /** Hash of each whole-block prefix of the prompt, shortest first; empty when unknown. */
   readonly prefixHashes: readonly number[]
-  /** Estimated prompt length, for the load that this request adds; 0 when unknown. */
+  /** Estimated prompt length, used for the cost of a prefix cache miss; 0 when unknown. */
   readonly promptTokens: number
 }
 
-/** Asks for a worker of a plain service. */
+/** Query for a worker of a plain service. */
 export interface ServiceQuery extends QueryCommon {
   readonly kind: TargetKind.Service
   readonly service: ServiceId
@@ -36,16 +36,16 @@
 export type RouteQuery = GroupQuery | ServiceQuery
 
 export enum RouteCause {
-  /** The group holds, or by consistent hashing should hold, the prompt's prefix. */
+  /** The group is expected to have the prompt's prefix cached, or is its target on the hash ring. */
   PrefixAffinity = 'prefix-affinity',
-  /** The less loaded of two random choices. */
+  /** The cheaper of two randomly drawn targets. */
   LessLoaded = 'less-loaded',
   OnlyCandidate = 'only-candidate'
 }
 
 interface DecisionCommon {
   readonly cause: RouteCause
-  /** How many targets were eligible. */
+  /** Number of eligible targets. */
   readonly candidates: number
 }
 
@@ -53,17 +53,17 @@
 export interface ServiceDecision extends DecisionCommon { readonly target: ServiceTarget }
 export interface RouteDecision extends DecisionCommon { readonly target: RouteTarget }
 
-/** Why there is no target; each is a truthful not-run as long as no attempt was made. */
+/** Why no target was chosen. As long as no attempt was made, the request is proven not to have run. */
 export enum RouteRefusalKind {
-  /** No target known carries this model, adapter, version or service. */
+  /** No target serves this model, adapter, version or service. */
   NoReplica = 'no-replica',
-  /** There are targets, but the evidence for each has expired. */
+  /** The evidence of every matching target has expired. */
   NoFreshEvidence = 'no-fresh-evidence',
-  /** All that remain are leaving. */
+  /** Every remaining target is leaving. */
   AllLeaving = 'all-leaving',
-  /** All that remain were tried by this request. */
+  /** Every remaining target was already tried for this request. */
   AllTried = 'all-tried',
-  /** All that remain have refused requests of this node and said when to come back. */
+  /** Every remaining target has refused a request of this node with a Retry-After that has not yet passed. */
   AllBackingOff = 'all-resting'
 }
 
--- a/packages/dotterelspur/src/request/routing/RouteTarget.ts
+++ b/packages/dotterelspur/src/request/routing/RouteTarget.ts
@@ -1,7 +1,7 @@
 import type { AdapterId, FailureDomainId, GroupId, ModelId, ModelVersion, RegionId, ServiceId, VmId } from '../../process/ids.js'
 import type { LoadReport } from '../../process/Presence.js'
 
-/** Names one incarnation of a target: a group at a formation, or a service worker at an incarnation. */
+/** Identifies one incarnation of a target: a group at a formation, or a service worker at an incarnation. */
 export type TargetId = string & { readonly __flavor?: 'TargetId' }
 
 export enum TargetKind {
@@ -11,20 +11,20 @@
 
 interface TargetBase {
   readonly id: TargetId
-  /** Base URL that takes the request: the group's leader, or the worker itself. */
+  /** Base URL for requests: that of the group's leader, or of the worker itself. */
   readonly address: string
   readonly region: RegionId
   readonly failureDomain: FailureDomainId
-  /** On this node's monotonic clock. From then on, nothing proves that the target is whole. */
+  /** On this node's monotonic clock. From then on, the target is no longer known to be complete and gets no requests. */
   readonly evidenceExpiresAtMs: number
-  /** The target said so, the platform lists it as leaving, or an operator drains it: no new work. */
+  /** Takes no new requests: the target announced it, the platform lists it as leaving, or an operator drains it. */
   readonly leaving: boolean
   readonly load: LoadReport
-  /** When `load` was asked for, on this node's monotonic clock; `load.ageMs` comes on top. */
+  /** When `load` was requested, on this node's monotonic clock; it was measured `load.ageMs` before that. */
   readonly loadRequestedAtMs: number
 }
 
-/** A complete group, as dispatch sees it. */
+/** A complete group that requests can be dispatched to. */
 export interface GroupTarget extends TargetBase {
   readonly kind: TargetKind.Group
   readonly group: GroupId
@@ -44,7 +44,7 @@
 
 export type RouteTarget = GroupTarget | ServiceTarget
 
-/** A group that changed its formation is another target: what was in flight or learnt at the old one is gone. */
+/** A group at a new formation is a new target: counts, health and cached prefixes of the old formation don't apply to it. */
 export function groupTargetId (group: GroupId, formation: number): TargetId {
   return `${group}@${formation}`
 }
--- a/packages/dotterelspur/src/request/routing/Router.ts
+++ b/packages/dotterelspur/src/request/routing/Router.ts
@@ -12,15 +12,15 @@
 import type { RoutingOptions } from './RoutingOptions.js'
 import { TargetRecord } from './TargetRecord.js'
 
-/** Tokens below which a finished stream says nothing about the target's pace. */
+/** Streams with fewer tokens are too short to measure the target's pace. */
 const MIN_PACE_TOKENS = 8
 
 /**
- * Chooses where a request runs. One per process.
+ * Chooses the target of each request. One instance per process.
  *
- * The decisions are deterministic functions of what was told to it, the time and the random source given to each
- * call. The state changes in place: a copy per request would cost more than the decision at the rates of a node.
- * What is handed out (targets, decisions) is never changed afterwards.
+ * Decisions are deterministic: they depend only on the calls made so far and on the time and the random source
+ * passed to each call. State is updated in place, since copying it per request would cost more than the decision
+ * itself. Returned targets and decisions are never modified.
  */
 export class Router {
   private readonly records = new Map<TargetId, TargetRecord>()
@@ -30,7 +30,7 @@
 
   constructor (private readonly options: RoutingOptions) {}
 
-  /** Replaces what is known of all targets. Call it whenever presence, assignments or drains change. */
+  /** Replaces the set of targets. Call it whenever presence, assignments or drains change. */
   replaceTargets (targets: readonly RouteTarget[], nowMs: number): void {
     const known = new Set(targets.map((target) => target.id))
     for (const id of this.records.keys()) {
@@ -64,25 +64,25 @@
     return success({ target: record.target, cause, candidates: local.length + remote.length })
   }
 
-  /** The attempt counts as load on the target until `end`; call it right before the send. */
+  /** Starts an attempt, which counts as load on the target until `end`. Call it right before the send. */
   begin (target: RouteTarget, nowMs: number): RouteAttempt {
     this.records.get(target.id)?.inFlight.adjust(1, nowMs)
     this.backoffs.take(target.id, nowMs)
     return { targetId: target.id, startedAtMs: nowMs, firstTokenAtMs: null, ended: false }
   }
 
-  /** The first token, or a service's response, has arrived. */
+  /** Records that the first token, or a service's response, has arrived; this also ends the target's back-off. */
   recordFirstToken (attempt: RouteAttempt, nowMs: number): void {
     attempt.firstTokenAtMs ??= nowMs
     this.backoffs.note(attempt.targetId, null, nowMs)
   }
 
-  /** The target has refused an attempt and said after how long it is worth coming back. */
+  /** Records the back-off that the target requested when it refused an attempt. */
   recordBackoff (attempt: RouteAttempt, backoffMs: number, nowMs: number): void {
     this.backoffs.note(attempt.targetId, backoffMs, nowMs)
   }
 
-  /** Exactly once per attempt. `tokens` is the number of tokens that arrived, 0 for services. */
+  /** Ends an attempt; must be called exactly once for each. `tokens` is the number of tokens received, 0 for services. */
   end (attempt: RouteAttempt, result: AttemptResult, nowMs: number, tokens = 0): void {
     invariant(!attempt.ended, 'an attempt ends once')
     attempt.ended = true
@@ -96,17 +96,17 @@
     if (record.health.recordResult(result)) lane?.ejectIfAllowed(record, nowMs)
   }
 
-  /** Takes in a page of a group's cache events, which are late and may have gaps. */
+  /** Applies a page of a group's cache events, which may be late and have gaps. */
   applyCacheEvents (targetId: TargetId, page: CacheEventPage, nowMs: number): void {
     this.records.get(targetId)?.prefixes.applyEvents(page, nowMs)
   }
 
-  /** Attempts of this node under way at a target. */
+  /** Number of this node's attempts in flight at a target. */
   inFlightAt (targetId: TargetId): number {
     return this.records.get(targetId)?.inFlight.count ?? 0
   }
 
-  /** Ids of the targets that this node's own attempts have put out for a while; for the operators' view. */
+  /** Ids of the targets that are ejected because of this node's failed attempts; shown to operators. */
   ejectedTargets (nowMs: number): readonly TargetId[] {
     return [...this.records.values()].filter((record) => record.health.isEjected(nowMs)).map((record) => record.target.id)
   }
@@ -122,7 +122,7 @@
     return record
   }
 
-  /** A lane whose targets are the same keeps its ring: refreshed load alone must not cost a rebuild. */
+  /** Keeps a lane, with its hash ring, if its set of targets is unchanged, so that a load update doesn't rebuild the ring. */
   private rebuildLanes (members: ReadonlyMap<string, readonly TargetRecord[]>): void {
     for (const key of this.lanes.keys()) {
       if (!members.has(key)) this.lanes.delete(key)
@@ -135,7 +135,7 @@
   }
 }
 
-/** Whatever order targets are told in, equal sets give equal lanes. */
+/** Makes the order of records in a lane independent of the order in which the targets were passed. */
 function byId (left: RouteTarget, right: RouteTarget): number {
   return left.id < right.id ? -1 : 1
 }
@@ -144,7 +144,7 @@
   return of.kind === TargetKind.Group ? `model/${of.model}` : `service/${of.service}`
 }
 
-/** Milliseconds per token after the first, or per response of a service; null when the attempt shows neither. */
+/** Milliseconds per token after the first, or per response of a service; null if the attempt is too short to measure it. */
 function paceOf (attempt: RouteAttempt, target: RouteTarget, nowMs: number, tokens: number): number | null {
   if (attempt.firstTokenAtMs === null) return null
   if (target.kind === TargetKind.Service) return attempt.firstTokenAtMs - attempt.startedAtMs
--- a/packages/dotterelspur/src/request/routing/RoutingOptions.ts
+++ b/packages/dotterelspur/src/request/routing/RoutingOptions.ts
@@ -1,50 +1,51 @@
 import type { FailureDomainId, RegionId } from '../../process/ids.js'
 
 /**
- * Where this node is and how it weighs targets. Costs are in shares of a target's capacity: a cost of 0.1 is
- * worth as much as a target that is fuller by a tenth. docs/notes/routing.md has the measurements behind the defaults.
+ * Location of this node and the weights of its routing decisions. Costs are shares of a target's capacity: a cost
+ * of 0.1 weighs as much as 10 % more utilisation. docs/notes/routing.md has the measurements behind the defaults.
  */
 export interface RoutingOptions {
   readonly region: RegionId
   readonly failureDomain: FailureDomainId
-  /** A refusal tells the caller to come back after this long. */
+  /** Retry-After of a refusal, unless every target is backing off. */
   readonly retryAfterMs: number
-  /** Cost of a target in another failure domain of the region. */
+  /** Cost of a target in another failure domain of this node's region. */
   readonly failureDomainCost: number
-  /** Cost of a target in another region; those are looked at only when the best of the own one costs more than `spillCost`. */
+  /** Cost of a target in another region. */
   readonly regionCost: number
+  /** Other regions are considered only when the cheapest local target costs more than this, or there is none. */
   readonly spilloverThreshold: number
-  /** Cost of a group at another version than the wanted one, while a switch is under way. */
+  /** Cost of a group at another version than the requested one; applies during a version switch. */
   readonly otherVersionCost: number
-  /** Cost of a prompt of `referencePromptTokens` that must be computed whole; in proportion for others. */
+  /** Cost of computing a prompt of `referencePromptTokens` without a cached prefix; scales with the uncached tokens. */
   readonly prefixMissCost: number
   readonly referencePromptTokens: number
   /** Prompt tokens per prefix hash. */
   readonly prefixBlockTokens: number
-  /** Consistent hashing looks at no more than this many leading blocks, so that one conversation stays in place as it grows. */
+  /** Leading blocks used as the hash ring key at most, so that a conversation keeps its target as it grows. */
   readonly maxAffinityBlocks: number
-  /** Consistent hashing passes over a target that is fuller than this many times the mean. */
+  /** The hash ring skips targets whose utilisation exceeds this multiple of the mean (consistent hashing with bounded loads). */
   readonly loadBound: number
-  /** Extra cost for each share of capacity beyond what the target can run at once: such work waits. */
+  /** Additional cost per unit of utilisation above 1, where requests wait at the target. */
   readonly overflowCost: number
-  /** How long a request is taken to run until some have. */
+  /** Assumed mean request duration before any attempt has completed. */
   readonly initialRequestDurationMs: number
-  /** A target this many times slower than the median counts as a straggler; its capacity shrinks in proportion. */
+  /** A target this many times slower than the median is a straggler; its capacity is scaled down by the ratio. */
   readonly stragglerRatio: number
-  /** Broken attempts in a row that eject a target. */
+  /** Consecutive broken attempts after which a target is ejected. */
   readonly ejectAfterFailures: number
-  /** First ejection; doubles with each one that follows soon, up to the longest. */
+  /** Duration of the first ejection; doubles with each further one, up to `maxEjectionMs`. */
   readonly ejectionMs: number
   readonly maxEjectionMs: number
-  /** At most this share of a lane's targets is ejected at once; one may always be, where there are two or more. */
+  /** Maximum share of a lane's targets ejected at once. In a lane of two or more, one may always be ejected. */
   readonly maxEjectedShare: number
-  /** A new or returning target takes its full share only after this long. */
+  /** Time over which the traffic of a new or returning target is raised to its full share. */
   readonly rampMs: number
-  /** Share of its traffic at the start of the ramp. */
+  /** Share of its traffic that such a target gets at the start. */
   readonly rampStartShare: number
-  /** Remembered prefix hashes per target. */
+  /** Prefix hashes kept per target; the least recently seen is dropped first. */
   readonly maxPrefixesPerTarget: number
-  /** A prefix that was neither used nor reported again for this long is no longer expected to be held. */
+  /** A prefix without a request or cache event for this long is no longer expected to be cached. */
   readonly prefixTtlMs: number
 }
 
--- a/packages/dotterelspur/src/request/routing/TargetHealth.ts
+++ b/packages/dotterelspur/src/request/routing/TargetHealth.ts
@@ -6,10 +6,10 @@
 const EJECTION_RESET_FACTOR = 4
 
 /**
- * What this node's own attempts say of one target: its pace, its errors, and whether it is ejected or ramping up.
+ * Health of one target, measured by this node's own attempts: pace, error rate, ejection and ramp-up.
  *
- * A target may be complete and fresh by its presence and still break what is sent to it, or be several times
- * slower than its peers. It shows as broken streams or long gaps on one target while the others are well.
+ * A target whose presence is complete and fresh can still break the streams sent to it, or be several times slower
+ * than its peers. The symptom is broken streams or long gaps at one target while the others are healthy.
  */
 export class TargetHealth {
   private paceMs: number | null = null
@@ -24,12 +24,12 @@
     this.rampFromMs = startsWithRamp ? addedAtMs : -Infinity
   }
 
-  /** Smoothed milliseconds per token, or per response of a service; null until there was one. */
+  /** Moving average of milliseconds per token, or per response of a service; null until the first measurement. */
   get pace (): number | null {
     return this.paceMs
   }
 
-  /** Smoothed share of attempts that broke, 0 to 1. */
+  /** Moving average of the share of broken attempts, 0 to 1. */
   get errorRate (): number {
     return this.errorShare
   }
@@ -38,7 +38,7 @@
     this.paceMs = this.paceMs === null ? paceMs : this.paceMs + PACE_SMOOTHING * (paceMs - this.paceMs)
   }
 
-  /** Takes in how an attempt ended. Returns true when the target should be ejected, which the caller may deny. */
+  /** Records how an attempt ended. Returns true if the target should be ejected; `Lane.ejectIfAllowed` decides. */
   recordResult (result: AttemptResult): boolean {
     if (result === AttemptResult.Cancelled || result === AttemptResult.Refused) return false
     const isBroken = result === AttemptResult.Broken
@@ -47,7 +47,10 @@
     return this.consecutiveFailures >= this.options.ejectAfterFailures
   }
 
-  /** Takes the target out for a while; each ejection soon after another lasts twice as long. */
+  /**
+   * Ejects the target. The duration doubles with each ejection, and starts again at `ejectionMs` once more than
+   * `EJECTION_RESET_FACTOR` times `maxEjectionMs` has passed since the last one.
+   */
   eject (nowMs: number): void {
     const { ejectionMs, maxEjectionMs, rampMs } = this.options
     if (nowMs - this.lastEjectedAtMs > EJECTION_RESET_FACTOR * maxEjectionMs) this.ejections = 0
@@ -63,7 +66,7 @@
     return nowMs < this.ejectedUntilMs
   }
 
-  /** Share of its usual traffic that a new or returning target may take, from `rampStart` to 1. */
+  /** Share of its normal traffic that the target may take: rises from `rampStartShare` to 1 after it was added or ejected. */
   trafficShare (nowMs: number): number {
     const { rampMs, rampStartShare } = this.options
     const passedMs = nowMs - this.rampFromMs
--- a/packages/dotterelspur/src/request/routing/TargetRecord.ts
+++ b/packages/dotterelspur/src/request/routing/TargetRecord.ts
@@ -4,7 +4,7 @@
 import type { RoutingOptions } from './RoutingOptions.js'
 import { TargetHealth } from './TargetHealth.js'
 
-/** One target with what this node itself knows of it. Lives as long as the target's id is known. */
+/** A target with this node's own measurements of it. Kept as long as the id is in the router's set of targets. */
 export class TargetRecord {
   readonly inFlight = new InFlightHistory()
   readonly health: TargetHealth
@@ -16,15 +16,15 @@
   }
 
   /**
-   * Requests of other nodes at the target when its load was read, as far as the report tells: what it reported
-   * less what this node had there at the time.
+   * Requests of other nodes at the target when its load was measured: the reported number minus this node's own
+   * requests in flight at that time.
    */
   reportedOtherRequests (): number {
     const { running, waiting } = this.target.load
     return Math.max(0, running + waiting - this.inFlight.countAt(this.loadReadAtMs()))
   }
 
-  /** When the load was read, on this node's clock. */
+  /** When the load was measured, on this node's clock. */
   loadReadAtMs (): number {
     return this.target.loadRequestedAtMs - this.target.load.ageMs
   }
--- a/packages/dotterelspur/src/request/routing/candidates.ts
+++ b/packages/dotterelspur/src/request/routing/candidates.ts
@@ -5,16 +5,16 @@
 import type { RoutingOptions } from './RoutingOptions.js'
 import type { TargetRecord } from './TargetRecord.js'
 
-/** The targets that may take a request now. */
+/** The targets that may take a request, by region. */
 export interface Candidates {
-  /** In the own region; empty when none is left there. */
+  /** In this node's region; may be empty. */
   readonly local: readonly TargetRecord[]
   readonly remote: readonly TargetRecord[]
 }
 
 /**
- * Picks out the targets that may take a request now, or tells the most telling reason why there is none. Nothing
- * after this step adds a target, so that no choice can fall on one whose evidence has expired or that leaves.
+ * Selects the targets that may take a request now, or returns why there is none: the filter that removed the last
+ * target. Later steps never add a target, so a target whose evidence has expired or that is leaving can't be chosen.
  */
 export function selectCandidates (
   records: readonly TargetRecord[],
@@ -26,13 +26,13 @@
   const matching = records.filter((record) => canServe(record.target, query))
   if (matching.length === 0) return refuse(RouteRefusalKind.NoReplica, 'no replica that fits', options)
   const fresh = matching.filter((record) => record.target.evidenceExpiresAtMs > nowMs)
-  if (fresh.length === 0) return refuse(RouteRefusalKind.NoFreshEvidence, 'no replica is known to be complete', options)
+  if (fresh.length === 0) return refuse(RouteRefusalKind.NoFreshEvidence, 'no matching replica has fresh evidence of being complete', options)
   const staying = fresh.filter((record) => !record.target.leaving)
   if (staying.length === 0) return refuse(RouteRefusalKind.AllLeaving, 'every replica is leaving', options)
   const untried = staying.filter((record) => !query.excluded.has(record.target.id))
-  if (untried.length === 0) return refuse(RouteRefusalKind.AllTried, 'every replica was tried', options)
+  if (untried.length === 0) return refuse(RouteRefusalKind.AllTried, 'every replica was already tried for this request', options)
   const available = untried.filter((record) => backoffs.waitMs(record.target.id, nowMs) === 0)
-  if (available.length === 0) return failed({ kind: RouteRefusalKind.AllBackingOff, message: 'every replica has asked for rest', retryAfterMs: Math.min(...untried.map((record) => backoffs.waitMs(record.target.id, nowMs))) })
+  if (available.length === 0) return failed({ kind: RouteRefusalKind.AllBackingOff, message: 'every replica is backing off', retryAfterMs: Math.min(...untried.map((record) => backoffs.waitMs(record.target.id, nowMs))) })
   const healthy = available.filter((record) => !record.health.isEjected(nowMs))
   return success(splitByRegion(healthy.length > 0 ? healthy : available, options))
 }
--- a/packages/dotterelspur/src/request/routing/choose.ts
+++ b/packages/dotterelspur/src/request/routing/choose.ts
@@ -16,9 +16,9 @@
 }
 
 /**
- * Draws a few targets and takes the cheapest: two at random, the prompt's place on the hash ring, and one that
- * is expected to hold its prefix. The least loaded of all is not taken on purpose: every node sees the same late
- * reports, and all would take the same one until the next report.
+ * Returns the cheapest of a few targets: two drawn at random, the target of the prompt's prefix on the hash ring,
+ * and the cheapest one that is expected to have a prefix cached. It doesn't take the least loaded of all targets:
+ * every node has the same delayed load reports, so all nodes would choose the same target until the next report.
  */
 export function chooseTarget (candidates: Candidates, context: ChoiceContext): Choice {
   const { options } = context
@@ -37,7 +37,7 @@
   return [...holders, ...drawn]
 }
 
-/** One at random; a target that ramps up is passed over in proportion to what it may not take yet. */
+/** Draws a target at random. A target that is ramping up is replaced by a second draw with probability 1 - trafficShare. */
 function drawRamped (records: readonly TargetRecord[], { random, nowMs }: ChoiceContext): TargetRecord {
   const first = pick(random, records)!
   if (random.next() < first.health.trafficShare(nowMs)) return first
@@ -59,7 +59,7 @@
   return [onRing, holder].filter((record) => record !== undefined)
 }
 
-/** The cheapest of the targets that are expected to hold the most of the prompt. */
+/** The cheapest of the targets that are expected to have a prefix of the prompt cached. */
 function bestHolder (records: readonly TargetRecord[], prefixHashes: readonly number[], context: ChoiceContext): TargetRecord | undefined {
   let best: TargetRecord | undefined
   let bestCost = Infinity
@@ -82,10 +82,11 @@
 }
 
 /**
- * A group whose prefixes are in demand stays fuller than the mean. The estimate hides that, since it fades to the
- * mean as reports age, and all nodes would go on sending those prefixes there: a queue that lasts at few groups while
- * the others have room. A report of a full group, however old, takes the attraction away and leaves chance;
- * not where most groups are full: then nothing is gained by it, and misses would cost capacity.
+ * Whether the last load report, of whatever age, shows the target as full; such targets lose prefix affinity and can
+ * only be drawn at random. A group with frequently requested prefixes stays above the mean load, but LoadEstimator
+ * moves towards the mean as reports age, so without this all nodes would keep sending those prefixes to it: a few
+ * groups would have lasting queues while others had capacity. Affinity is kept when more than half of the targets
+ * are full: there is little capacity to move to, and the cache misses would cost more of it.
  */
 function isReportedFull ({ target: { load } }: TargetRecord): boolean {
   return load.waiting > 0 || load.running >= load.capacity
--- a/packages/dotterelspur/src/request/routing/cost.ts
+++ b/packages/dotterelspur/src/request/routing/cost.ts
@@ -4,7 +4,7 @@
 
 const ERROR_COST = 1
 
-/** What it costs to send the request to a target, in shares of its capacity; see RoutingOptions. */
+/** Cost of sending the request to a target, in shares of the target's capacity; see RoutingOptions. */
 export function targetCost (record: TargetRecord, context: ChoiceContext): number {
   return loadCost(record, context) + prefixCost(record, context) + localityCost(record, context) + versionCost(record, context) +
     ERROR_COST * record.health.errorRate
--- a/packages/dotterelspur/src/request/routing/prefixHashes.ts
+++ b/packages/dotterelspur/src/request/routing/prefixHashes.ts
@@ -1,13 +1,13 @@
 import { hashText } from '../../process/rendezvous.js'
 
-/** UTF-16 code units of one block of a prompt; docs/contracts/engine.md asks engines for the same. */
+/** UTF-16 code units per block of a prompt; docs/contracts/engine.md requires engines to use the same size. */
 export const PREFIX_BLOCK_CHARACTERS = 64
 
 /**
- * The names of a prompt's whole-block prefixes, shortest first, at most `maxBlocks` of them.
+ * Hashes of the whole-block prefixes of a prompt, shortest first, at most `maxBlocks` of them.
  *
- * Nodes and engines must agree on them: with another block or hash no cache event would ever match a prompt, and
- * one would notice only that prefix affinity gains nothing.
+ * Nodes and engines must use the same block size and hash function. Otherwise no cache event matches a prompt, and
+ * the only symptom is that prefix affinity has no effect.
  */
 export function prefixHashes (prompt: string, maxBlocks = Infinity): number[] {
   const blocks = Math.min(maxBlocks, Math.floor(prompt.length / PREFIX_BLOCK_CHARACTERS))
