--- a/packages/dotterelspur-bench/src/experiments/admission/AdmissionRun.ts
+++ b/packages/dotterelspur-bench/src/experiments/admission/AdmissionRun.ts
@@ -193,7 +193,7 @@
         const nowMs = this.clock.nowMs()
         firstTokenMs = nowMs - sentAtMs
         node.policy.firstToken(attempt, nowMs)
-        if (id !== null) node.admission.noteFirstToken(id, nowMs)
+        if (id !== null) node.admission.recordFirstToken(id, nowMs)
         if (this.isMeasured()) this.firstTokens[priority].push(nowMs - arrivedAtMs)
       },
       onEnd: (_whole, tokens) => {
--- a/packages/dotterelspur-bench/src/experiments/admission/TeamLimitRun.ts
+++ b/packages/dotterelspur-bench/src/experiments/admission/TeamLimitRun.ts
@@ -73,17 +73,17 @@
   admits (node: number, nowMs: number): boolean {
     this.deliver(nowMs)
     const admitted = this.limiters[node]!.charge(TEAM, 1, nowMs) === null
-    const ask = this.limiters[node]!.ask(TEAM, nowMs, this.random)
+    const ask = this.limiters[node]!.createAllowanceRequest(TEAM, nowMs, this.random)
     if (ask === null) return admitted
     this.asks++
-    this.underWay.push({ atMs: nowMs + ASK_ROUND_TRIP_MS, node, grant: this.holders[ask.holderRank]!.answer(ask, nowMs) })
+    this.underWay.push({ atMs: nowMs + ASK_ROUND_TRIP_MS, node, grant: this.holders[ask.holderRank]!.grant(ask, nowMs) })
     return admitted
   }
 
   private deliver (nowMs: number): void {
     while (this.underWay.length > 0 && this.underWay[0]!.atMs <= nowMs) {
       const { node, grant } = this.underWay.shift()!
-      this.limiters[node]!.noteGrant(grant)
+      this.limiters[node]!.applyGrant(grant)
     }
   }
 }
--- a/packages/dotterelspur-bench/src/experiments/routing/RoutingRun.ts
+++ b/packages/dotterelspur-bench/src/experiments/routing/RoutingRun.ts
@@ -138,7 +138,7 @@
 
   private arrive (request: SimulatedRequest, node: number): void {
     if (this.isMeasured()) this.counts.requests++
-    this.budgets[node]!.noteFirstAttempt(TEAM, TEAM_RETRY_PERCENT)
+    this.budgets[node]!.recordFirstAttempt(TEAM, TEAM_RETRY_PERCENT)
     this.attempt({ request, node, arrivedAtMs: this.clock.nowMs(), excluded: new Set(), tokensDelivered: 0, attempts: 0, sawFirstToken: false })
   }
 
--- a/packages/dotterelspur-entry/src/request/LocalRuns.ts
+++ b/packages/dotterelspur-entry/src/request/LocalRuns.ts
@@ -120,7 +120,7 @@
     })
     if (!admitted.ok) return this.refuse(run, admitted.error)
     const dispatchedAtMs = clock.nowMs()
-    retries.noteFirstAttempt(request.team, teams.get(request.team)?.limits.retryPercent ?? 0)
+    retries.recordFirstAttempt(request.team, teams.get(request.team)?.limits.retryPercent ?? 0)
     let performed: Performed = { finished: finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'internal')), firstTokenAtMs: null, overloaded: false }
     try {
       performed = request.kind === RunKind.Model ? await this.runModel(run, request) : await this.runService(run, request)
--- a/packages/dotterelspur/src/__tests__/unit/AdaptiveLimit.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/AdaptiveLimit.test.ts
@@ -16,7 +16,7 @@
   for (const { seconds, firstTokenMs, used } of phases) {
     for (let sample = 0; sample < seconds * 20; sample++) {
       nowMs += 50
-      limit.noteFirstToken(firstTokenMs, used * limit.value, nowMs)
+      limit.recordFirstToken(firstTokenMs, used * limit.value, nowMs)
     }
   }
   return { limit, nowMs }
@@ -39,7 +39,7 @@
 
   it('falls at once when an endpoint has no room, and once for signs that come together', () => {
     const { limit, nowMs } = createFixture([])
-    for (let sign = 0; sign < 10; sign++) limit.noteCongestion(nowMs + sign)
+    for (let index = 0; index < 10; index++) limit.recordCongestion(nowMs + index)
     expect(limit.value).to.equal(112)
   })
 
@@ -55,8 +55,8 @@
 describe('hedgeDelayMs', () => {
   const cases: ReadonlyArray<{ name: string, input: Partial<HedgeInput>, delayMs: number | null }> = [
     { name: 'waits for twice p95', input: {}, delayMs: 1_000 },
-    { name: 'counts what has passed', input: { waitedMs: 600 }, delayMs: 400 },
-    { name: 'is due at once after that', input: { waitedMs: 5_000 }, delayMs: 0 },
+    { name: 'counts what has passed', input: { elapsedMs: 600 }, delayMs: 400 },
+    { name: 'is due at once after that', input: { elapsedMs: 5_000 }, delayMs: 0 },
     { name: 'waits for half a second at least', input: { firstTokenP95Ms: 10 }, delayMs: 500 },
     { name: 'never for what must not run twice', input: { idempotent: false }, delayMs: null },
     { name: 'never a third attempt', input: { attempts: 2 }, delayMs: null },
@@ -64,7 +64,7 @@
   ]
   for (const { name, input, delayMs } of cases) {
     it(name, () => {
-      expect(hedgeDelayMs({ idempotent: true, waitedMs: 0, firstTokenP95Ms: 500, attempts: 1, ...input })).to.equal(delayMs)
+      expect(hedgeDelayMs({ idempotent: true, elapsedMs: 0, firstTokenP95Ms: 500, attempts: 1, ...input })).to.equal(delayMs)
     })
   }
 })
--- a/packages/dotterelspur/src/__tests__/unit/AdmissionController.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/AdmissionController.test.ts
@@ -87,10 +87,10 @@
 
   it('shrinks lanes while slow callers fill the buffers', () => {
     const { admission } = createFixture(10)
-    admission.notePressure(0.75, 0)
+    admission.setBufferUsage(0.75, 0)
     const offered = Array.from({ length: 8 }, (_, index) => admission.offer(createRequest(`r${index}`), 0)).flat()
     expect(idsOf(offered, AdmissionEffectKind.Dispatch)).to.have.length(5)
-    expect(idsOf(admission.notePressure(0.2, 1), AdmissionEffectKind.Dispatch)).to.have.length(3)
+    expect(idsOf(admission.setBufferUsage(0.2, 1), AdmissionEffectKind.Dispatch)).to.have.length(3)
   })
 })
 
@@ -196,7 +196,7 @@
         },
         cancel: ({ pick }) => admission.cancel(`r${pick % 50}`, nowMs),
         tick: () => admission.tick(nowMs),
-        shrink: ({ pick }) => admission.notePressure((pick % 10) / 10, nowMs)
+        shrink: ({ pick }) => admission.setBufferUsage((pick % 10) / 10, nowMs)
       }
       steps.forEach((one, index) => {
         nowMs += one.waitMs
@@ -215,14 +215,14 @@
     const budget = new RetryBudget({ nodePercent: 10, reserve: 1 })
     expect(budget.tryRetry('tradeline')).to.equal(true)
     expect(budget.tryRetry('tradeline')).to.equal(false)
-    for (let index = 0; index < 11; index++) budget.noteFirstAttempt('tradeline', 20)
+    for (let index = 0; index < 11; index++) budget.recordFirstAttempt('tradeline', 20)
     expect(budget.tryRetry('tradeline')).to.equal(true)
     expect(budget.tryRetry('piedmont')).to.equal(false)
   })
 
   it('gives a team none whose setting is 0', () => {
     const budget = new RetryBudget()
-    budget.noteFirstAttempt('tradeline', 0)
+    budget.recordFirstAttempt('tradeline', 0)
     expect(budget.tryRetry('tradeline')).to.equal(false)
   })
 
@@ -234,7 +234,7 @@
       const first: Record<string, number> = { tradeline: 0, piedmont: 0 }
       const retries: Record<string, number> = { tradeline: 0, piedmont: 0 }
       for (const { retry, team } of steps) {
-        if (!retry) budget.noteFirstAttempt(team, percent)
+        if (!retry) budget.recordFirstAttempt(team, percent)
         if (!retry) first[team]!++
         else if (budget.tryRetry(team)) retries[team]!++
         expect(retries[team]).to.be.at.most(reserve + first[team]! * percent / 100 + 1e-6)
--- a/packages/dotterelspur/src/__tests__/unit/Router.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Router.test.ts
@@ -70,9 +70,9 @@
     expect(early).to.deep.include({ ok: false })
     expect(early.ok ? null : early.error).to.deep.include({ kind: RouteRefusalKind.AllBackingOff, retryAfterMs: 2_000 })
     expect(router.decide(createQuery(), 3_000, random).ok).to.equal(true)
-    const trial = router.begin(createTarget('a'), 3_000)
+    const probe = router.begin(createTarget('a'), 3_000)
     expect(router.decide(createQuery(), 3_001, random).ok).to.equal(false)
-    router.recordFirstToken(trial, 3_002)
+    router.recordFirstToken(probe, 3_002)
     expect(router.decide(createQuery(), 3_002, random).ok).to.equal(true)
   })
 
--- a/packages/dotterelspur/src/__tests__/unit/TeamLimiter.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/TeamLimiter.test.ts
@@ -29,18 +29,18 @@
         const nodes = 12
         const { limiters, holders } = createFleet({ sharing, nodes, requestsPerSecond })
         const random = createRandom(SEED)
-        let underWay: Array<{ readonly atMs: number, readonly node: number, readonly grant: AllowanceGrant }> = []
+        let grantsInFlight: Array<{ readonly atMs: number, readonly node: number, readonly grant: AllowanceGrant }> = []
         let nowMs = 0
         let admitted = 0
         for (const { node, waitMs, lost, delayMs } of steps) {
           nowMs += waitMs
-          for (const { node: asker, grant } of underWay.filter(({ atMs }) => atMs <= nowMs)) limiters[asker]!.noteGrant(grant)
-          underWay = underWay.filter(({ atMs }) => atMs > nowMs)
+          for (const { node: requester, grant } of grantsInFlight.filter(({ atMs }) => atMs <= nowMs)) limiters[requester]!.applyGrant(grant)
+          grantsInFlight = grantsInFlight.filter(({ atMs }) => atMs > nowMs)
           if (limiters[node]!.charge(TEAM, 1, nowMs) === null) admitted++
-          const ask = limiters[node]!.ask(TEAM, nowMs, random)
-          if (ask === null) continue
-          const grant = holders[ask.holderRank]!.answer(ask, nowMs)
-          if (!lost) underWay.push({ atMs: nowMs + delayMs, node, grant })
+          const request = limiters[node]!.createAllowanceRequest(TEAM, nowMs, random)
+          if (request === null) continue
+          const grant = holders[request.holderRank]!.grant(request, nowMs)
+          if (!lost) grantsInFlight.push({ atMs: nowMs + delayMs, node, grant })
         }
         const bursts = sharing === LimitSharing.Even ? Math.max(nodes, 2 * requestsPerSecond) : requestsPerSecond + nodes
         // A node whose answers are lost spends its even part, beside what the holders grant to others.
@@ -56,8 +56,8 @@
     let admitted = 0
     for (let nowMs = 0; nowMs < 20_000; nowMs += 10) {
       if (limiters[7]!.charge(TEAM, 1, nowMs) === null) admitted++
-      const ask = limiters[7]!.ask(TEAM, nowMs, random)
-      if (ask !== null) limiters[7]!.noteGrant(holders[ask.holderRank]!.answer(ask, nowMs))
+      const request = limiters[7]!.createAllowanceRequest(TEAM, nowMs, random)
+      if (request !== null) limiters[7]!.applyGrant(holders[request.holderRank]!.grant(request, nowMs))
     }
     expect(admitted).to.be.greaterThan(1_700)
   })
@@ -68,7 +68,7 @@
     let admitted = 0
     for (let nowMs = 0; nowMs < 30_000; nowMs += 20) {
       if (limiters[0]!.charge(TEAM, 1, nowMs) === null) admitted++
-      limiters[0]!.ask(TEAM, nowMs, random)
+      limiters[0]!.createAllowanceRequest(TEAM, nowMs, random)
     }
     expect(admitted).to.be.within(200, 300)
   })
--- a/packages/dotterelspur/src/request/admission/AdaptiveLimit.ts
+++ b/packages/dotterelspur/src/request/admission/AdaptiveLimit.ts
@@ -30,14 +30,14 @@
   startFactor: 1.25
 }
 
-const USUAL_FALL_WEIGHT = 0.1
+const BASELINE_FALL_WEIGHT = 0.1
 /**
  * The usual first token falls with the samples and rises with time, over minutes: followed closely, or by the count
  * of samples, a queue that builds up or lasts would become the usual and the limit would grow into it.
  */
-const USUAL_RISE_MS = 300_000
-const USED_SHARE = 0.8
-const LEAST_START = 2
+const BASELINE_RISE_MS = 300_000
+const IN_USE_SHARE = 0.8
+const MIN_START_LIMIT = 2
 
 /**
  * How many requests this node may have under way at once in a lane.
@@ -52,7 +52,7 @@
   private limit: number
   private capacity = 0
   private nodes = 1
-  private usualMs: number | null = null
+  private baselineMs: number | null = null
   private lastSampleAtMs: number | null = null
   private lastDecreaseAtMs = -Infinity
   private window = { sinceMs: -Infinity, samples: 0, late: 0, used: false }
@@ -68,32 +68,32 @@
   /** Takes in the endpoints' capacity and the number of nodes that share it; the limit keeps its proportion. */
   configure (capacity: number, nodes: number): void {
     if (capacity === this.capacity && nodes === this.nodes) return
-    const before = this.capacity / this.nodes
-    const after = capacity / Math.max(1, nodes)
-    this.limit = before === 0 ? Math.max(LEAST_START, after * this.options.startFactor) : this.limit * after / before
+    const previousShare = this.capacity / this.nodes
+    const newShare = capacity / Math.max(1, nodes)
+    this.limit = previousShare === 0 ? Math.max(MIN_START_LIMIT, newShare * this.options.startFactor) : this.limit * newShare / previousShare
     this.capacity = capacity
     this.nodes = Math.max(1, nodes)
     this.clamp()
   }
 
   /** A first token came. `running` tells whether the limit was in use: only then may it grow. */
-  noteFirstToken (firstTokenMs: number, running: number, nowMs: number): void {
+  recordFirstToken (firstTokenMs: number, running: number, nowMs: number): void {
     const { lateFirstTokenMs, lateRatio, windowMs, windowSamples } = this.options
-    const usualMs = this.usualMs ?? firstTokenMs
-    const isLate = firstTokenMs > lateFirstTokenMs && firstTokenMs > lateRatio * usualMs
+    const baselineMs = this.baselineMs ?? firstTokenMs
+    const isLate = firstTokenMs > lateFirstTokenMs && firstTokenMs > lateRatio * baselineMs
     const passedMs = Math.max(0, nowMs - (this.lastSampleAtMs ?? nowMs))
-    const weight = firstTokenMs < usualMs ? USUAL_FALL_WEIGHT : 1 - Math.exp(-passedMs / USUAL_RISE_MS)
+    const weight = firstTokenMs < baselineMs ? BASELINE_FALL_WEIGHT : 1 - Math.exp(-passedMs / BASELINE_RISE_MS)
     this.lastSampleAtMs = nowMs
-    this.usualMs = usualMs + weight * (firstTokenMs - usualMs)
+    this.baselineMs = baselineMs + weight * (firstTokenMs - baselineMs)
     const { window } = this
     window.samples++
     window.late += isLate ? 1 : 0
-    window.used ||= running >= USED_SHARE * this.value
+    window.used ||= running >= IN_USE_SHARE * this.value
     if (window.samples >= windowSamples && nowMs - window.sinceMs >= windowMs) this.closeWindow(nowMs)
   }
 
   /** An endpoint had no room. Counts at once, but once per window: the signs of one congestion come together. */
-  noteCongestion (nowMs: number): void {
+  recordCongestion (nowMs: number): void {
     if (nowMs - this.lastDecreaseAtMs < this.options.windowMs) return
     this.decrease(nowMs)
   }
@@ -117,7 +117,7 @@
   /** Between half an even share, so that no node is starved, and all of the capacity. */
   private clamp (): void {
     if (this.capacity === 0) return
-    const lowest = Math.max(1, this.capacity / this.nodes / 2)
-    this.limit = Math.min(Math.max(this.limit, lowest), Math.max(this.capacity, 1))
+    const minLimit = Math.max(1, this.capacity / this.nodes / 2)
+    this.limit = Math.min(Math.max(this.limit, minLimit), Math.max(this.capacity, 1))
   }
 }
--- a/packages/dotterelspur/src/request/admission/AdmissionController.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionController.ts
@@ -5,18 +5,18 @@
 import type { TeamLimits } from '../../version/TeamSettings.js'
 import { OutcomeReason } from '../Outcome.js'
 import { AdmissionLane, PRIORITY_CLASSES } from './AdmissionLane.js'
-import type { AllowanceAsk, AllowanceGrant } from './AllowanceHolder.js'
+import type { AllowanceRequest, AllowanceGrant } from './AllowanceHolder.js'
 import { DEFAULT_ADMISSION_OPTIONS, type AdmissionOptions } from './AdmissionOptions.js'
 import { AdmissionEffectKind, type AdmissionEffect, type AdmissionRequest, type AdmissionResult, type LaneId } from './AdmissionRequest.js'
-import type { Waiting } from './ClassQueue.js'
-import { queueShed } from './outcomes.js'
-import { ReturnPacer } from './ReturnPacer.js'
+import type { QueuedRequest } from './ClassQueue.js'
+import { createShedEffect } from './outcomes.js'
+import { RetryAfterPacer } from './RetryAfterPacer.js'
 import { LimitSharing, TeamLimiter } from './TeamLimiter.js'
 
-interface Running {
+interface RunningRequest {
   readonly request: AdmissionRequest
-  readonly sinceMs: number
-  sawFirstToken: boolean
+  readonly dispatchedAtMs: number
+  hasFirstToken: boolean
 }
 
 /** What waits and runs in one lane, for the operators' view. */
@@ -35,10 +35,10 @@
  */
 export class AdmissionController {
   private readonly lanes = new Map<LaneId, AdmissionLane>()
-  private readonly waiting = new Map<RequestId, Waiting>()
-  private readonly running = new Map<RequestId, Running>()
+  private readonly queued = new Map<RequestId, QueuedRequest>()
+  private readonly running = new Map<RequestId, RunningRequest>()
   private readonly teams: TeamLimiter
-  private readonly teamPacers = new Map<TeamId, ReturnPacer>()
+  private readonly teamRetryPacers = new Map<TeamId, RetryAfterPacer>()
   private readonly mayRun = (team: TeamId): boolean => this.teams.mayRun(team)
 
   constructor (private readonly options: AdmissionOptions = DEFAULT_ADMISSION_OPTIONS, sharing: LimitSharing = LimitSharing.Even) {
@@ -48,19 +48,19 @@
   /** Replaces the limits of all teams; a team without an entry is not limited. The nodes share them. */
   configureTeams (limits: ReadonlyMap<TeamId, TeamLimits>, nodes: number, nowMs: number): void {
     this.teams.configure(limits, nodes, nowMs)
-    for (const team of this.teamPacers.keys()) {
-      if (!limits.has(team)) this.teamPacers.delete(team)
+    for (const team of this.teamRetryPacers.keys()) {
+      if (!limits.has(team)) this.teamRetryPacers.delete(team)
     }
   }
 
   /** With LimitSharing.Holders, after each offer: what to ask a holder of the team for; see TeamLimiter. */
-  allowanceAsk (team: TeamId, nowMs: number, random: Random): AllowanceAsk | null {
-    return this.teams.ask(team, nowMs, random)
+  createAllowanceRequest (team: TeamId, nowMs: number, random: Random): AllowanceRequest | null {
+    return this.teams.createAllowanceRequest(team, nowMs, random)
   }
 
   /** A holder's answer to an ask. */
-  noteGrant (grant: AllowanceGrant): void {
-    this.teams.noteGrant(grant)
+  applyGrant (grant: AllowanceGrant): void {
+    this.teams.applyGrant(grant)
   }
 
   /** Sets how many requests the lane's endpoints can run side by side, and how many nodes share them. */
@@ -73,55 +73,55 @@
    * Slow callers fill this node's buffers: `share` is the part in use, 0 to 1. Above a half, lanes shrink in
    * proportion, so that less is asked of engines than callers take.
    */
-  notePressure (share: number, nowMs: number): AdmissionEffect[] {
-    const room = Math.min(1, Math.max(0, (1 - share) * 2))
-    for (const lane of this.lanes.values()) lane.room = room
+  setBufferUsage (share: number, nowMs: number): AdmissionEffect[] {
+    const limitFactor = Math.min(1, Math.max(0, (1 - share) * 2))
+    for (const lane of this.lanes.values()) lane.limitFactor = limitFactor
     return this.tick(nowMs)
   }
 
   offer (request: AdmissionRequest, nowMs: number): AdmissionEffect[] {
-    invariant(!this.waiting.has(request.id) && !this.running.has(request.id), `${request.id} is offered once`)
-    const refused = this.refuse(request, nowMs)
-    if (refused !== null) return [refused]
-    const giveUpAtMs = Math.min(request.deadlineAtMs, nowMs + this.options.maxQueueMs[request.priority])
-    const waiting: Waiting = { request, sinceMs: nowMs, giveUpAtMs }
+    invariant(!this.queued.has(request.id) && !this.running.has(request.id), `${request.id} is offered once`)
+    const refusal = this.refuse(request, nowMs)
+    if (refusal !== null) return [refusal]
+    const expiresAtMs = Math.min(request.deadlineAtMs, nowMs + this.options.maxQueueMs[request.priority])
+    const waiting: QueuedRequest = { request, queuedAtMs: nowMs, expiresAtMs }
     this.lane(request.lane).queues[request.priority].push(waiting)
-    this.waiting.set(request.id, waiting)
-    this.teams.noteQueued(request.team, 1)
+    this.queued.set(request.id, waiting)
+    this.teams.adjustQueued(request.team, 1)
     return this.serve(request.lane, nowMs)
   }
 
   /** Once per dispatched request at most, when its first token arrives: the limit learns sooner than by `finish`. */
-  noteFirstToken (id: RequestId, nowMs: number): void {
+  recordFirstToken (id: RequestId, nowMs: number): void {
     const running = this.running.get(id)
-    if (running === undefined || running.sawFirstToken) return
-    running.sawFirstToken = true
+    if (running === undefined || running.hasFirstToken) return
+    running.hasFirstToken = true
     const lane = this.lane(running.request.lane)
-    lane.limit.noteFirstToken(nowMs - running.sinceMs, lane.runningCount, nowMs)
+    lane.limit.recordFirstToken(nowMs - running.dispatchedAtMs, lane.runningCount, nowMs)
   }
 
   /** Once for each dispatched request, when its last attempt has ended. */
   finish (id: RequestId, result: AdmissionResult, nowMs: number): AdmissionEffect[] {
     const running = this.running.get(id)
     invariant(running !== undefined, `finish of ${id}, which is not running`)
-    const { request, sinceMs, sawFirstToken } = running
+    const { request, dispatchedAtMs, hasFirstToken } = running
     const lane = this.lane(request.lane)
-    if (result.overloaded) lane.limit.noteCongestion(nowMs)
-    else if (result.firstTokenMs !== null && !sawFirstToken) lane.limit.noteFirstToken(result.firstTokenMs, lane.runningCount, nowMs)
+    if (result.overloaded) lane.limit.recordCongestion(nowMs)
+    else if (result.firstTokenMs !== null && !hasFirstToken) lane.limit.recordFirstToken(result.firstTokenMs, lane.runningCount, nowMs)
     this.running.delete(id)
-    lane.noteFinished(request.priority, nowMs - sinceMs)
+    lane.recordFinished(request.priority, nowMs - dispatchedAtMs)
     const wasAtLimit = !this.teams.mayRun(request.team)
-    this.teams.noteRunning(request.team, -1)
+    this.teams.adjustRunning(request.team, -1)
     this.teams.settle(request.team, request.tokens, result.tokens)
     return wasAtLimit ? this.tick(nowMs) : this.serve(request.lane, nowMs)
   }
 
   /** The caller went away: a queued request is shed as cancelled; a running one is left to `finish`. */
   cancel (id: RequestId, nowMs: number): AdmissionEffect[] {
-    const waiting = this.waiting.get(id)
+    const waiting = this.queued.get(id)
     if (waiting === undefined) return []
     const { lane } = waiting.request
-    return [this.shedWaiting(waiting, OutcomeReason.Cancelled, null), ...this.serve(lane, nowMs)]
+    return [this.shedQueued(waiting, OutcomeReason.Cancelled, null), ...this.serve(lane, nowMs)]
   }
 
   /** Sheds what can no longer start in time and dispatches what can. Call it at `nextTickAtMs`. */
@@ -131,10 +131,10 @@
 
   /** When something queued must be looked at again, if nothing else happens; null when nothing waits. */
   nextTickAtMs (): number | null {
-    if (this.waiting.size === 0) return null
+    if (this.queued.size === 0) return null
     let earliest = Infinity
     for (const lane of this.lanes.values()) {
-      for (const priority of PRIORITY_CLASSES) earliest = Math.min(earliest, lane.queues[priority].nextGiveUpAtMs())
+      for (const priority of PRIORITY_CLASSES) earliest = Math.min(earliest, lane.queues[priority].nextExpiryAtMs())
     }
     return earliest
   }
@@ -159,23 +159,23 @@
   private refuse (request: AdmissionRequest, nowMs: number): AdmissionEffect | null {
     const { id, team, priority, tokens, deadlineAtMs } = request
     const lane = this.lane(request.lane)
-    if (deadlineAtMs <= nowMs) return queueShed(id, OutcomeReason.DeadlineExceeded, lane.returnMs(priority, nowMs))
+    if (deadlineAtMs <= nowMs) return createShedEffect(id, OutcomeReason.DeadlineExceeded, lane.nextRetryAfterMs(priority, nowMs))
     const waitMs = lane.expectedWaitMs(priority)
-    const patienceMs = Math.min(deadlineAtMs - nowMs, this.options.maxQueueMs[priority])
+    const maxWaitMs = Math.min(deadlineAtMs - nowMs, this.options.maxQueueMs[priority])
     const isFull = lane.queues[priority].length >= this.options.queueLimit[priority]
-    if (isFull || (waitMs !== null && waitMs >= patienceMs)) return queueShed(id, OutcomeReason.Overloaded, lane.returnMs(priority, nowMs))
-    if (!this.teams.mayQueue(team)) return queueShed(id, OutcomeReason.RateLimited, lane.returnMs(priority, nowMs))
+    if (isFull || (waitMs !== null && waitMs >= maxWaitMs)) return createShedEffect(id, OutcomeReason.Overloaded, lane.nextRetryAfterMs(priority, nowMs))
+    if (!this.teams.mayQueue(team)) return createShedEffect(id, OutcomeReason.RateLimited, lane.nextRetryAfterMs(priority, nowMs))
     const teamWaitMs = this.teams.charge(team, tokens, nowMs)
-    return teamWaitMs === null ? null : queueShed(id, OutcomeReason.RateLimited, this.teamReturnMs(team, teamWaitMs, nowMs))
+    return teamWaitMs === null ? null : createShedEffect(id, OutcomeReason.RateLimited, this.nextTeamRetryAfterMs(team, teamWaitMs, nowMs))
   }
 
-  private teamReturnMs (team: TeamId, waitMs: number, nowMs: number): number {
-    let pacer = this.teamPacers.get(team)
+  private nextTeamRetryAfterMs (team: TeamId, waitMs: number, nowMs: number): number {
+    let pacer = this.teamRetryPacers.get(team)
     if (pacer === undefined) {
-      pacer = new ReturnPacer()
-      this.teamPacers.set(team, pacer)
+      pacer = new RetryAfterPacer()
+      this.teamRetryPacers.set(team, pacer)
     }
-    return pacer.nextReturnMs(waitMs, waitMs, nowMs)
+    return pacer.nextDelayMs(waitMs, waitMs, nowMs)
   }
 
   private serve (laneId: LaneId, nowMs: number): AdmissionEffect[] {
@@ -183,7 +183,7 @@
     const effects: AdmissionEffect[] = []
     for (const priority of PRIORITY_CLASSES) {
       for (const waiting of lane.queues[priority].takeExpired(nowMs)) {
-        effects.push(this.shedWaiting(waiting, OutcomeReason.DeadlineExceeded, lane.returnMs(priority, nowMs)))
+        effects.push(this.shedQueued(waiting, OutcomeReason.DeadlineExceeded, lane.nextRetryAfterMs(priority, nowMs)))
       }
     }
     for (let waiting = lane.next(this.mayRun); waiting !== undefined; waiting = lane.next(this.mayRun)) {
@@ -192,22 +192,22 @@
     return effects
   }
 
-  private dispatch ({ request, sinceMs }: Waiting, nowMs: number): AdmissionEffect {
-    this.waiting.delete(request.id)
-    this.running.set(request.id, { request, sinceMs: nowMs, sawFirstToken: false })
-    this.teams.noteQueued(request.team, -1)
-    this.teams.noteRunning(request.team, 1)
-    return { kind: AdmissionEffectKind.Dispatch, id: request.id, queuedMs: nowMs - sinceMs }
+  private dispatch ({ request, queuedAtMs }: QueuedRequest, nowMs: number): AdmissionEffect {
+    this.queued.delete(request.id)
+    this.running.set(request.id, { request, dispatchedAtMs: nowMs, hasFirstToken: false })
+    this.teams.adjustQueued(request.team, -1)
+    this.teams.adjustRunning(request.team, 1)
+    return { kind: AdmissionEffectKind.Dispatch, id: request.id, queuedMs: nowMs - queuedAtMs }
   }
 
   /** It was charged when it was queued and has used nothing. */
-  private shedWaiting (waiting: Waiting, reason: OutcomeReason, retryAfterMs: number | null): AdmissionEffect {
+  private shedQueued (waiting: QueuedRequest, reason: OutcomeReason, retryAfterMs: number | null): AdmissionEffect {
     const { id, lane, priority, team, tokens } = waiting.request
     this.lane(lane).queues[priority].remove(waiting)
-    this.waiting.delete(id)
-    this.teams.noteQueued(team, -1)
+    this.queued.delete(id)
+    this.teams.adjustQueued(team, -1)
     this.teams.refund(team, tokens)
-    return queueShed(id, reason, retryAfterMs)
+    return createShedEffect(id, reason, retryAfterMs)
   }
 
   private lane (id: LaneId): AdmissionLane {
--- a/packages/dotterelspur/src/request/admission/AdmissionLane.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionLane.ts
@@ -2,32 +2,32 @@
 import type { TeamId } from '../../process/ids.js'
 import { AdaptiveLimit } from './AdaptiveLimit.js'
 import type { AdmissionOptions } from './AdmissionOptions.js'
-import { ClassQueue, type Waiting } from './ClassQueue.js'
+import { ClassQueue, type QueuedRequest } from './ClassQueue.js'
 import { FairShare } from './FairShare.js'
-import { ReturnPacer } from './ReturnPacer.js'
+import { RetryAfterPacer } from './RetryAfterPacer.js'
 
 export const PRIORITY_CLASSES: readonly PriorityClass[] = [PriorityClass.Interactive, PriorityClass.Standard, PriorityClass.Bulk]
 
-const RUN_TIME_WEIGHT = 0.05
-const LEAST_RETURN_MS = 500
-const UNKNOWN_INTERVAL_MS = 100
+const RUN_TIME_SMOOTHING = 0.05
+const MIN_RETRY_AFTER_MS = 500
+const DEFAULT_INTERVAL_MS = 100
 
 /** Queues and limit of one lane at this node. */
 export class AdmissionLane {
   readonly limit: AdaptiveLimit
   readonly queues: Readonly<Record<PriorityClass, ClassQueue>>
   private readonly running: Record<PriorityClass, number>
-  private readonly pacers: Readonly<Record<PriorityClass, ReturnPacer>>
+  private readonly retryPacers: Readonly<Record<PriorityClass, RetryAfterPacer>>
   private readonly share = new FairShare<PriorityClass>()
   private meanRunMs: number | null = null
   /** Share of the limit that backpressure leaves, 0 to 1. */
-  room = 1
+  limitFactor = 1
 
   constructor (private readonly options: AdmissionOptions) {
     this.limit = new AdaptiveLimit(options.limit, options.initialConcurrency)
     this.queues = byClass(() => new ClassQueue())
     this.running = byClass(() => 0)
-    this.pacers = byClass(() => new ReturnPacer())
+    this.retryPacers = byClass(() => new RetryAfterPacer())
   }
 
   get runningCount (): number {
@@ -35,9 +35,9 @@
   }
 
   /** Takes the next request that may be dispatched: fair between classes, then between teams. */
-  next (mayRun: (team: TeamId) => boolean): Waiting | undefined {
+  next (mayRun: (team: TeamId) => boolean): QueuedRequest | undefined {
     if (this.runningCount >= this.effectiveLimit()) return undefined
-    const ready = PRIORITY_CLASSES.filter((priority) => this.queues[priority].length > 0 && this.hasRoom(priority) && this.queues[priority].hasEligible(mayRun))
+    const ready = PRIORITY_CLASSES.filter((priority) => this.queues[priority].length > 0 && this.hasCapacity(priority) && this.queues[priority].hasRunnable(mayRun))
     const priority = this.share.next(ready)
     if (priority === undefined) return undefined
     this.share.charge(priority, 1, this.options.classWeight[priority])
@@ -45,9 +45,9 @@
     return this.queues[priority].pop(mayRun)
   }
 
-  noteFinished (priority: PriorityClass, runMs: number): void {
+  recordFinished (priority: PriorityClass, runMs: number): void {
     this.running[priority]--
-    this.meanRunMs = this.meanRunMs === null ? runMs : this.meanRunMs + RUN_TIME_WEIGHT * (runMs - this.meanRunMs)
+    this.meanRunMs = this.meanRunMs === null ? runMs : this.meanRunMs + RUN_TIME_SMOOTHING * (runMs - this.meanRunMs)
   }
 
   /**
@@ -57,15 +57,15 @@
   expectedWaitMs (priority: PriorityClass): number | null {
     const intervalMs = this.intervalMs(priority)
     if (intervalMs === null) return null
-    const ahead = this.queues[priority].length
-    return ahead === 0 && this.runningCount < this.effectiveLimit() ? 0 : ahead * intervalMs
+    const queuedAhead = this.queues[priority].length
+    return queuedAhead === 0 && this.runningCount < this.effectiveLimit() ? 0 : queuedAhead * intervalMs
   }
 
   /** When a shed caller should come back. */
-  returnMs (priority: PriorityClass, nowMs: number): number {
-    const intervalMs = this.intervalMs(priority) ?? UNKNOWN_INTERVAL_MS
-    const waitMs = Math.max(LEAST_RETURN_MS, this.queues[priority].length * intervalMs)
-    return this.pacers[priority].nextReturnMs(waitMs, intervalMs, nowMs)
+  nextRetryAfterMs (priority: PriorityClass, nowMs: number): number {
+    const intervalMs = this.intervalMs(priority) ?? DEFAULT_INTERVAL_MS
+    const waitMs = Math.max(MIN_RETRY_AFTER_MS, this.queues[priority].length * intervalMs)
+    return this.retryPacers[priority].nextDelayMs(waitMs, intervalMs, nowMs)
   }
 
   /** Between two dispatches of the class while all that wait now go on waiting. */
@@ -81,7 +81,7 @@
    * A lower class leaves room for what comes with a higher one, counted over all that runs: a share of its own
    * would not help, since the limit adapts and the class would fill it up again. Its floor keeps it going.
    */
-  private hasRoom (priority: PriorityClass): boolean {
+  private hasCapacity (priority: PriorityClass): boolean {
     const { classShare, classFloor } = this.options
     const limit = this.effectiveLimit()
     return this.runningCount < Math.max(1, Math.floor(limit * classShare[priority])) ||
@@ -89,7 +89,7 @@
   }
 
   private effectiveLimit (): number {
-    return Math.max(1, Math.floor(this.limit.value * this.room))
+    return Math.max(1, Math.floor(this.limit.value * this.limitFactor))
   }
 }
 
--- a/packages/dotterelspur/src/request/admission/AllowanceHolder.ts
+++ b/packages/dotterelspur/src/request/admission/AllowanceHolder.ts
@@ -3,7 +3,7 @@
 import { TokenBucket } from './TokenBucket.js'
 
 /** A node's ask for more of a team's limit. Both in units: requests, and tokens. */
-export interface AllowanceAsk {
+export interface AllowanceRequest {
   readonly team: TeamId
   readonly requests: number
   readonly tokens: number
@@ -30,43 +30,43 @@
  * granted twice.
  */
 export class AllowanceHolder {
-  private readonly parts = new Map<TeamId, { readonly requests: TokenBucket, readonly tokens: TokenBucket }>()
+  private readonly shares = new Map<TeamId, { readonly requests: TokenBucket, readonly tokens: TokenBucket }>()
   private limits: ReadonlyMap<TeamId, TeamLimits> = new Map()
   private holders = 1
 
   configure (limits: ReadonlyMap<TeamId, TeamLimits>, nodes: number, nowMs: number): void {
     this.limits = limits
     this.holders = Math.max(1, Math.min(ALLOWANCE_HOLDERS, nodes))
-    for (const [team, part] of this.parts) {
+    for (const [team, share] of this.shares) {
       const teamLimits = limits.get(team)
-      if (teamLimits === undefined) this.parts.delete(team)
-      else this.configurePart(part, teamLimits, nowMs)
+      if (teamLimits === undefined) this.shares.delete(team)
+      else this.configureShare(share, teamLimits, nowMs)
     }
   }
 
-  answer (ask: AllowanceAsk, nowMs: number): AllowanceGrant {
-    const part = this.part(ask.team, nowMs)
-    if (part === undefined) return { team: ask.team, requests: 0, tokens: 0 }
-    return { team: ask.team, requests: part.requests.takeUpTo(ask.requests, nowMs), tokens: part.tokens.takeUpTo(ask.tokens, nowMs) }
+  grant (request: AllowanceRequest, nowMs: number): AllowanceGrant {
+    const share = this.shareOf(request.team, nowMs)
+    if (share === undefined) return { team: request.team, requests: 0, tokens: 0 }
+    return { team: request.team, requests: share.requests.takeUpTo(request.requests, nowMs), tokens: share.tokens.takeUpTo(request.tokens, nowMs) }
   }
 
   /** Starts empty: a new holder can't know what its predecessor has granted in the last second. */
-  private part (team: TeamId, nowMs: number) {
+  private shareOf (team: TeamId, nowMs: number) {
     const limits = this.limits.get(team)
     if (limits === undefined) return undefined
-    let part = this.parts.get(team)
-    if (part === undefined) {
-      part = { requests: new TokenBucket(0, 0, nowMs), tokens: new TokenBucket(0, 0, nowMs) }
-      this.configurePart(part, limits, nowMs)
-      this.parts.set(team, part)
+    let share = this.shares.get(team)
+    if (share === undefined) {
+      share = { requests: new TokenBucket(0, 0, nowMs), tokens: new TokenBucket(0, 0, nowMs) }
+      this.configureShare(share, limits, nowMs)
+      this.shares.set(team, share)
     }
-    return part
+    return share
   }
 
-  private configurePart (part: { readonly requests: TokenBucket, readonly tokens: TokenBucket }, limits: TeamLimits, nowMs: number): void {
+  private configureShare (share: { readonly requests: TokenBucket, readonly tokens: TokenBucket }, limits: TeamLimits, nowMs: number): void {
     const requestsPerSecond = limits.requestsPerSecond / this.holders
     const tokensPerSecond = limits.tokensPerSecond / this.holders
-    part.requests.configure(requestsPerSecond, requestsPerSecond * BURST_SECONDS, nowMs)
-    part.tokens.configure(tokensPerSecond, tokensPerSecond * BURST_SECONDS, nowMs)
+    share.requests.configure(requestsPerSecond, requestsPerSecond * BURST_SECONDS, nowMs)
+    share.tokens.configure(tokensPerSecond, tokensPerSecond * BURST_SECONDS, nowMs)
   }
 }
--- a/packages/dotterelspur/src/request/admission/ClassQueue.ts
+++ b/packages/dotterelspur/src/request/admission/ClassQueue.ts
@@ -3,16 +3,16 @@
 import { FairShare } from './FairShare.js'
 
 /** A request that waits for its dispatch. */
-export interface Waiting {
+export interface QueuedRequest {
   readonly request: AdmissionRequest
-  readonly sinceMs: number
+  readonly queuedAtMs: number
   /** Shed from then on: its deadline, or the longest wait of its class. */
-  readonly giveUpAtMs: number
+  readonly expiresAtMs: number
 }
 
 /** The requests of one class in one lane: first in, first out within a team, fair by tokens between teams. */
 export class ClassQueue {
-  private readonly teams = new Map<TeamId, Waiting[]>()
+  private readonly teams = new Map<TeamId, QueuedRequest[]>()
   private readonly share = new FairShare<TeamId>()
   private count = 0
 
@@ -20,7 +20,7 @@
     return this.count
   }
 
-  push (waiting: Waiting): void {
+  push (waiting: QueuedRequest): void {
     const { team } = waiting.request
     const queue = this.teams.get(team)
     if (queue === undefined) this.teams.set(team, [waiting])
@@ -29,7 +29,7 @@
   }
 
   /** True when a team that may run has something here. */
-  hasEligible (mayRun: (team: TeamId) => boolean): boolean {
+  hasRunnable (mayRun: (team: TeamId) => boolean): boolean {
     for (const team of this.teams.keys()) {
       if (mayRun(team)) return true
     }
@@ -37,7 +37,7 @@
   }
 
   /** Takes the next request of the teams that may run. */
-  pop (mayRun: (team: TeamId) => boolean): Waiting | undefined {
+  pop (mayRun: (team: TeamId) => boolean): QueuedRequest | undefined {
     const team = this.share.next([...this.teams.keys()].filter(mayRun))
     if (team === undefined) return undefined
     const waiting = this.teams.get(team)![0]!
@@ -46,7 +46,7 @@
     return waiting
   }
 
-  remove (waiting: Waiting): void {
+  remove (waiting: QueuedRequest): void {
     const { team } = waiting.request
     const queue = this.teams.get(team)
     const index = queue?.indexOf(waiting) ?? -1
@@ -59,17 +59,17 @@
   }
 
   /** Takes out everything whose time is up. */
-  takeExpired (nowMs: number): Waiting[] {
-    const expired = [...this.teams.values()].flatMap((queue) => queue.filter((waiting) => waiting.giveUpAtMs <= nowMs))
+  takeExpired (nowMs: number): QueuedRequest[] {
+    const expired = [...this.teams.values()].flatMap((queue) => queue.filter((waiting) => waiting.expiresAtMs <= nowMs))
     for (const waiting of expired) this.remove(waiting)
     return expired
   }
 
   /** When the next request here must be given up; Infinity when none waits. */
-  nextGiveUpAtMs (): number {
+  nextExpiryAtMs (): number {
     let earliest = Infinity
     for (const queue of this.teams.values()) {
-      for (const waiting of queue) earliest = Math.min(earliest, waiting.giveUpAtMs)
+      for (const waiting of queue) earliest = Math.min(earliest, waiting.expiresAtMs)
     }
     return earliest
   }
--- a/packages/dotterelspur/src/request/admission/RetryBudget.ts
+++ b/packages/dotterelspur/src/request/admission/RetryBudget.ts
@@ -25,7 +25,7 @@
   }
 
   /** A request was dispatched for the first time. `teamPercent` is the team's own setting; with 0 it has no retries at all. */
-  noteFirstAttempt (team: TeamId, teamPercent: number): void {
+  recordFirstAttempt (team: TeamId, teamPercent: number): void {
     const { reserve, nodePercent } = this.options
     this.nodeTokens = Math.min(reserve, this.nodeTokens + nodePercent / PERCENT)
     const teamReserve = teamPercent === 0 ? 0 : reserve
--- a/packages/dotterelspur/src/request/admission/TeamLimiter.ts
+++ b/packages/dotterelspur/src/request/admission/TeamLimiter.ts
@@ -2,7 +2,7 @@
 import type { Random } from '../../process/Random.js'
 import type { TeamLimits } from '../../version/TeamSettings.js'
 import { AllowanceBudget } from './AllowanceBudget.js'
-import { ALLOWANCE_HOLDERS, type AllowanceAsk, type AllowanceGrant } from './AllowanceHolder.js'
+import { ALLOWANCE_HOLDERS, type AllowanceRequest, type AllowanceGrant } from './AllowanceHolder.js'
 import { TokenBucket } from './TokenBucket.js'
 
 /** Seconds of its rate that a team may use at once after a pause. */
@@ -60,8 +60,8 @@
   charge (team: TeamId, tokens: number, nowMs: number): number | null {
     const account = this.accounts.get(team)
     if (account === undefined) return null
-    noteDemand(account.requests, 1, nowMs)
-    noteDemand(account.tokens, tokens, nowMs)
+    recordDemand(account.requests, 1, nowMs)
+    recordDemand(account.tokens, tokens, nowMs)
     const waitMs = Math.max(account.requests.waitMs(1, nowMs), account.tokens.waitMs(tokens, nowMs))
     if (waitMs > 0) return waitMs
     account.requests.take(1)
@@ -74,19 +74,19 @@
    * needed, and always with even parts. The rank is drawn: taken in turn, all nodes would ask the same holder at the
    * same time, and what the others earn meanwhile would be lost to their bursts.
    */
-  ask (team: TeamId, nowMs: number, random: Random): AllowanceAsk | null {
+  createAllowanceRequest (team: TeamId, nowMs: number, random: Random): AllowanceRequest | null {
     const account = this.accounts.get(team)
     if (account === undefined || !(account.requests instanceof AllowanceBudget) || !(account.tokens instanceof AllowanceBudget)) return null
-    const requests = account.requests.ask(nowMs)
-    const tokens = account.tokens.ask(nowMs)
+    const requests = account.requests.requestMore(nowMs)
+    const tokens = account.tokens.requestMore(nowMs)
     if (requests === 0 && tokens === 0) return null
     return { team, requests, tokens, holderRank: random.integer(Math.min(ALLOWANCE_HOLDERS, this.nodes)) }
   }
 
-  noteGrant ({ team, requests, tokens }: AllowanceGrant): void {
+  applyGrant ({ team, requests, tokens }: AllowanceGrant): void {
     const account = this.accounts.get(team)
-    if (account?.requests instanceof AllowanceBudget) account.requests.noteGrant(requests)
-    if (account?.tokens instanceof AllowanceBudget) account.tokens.noteGrant(tokens)
+    if (account?.requests instanceof AllowanceBudget) account.requests.applyGrant(requests)
+    if (account?.tokens instanceof AllowanceBudget) account.tokens.applyGrant(tokens)
   }
 
   /** A charged request was given up before any dispatch. */
@@ -102,20 +102,20 @@
 
   mayQueue (team: TeamId): boolean {
     const account = this.accounts.get(team)
-    return account === undefined || account.queued < this.part(account.limits.queuedRequests)
+    return account === undefined || account.queued < this.evenShare(account.limits.queuedRequests)
   }
 
   mayRun (team: TeamId): boolean {
     const account = this.accounts.get(team)
-    return account === undefined || account.running < this.part(account.limits.concurrentRequests)
+    return account === undefined || account.running < this.evenShare(account.limits.concurrentRequests)
   }
 
-  noteQueued (team: TeamId, difference: 1 | -1): void {
+  adjustQueued (team: TeamId, difference: 1 | -1): void {
     const account = this.accounts.get(team)
     if (account !== undefined) account.queued = Math.max(0, account.queued + difference)
   }
 
-  noteRunning (team: TeamId, difference: 1 | -1): void {
+  adjustRunning (team: TeamId, difference: 1 | -1): void {
     const account = this.accounts.get(team)
     if (account !== undefined) account.running = Math.max(0, account.running + difference)
   }
@@ -140,7 +140,7 @@
     return new TokenBucket(perSecond, burstOf(perSecond), nowMs)
   }
 
-  private part (limit: number): number {
+  private evenShare (limit: number): number {
     return Math.ceil(limit / this.nodes)
   }
 }
@@ -154,6 +154,6 @@
   else if (budget instanceof AllowanceBudget) budget.configure(perSecond)
 }
 
-function noteDemand (budget: Budget, size: number, nowMs: number): void {
-  if (budget instanceof AllowanceBudget) budget.noteDemand(size, nowMs)
+function recordDemand (budget: Budget, size: number, nowMs: number): void {
+  if (budget instanceof AllowanceBudget) budget.recordDemand(size, nowMs)
 }
--- a/packages/dotterelspur/src/request/admission/TokenBucket.ts
+++ b/packages/dotterelspur/src/request/admission/TokenBucket.ts
@@ -2,11 +2,11 @@
 
 /** A rate limit with a burst. It may be overdrawn by one taking that is larger than its content, and then recovers first. */
 export class TokenBucket {
-  private content: number
+  private available: number
   private updatedAtMs: number
 
   constructor (private perSecond: number, private burst: number, nowMs: number) {
-    this.content = burst
+    this.available = burst
     this.updatedAtMs = nowMs
   }
 
@@ -14,41 +14,41 @@
     this.refill(nowMs)
     this.perSecond = perSecond
     this.burst = burst
-    this.content = Math.min(this.content, burst)
+    this.available = Math.min(this.available, burst)
   }
 
   /** Whether something may be taken now. A taking larger than the burst must be possible, else it never would be. */
   has (size: number, nowMs: number): boolean {
     this.refill(nowMs)
-    return this.content >= Math.min(size, this.burst)
+    return this.available >= Math.min(size, this.burst)
   }
 
   take (size: number): void {
-    this.content -= size
+    this.available -= size
   }
 
   /** Takes as much of this as there is. */
   takeUpTo (size: number, nowMs: number): number {
     this.refill(nowMs)
-    const taken = Math.max(0, Math.min(size, this.content))
-    this.content -= taken
+    const taken = Math.max(0, Math.min(size, this.available))
+    this.available -= taken
     return taken
   }
 
   giveBack (size: number): void {
-    this.content = Math.min(this.burst, this.content + size)
+    this.available = Math.min(this.burst, this.available + size)
   }
 
   /** Until `has` would hold, if nothing is taken meanwhile. */
   waitMs (size: number, nowMs: number): number {
     this.refill(nowMs)
-    const missing = Math.min(size, this.burst) - this.content
-    return missing <= 0 ? 0 : Math.ceil(missing / this.perSecond * SECOND_MS)
+    const shortfall = Math.min(size, this.burst) - this.available
+    return shortfall <= 0 ? 0 : Math.ceil(shortfall / this.perSecond * SECOND_MS)
   }
 
   private refill (nowMs: number): void {
     const passedMs = Math.max(0, nowMs - this.updatedAtMs)
-    this.content = Math.min(this.burst, this.content + passedMs * this.perSecond / SECOND_MS)
+    this.available = Math.min(this.burst, this.available + passedMs * this.perSecond / SECOND_MS)
     this.updatedAtMs = nowMs
   }
 }
--- a/packages/dotterelspur/src/request/admission/outcomes.ts
+++ b/packages/dotterelspur/src/request/admission/outcomes.ts
@@ -10,7 +10,7 @@
 }
 
 /** Gives up a request that was never dispatched. `retryAfterMs` is null where coming back can't help. */
-export function queueShed (id: RequestId, reason: OutcomeReason, retryAfterMs: number | null): AdmissionEffect {
+export function createShedEffect (id: RequestId, reason: OutcomeReason, retryAfterMs: number | null): AdmissionEffect {
   const message = MESSAGES[reason] ?? reason
   return { kind: AdmissionEffectKind.Shed, id, outcome: { kind: OutcomeKind.NotRun, reason, message, retryAfterMs } }
 }
