--- a/packages/dotterelspur/src/__tests__/unit/AdaptiveLimit.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/AdaptiveLimit.test.ts
@@ -8,7 +8,7 @@
   readonly used: number
 }
 
-/** A limit of 8 nodes that share 800, after phases of 20 first tokens a second. */
+/** The limit of one of 8 nodes that share a capacity of 800, after phases with 20 first tokens per second. */
 function createFixture (phases: readonly Phase[]) {
   const limit = new AdaptiveLimit(DEFAULT_ADAPTIVE_LIMIT_OPTIONS, 64)
   limit.configure(800, 8)
@@ -25,11 +25,11 @@
 describe('AdaptiveLimit', () => {
   const cases: ReadonlyArray<{ name: string, phases: readonly Phase[], lowest: number, highest: number }> = [
     { name: 'starts above an even share', phases: [], lowest: 125, highest: 125 },
-    { name: 'stays when it is not in use', phases: [{ seconds: 60, firstTokenMs: 100, used: 0.3 }], lowest: 125, highest: 125 },
+    { name: 'stays unchanged when it is not in use', phases: [{ seconds: 60, firstTokenMs: 100, used: 0.3 }], lowest: 125, highest: 125 },
     { name: 'grows to the whole capacity when one node has all callers', phases: [{ seconds: 30, firstTokenMs: 100, used: 1 }], lowest: 800, highest: 800 },
     { name: 'falls to half an even share and no lower while first tokens stay late', phases: [{ seconds: 2, firstTokenMs: 100, used: 1 }, { seconds: 60, firstTokenMs: 2_000, used: 1 }], lowest: 50, highest: 50 },
-    { name: 'takes a queue that builds up slowly for what it is', phases: [100, 300, 600, 1_000, 1_500, 2_000, 2_500, 3_000].map((firstTokenMs) => ({ seconds: 5, firstTokenMs, used: 1 })), lowest: 50, highest: 250 },
-    { name: 'takes what is always slow for the usual', phases: [{ seconds: 20, firstTokenMs: 2_000, used: 0.3 }], lowest: 125, highest: 125 }
+    { name: 'does not mistake a slowly growing queue for the baseline', phases: [100, 300, 600, 1_000, 1_500, 2_000, 2_500, 3_000].map((firstTokenMs) => ({ seconds: 5, firstTokenMs, used: 1 })), lowest: 50, highest: 250 },
+    { name: 'takes a constantly high time to first token as the baseline', phases: [{ seconds: 20, firstTokenMs: 2_000, used: 0.3 }], lowest: 125, highest: 125 }
   ]
   for (const { name, phases, lowest, highest } of cases) {
     it(name, () => {
@@ -37,13 +37,13 @@
     })
   }
 
-  it('falls at once when an endpoint has no room, and once for signs that come together', () => {
+  it('falls immediately when an endpoint has no capacity, and only once for refusals in one window', () => {
     const { limit, nowMs } = createFixture([])
     for (let index = 0; index < 10; index++) limit.recordCongestion(nowMs + index)
     expect(limit.value).to.equal(112)
   })
 
-  it('keeps its proportion when groups go or nodes come', () => {
+  it('keeps its proportion when capacity or the number of nodes changes', () => {
     const { limit } = createFixture([])
     limit.configure(400, 8)
     expect(limit.value).to.equal(62)
@@ -55,12 +55,12 @@
 describe('hedgeDelayMs', () => {
   const cases: ReadonlyArray<{ name: string, input: Partial<HedgeInput>, delayMs: number | null }> = [
     { name: 'waits for twice p95', input: {}, delayMs: 1_000 },
-    { name: 'counts what has passed', input: { elapsedMs: 600 }, delayMs: 400 },
-    { name: 'is due at once after that', input: { elapsedMs: 5_000 }, delayMs: 0 },
-    { name: 'waits for half a second at least', input: { firstTokenP95Ms: 10 }, delayMs: 500 },
-    { name: 'never for what must not run twice', input: { idempotent: false }, delayMs: null },
-    { name: 'never a third attempt', input: { attempts: 2 }, delayMs: null },
-    { name: 'never without knowing what is usual', input: { firstTokenP95Ms: null }, delayMs: null }
+    { name: 'subtracts the elapsed time', input: { elapsedMs: 600 }, delayMs: 400 },
+    { name: 'is due immediately after that', input: { elapsedMs: 5_000 }, delayMs: 0 },
+    { name: 'waits for at least half a second', input: { firstTokenP95Ms: 10 }, delayMs: 500 },
+    { name: 'never hedges a non-idempotent request', input: { idempotent: false }, delayMs: null },
+    { name: 'never sends a third attempt', input: { attempts: 2 }, delayMs: null },
+    { name: 'never hedges while the p95 is unknown', input: { firstTokenP95Ms: null }, delayMs: null }
   ]
   for (const { name, input, delayMs } of cases) {
     it(name, () => {
--- a/packages/dotterelspur/src/__tests__/unit/AdmissionController.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/AdmissionController.test.ts
@@ -26,7 +26,7 @@
   return effects.filter((effect) => effect.kind === kind).map((effect) => effect.id)
 }
 
-/** Keeps the lane full and counts which requests are dispatched, in order. */
+/** Finishes running requests one by one, which keeps the lane full, and returns the requests dispatched, in order. */
 function dispatchInTurn (admission: AdmissionController, running: string[], turns: number): string[] {
   const order: string[] = []
   for (let turn = 0; turn < turns; turn++) {
@@ -39,7 +39,7 @@
 }
 
 describe('AdmissionController', () => {
-  it('dispatches up to the lane\'s concurrency and the next one when one ends', () => {
+  it('dispatches up to the lane\'s concurrency and the next request when one finishes', () => {
     const { admission } = createFixture(2)
     const first = ['r1', 'r2', 'r3'].flatMap((id) => admission.offer(createRequest(id), 0))
     expect(first.map((effect) => effect.id)).to.deep.equal(['r1', 'r2'])
@@ -47,7 +47,7 @@
     expect(next).to.deep.equal([{ kind: AdmissionEffectKind.Dispatch, id: 'r3', queuedMs: 50 }])
   })
 
-  it('sheds at once, as not-run with a time to come back, what can no longer start in time', () => {
+  it('sheds a queued request at its deadline, as not-run with a Retry-After', () => {
     const { admission } = createFixture(1)
     admission.offer(createRequest('r1'), 0)
     admission.offer(createRequest('r2', { deadlineAtMs: 300 }), 0)
@@ -59,7 +59,7 @@
     expect(outcome?.retryAfterMs).to.be.greaterThan(0)
   })
 
-  it('takes a cancelled request out of its queue', () => {
+  it('removes a cancelled request from its queue', () => {
     const { admission } = createFixture(1)
     admission.offer(createRequest('r1'), 0)
     admission.offer(createRequest('r2'), 0)
@@ -67,7 +67,7 @@
     expect(admission.finish('r1', WHOLE, 2)).to.deep.equal([])
   })
 
-  it('refuses on arrival what stands too far back to start before its deadline', () => {
+  it('sheds on arrival a request too far back in the queue to start before its deadline', () => {
     const { admission } = createFixture(1)
     admission.offer(createRequest('warm'), 0)
     admission.finish('warm', WHOLE, 1_000)
@@ -77,7 +77,7 @@
     expect(idsOf(effects, AdmissionEffectKind.Shed)).to.deep.equal(['far'])
   })
 
-  it('tells shed callers to come back one after another', () => {
+  it('spaces the Retry-After of shed callers', () => {
     const { admission } = createFixture(1, { queueLimit: { ...DEFAULT_ADMISSION_OPTIONS.queueLimit, [PriorityClass.Interactive]: 0 } })
     const times = ['r1', 'r2', 'r3'].flatMap((id) => admission.offer(createRequest(id), 0))
       .map((effect) => effect.kind === AdmissionEffectKind.Shed ? effect.outcome.retryAfterMs! : 0)
@@ -85,7 +85,7 @@
     expect(times[2]).to.be.greaterThan(times[1]!)
   })
 
-  it('shrinks lanes while slow callers fill the buffers', () => {
+  it('lowers the limits of lanes while slow callers fill the buffers', () => {
     const { admission } = createFixture(10)
     admission.setBufferUsage(0.75, 0)
     const offered = Array.from({ length: 8 }, (_, index) => admission.offer(createRequest(`r${index}`), 0)).flat()
@@ -95,7 +95,7 @@
 })
 
 describe('AdmissionController classes and teams', () => {
-  it('serves classes by weight while all wait, and bulk is never starved', () => {
+  it('serves waiting classes by weight and never starves bulk', () => {
     const { admission } = createFixture(4, { maxQueueMs: { interactive: 1e9, standard: 1e9, bulk: 1e9 } })
     const running = idsOf(Array.from({ length: 4 }, (_, index) => admission.offer(createRequest(`w${index}`), 0)).flat(), AdmissionEffectKind.Dispatch)
     for (let index = 0; index < 60; index++) {
@@ -106,14 +106,14 @@
     expect(order.filter((id) => id.startsWith('b'))).to.have.length(3)
   })
 
-  it('keeps room that bulk can\'t take', () => {
+  it('keeps part of the limit free of bulk requests', () => {
     const { admission } = createFixture(4)
     const bulk = Array.from({ length: 8 }, (_, index) => admission.offer(createRequest(`b${index}`, { priority: PriorityClass.Bulk }), 0)).flat()
     expect(idsOf(bulk, AdmissionEffectKind.Dispatch)).to.have.length(3)
     expect(idsOf(admission.offer(createRequest('i1'), 0), AdmissionEffectKind.Dispatch)).to.deep.equal(['i1'])
   })
 
-  it('shares a class between teams by tokens, whoever sends more requests', () => {
+  it('shares a class between teams by tokens, not by number of requests', () => {
     const { admission } = createFixture(1)
     const running = idsOf(admission.offer(createRequest('first'), 0), AdmissionEffectKind.Dispatch)
     for (let index = 0; index < 30; index++) admission.offer(createRequest(`small${index}`, { team: 'tradeline', tokens: 100 }), 0)
@@ -124,9 +124,9 @@
 
   const limitCases: ReadonlyArray<{ name: string, limits: Partial<TeamLimits>, nodes: number, offered: number, dispatched: number, reason: OutcomeReason | null }> = [
     { name: 'requests per second, with a burst of two seconds', limits: { requestsPerSecond: 2 }, nodes: 1, offered: 6, dispatched: 4, reason: OutcomeReason.RateLimited },
-    { name: 'an even part of it on each node', limits: { requestsPerSecond: 8 }, nodes: 8, offered: 6, dispatched: 2, reason: OutcomeReason.RateLimited },
+    { name: 'an even share of the rate on each node', limits: { requestsPerSecond: 8 }, nodes: 8, offered: 6, dispatched: 2, reason: OutcomeReason.RateLimited },
     { name: 'tokens per second', limits: { tokensPerSecond: 150 }, nodes: 1, offered: 6, dispatched: 3, reason: OutcomeReason.RateLimited },
-    { name: 'concurrent requests wait rather than fail', limits: { concurrentRequests: 2 }, nodes: 1, offered: 4, dispatched: 2, reason: null },
+    { name: 'concurrent requests above the limit wait rather than fail', limits: { concurrentRequests: 2 }, nodes: 1, offered: 4, dispatched: 2, reason: null },
     { name: 'queued requests', limits: { concurrentRequests: 1, queuedRequests: 2 }, nodes: 1, offered: 5, dispatched: 1, reason: OutcomeReason.RateLimited }
   ]
   for (const row of limitCases) {
@@ -140,7 +140,7 @@
     })
   }
 
-  it('gives back what a request was charged and didn\'t use', () => {
+  it('refunds the charged tokens that a request did not use', () => {
     const { admission } = createFixture(100)
     admission.configureTeams(new Map([['tradeline', createLimits({ tokensPerSecond: 100 })]]), 1, 0)
     admission.offer(createRequest('r1', { tokens: 200 }), 0)
@@ -158,7 +158,7 @@
     waitMs: fc.nat(400)
   })
 
-  it('answers each request exactly once, in time, within its bounds', () => {
+  it('dispatches or sheds each request exactly once, in time and within the limits', () => {
     fc.assert(fc.property(fc.array(step, { maxLength: 120 }), (steps) => {
       const { admission } = createFixture(3, { queueLimit: { interactive: 5, standard: 5, bulk: 5 } })
       admission.configureTeams(new Map([['tradeline', createLimits({ requestsPerSecond: 5 })], ['piedmont', createLimits({ concurrentRequests: 1, queuedRequests: 2 })]]), 1, 0)
@@ -168,7 +168,7 @@
       let nowMs = 0
       const carryOut = (effects: readonly AdmissionEffect[]): void => {
         for (const effect of effects) {
-          expect(answered.has(effect.id), `${effect.id} answered twice`).to.equal(false)
+          expect(answered.has(effect.id), `${effect.id} dispatched or shed twice`).to.equal(false)
           answered.add(effect.id)
           if (effect.kind === AdmissionEffectKind.Dispatch) {
             expect(nowMs).to.be.lessThan(deadlines.get(effect.id)!)
@@ -220,13 +220,13 @@
     expect(budget.tryRetry('piedmont')).to.equal(false)
   })
 
-  it('gives a team none whose setting is 0', () => {
+  it('gives a team whose setting is 0 no retries', () => {
     const budget = new RetryBudget()
     budget.recordFirstAttempt('tradeline', 0)
     expect(budget.tryRetry('tradeline')).to.equal(false)
   })
 
-  it('is never exceeded, whatever the order', () => {
+  it('is never exceeded in any order of first attempts and retries', () => {
     const step = fc.record({ retry: fc.boolean(), team: fc.constantFrom('tradeline', 'piedmont') })
     fc.assert(fc.property(fc.array(step, { maxLength: 300 }), fc.integer({ min: 0, max: 50 }), (steps, percent) => {
       const reserve = 5
--- a/packages/dotterelspur/src/__tests__/unit/TeamLimiter.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/TeamLimiter.test.ts
@@ -23,7 +23,7 @@
 
 describe('TeamLimiter over many nodes', () => {
   for (const sharing of Object.values(LimitSharing)) {
-    it(`stays within its bound, whatever arrives where and which answers are lost or late (${sharing})`, () => {
+    it(`stays within its bound for any arrivals and any lost or late grants (${sharing})`, () => {
       const step = fc.record({ node: fc.nat(11), waitMs: fc.nat(300), lost: fc.boolean(), delayMs: fc.nat(2_000) })
       fc.assert(fc.property(fc.array(step, { maxLength: 400 }), fc.integer({ min: 1, max: 60 }), (steps, requestsPerSecond) => {
         const nodes = 12
@@ -43,7 +43,7 @@
           if (!lost) grantsInFlight.push({ atMs: nowMs + delayMs, node, grant })
         }
         const bursts = sharing === LimitSharing.Even ? Math.max(nodes, 2 * requestsPerSecond) : requestsPerSecond + nodes
-        // A node whose answers are lost spends its even part, beside what the holders grant to others.
+        // A node whose grants are lost spends its even share, in addition to what the holders grant to other nodes.
         const sides = sharing === LimitSharing.Even ? 1 : 2
         expect(admitted).to.be.at.most(sides * requestsPerSecond * nowMs / 1_000 + bursts + 1e-6)
       }), { seed: SEED, numRuns: 60 })
@@ -62,7 +62,7 @@
     expect(admitted).to.be.greaterThan(1_700)
   })
 
-  it('slows a team at a node that no holder answers, and does not stop it', () => {
+  it('slows a team down at a node that gets no grants, but does not block it', () => {
     const { limiters } = createFleet({ sharing: LimitSharing.Holders, nodes: 10, requestsPerSecond: 100 })
     const random = createRandom(SEED)
     let admitted = 0
--- a/packages/dotterelspur/src/request/admission/AdaptiveLimit.ts
+++ b/packages/dotterelspur/src/request/admission/AdaptiveLimit.ts
@@ -1,19 +1,19 @@
 export interface AdaptiveLimitOptions {
-  /** A first token later than this, and later than `lateRatio` times the usual, counts as late: work waits at the endpoints. */
+  /** A first token is late, a sign of requests queueing at the endpoints, above this time and above `lateRatio` times the baseline. */
   readonly lateFirstTokenMs: number
   readonly lateRatio: number
-  /** More late ones than this share of a window's are a sign of congestion. */
+  /** Share of late first tokens in a window above which the window counts as congested. */
   readonly lateShare: number
-  /** A window ends after this long, with at least so many first tokens. */
+  /** A window ends once it has lasted this long and has at least `windowSamples` first tokens. */
   readonly windowMs: number
   readonly windowSamples: number
-  /** Factor on the limit after a window with congestion. */
+  /** Factor applied to the limit on congestion. */
   readonly decreaseFactor: number
-  /** Factor after a window in which the limit was in use, soon after and long after a congestion. */
+  /** Factors applied after a window without congestion in which the limit was in use; the fast one once `fastAfterMs` has passed since the last decrease. */
   readonly increaseFactor: number
   readonly fastIncreaseFactor: number
   readonly fastAfterMs: number
-  /** The limit starts at this many times the node's even share of the capacity. */
+  /** The limit starts at this multiple of the node's even share of the capacity. */
   readonly startFactor: number
 }
 
@@ -32,21 +32,22 @@
 
 const BASELINE_FALL_WEIGHT = 0.1
 /**
- * The usual first token falls with the samples and rises with time, over minutes: followed closely, or by the count
- * of samples, a queue that builds up or lasts would become the usual and the limit would grow into it.
+ * Time constant with which the baseline time to first token rises; it falls per sample with `BASELINE_FALL_WEIGHT`. If
+ * it rose quickly, or per sample, the delay of a growing or lasting queue would become the baseline, the first
+ * tokens would no longer count as late, and the limit would grow while requests queue.
  */
 const BASELINE_RISE_MS = 300_000
 const IN_USE_SHARE = 0.8
 const MIN_START_LIMIT = 2
 
 /**
- * How many requests this node may have under way at once in a lane.
+ * Adaptive limit on the concurrent requests of this node in one lane.
  *
- * The endpoints' capacity is shared by nodes that don't count together. A fixed share per node is too small where
- * callers come through few nodes, and a large one lets work pile up at the endpoints, where it can no longer be
- * shed truthfully. That shows as late first tokens. So a window with too many late ones, or a refusal for lack of
- * room, lowers the limit, and a window in which a full limit made none late raises it. Nodes that share an
- * endpoint see the same signs and come to even shares.
+ * Nodes share the endpoints' capacity without a common counter. A fixed share per node is too small when callers use
+ * few of the nodes, and a large one lets requests queue at the endpoints, where they can no longer be shed with proof
+ * that they did not run. Such queueing shows as late first tokens. A window with too many of them, or a refusal by an
+ * endpoint for lack of capacity, lowers the limit; a window without congestion in which the limit was in use raises
+ * it. Nodes that share an endpoint observe the same congestion and converge to even shares.
  */
 export class AdaptiveLimit {
   private limit: number
@@ -65,7 +66,7 @@
     return Math.max(1, Math.floor(this.limit))
   }
 
-  /** Takes in the endpoints' capacity and the number of nodes that share it; the limit keeps its proportion. */
+  /** Sets the endpoints' capacity and the number of nodes that share it. The limit is scaled with the node's even share. */
   configure (capacity: number, nodes: number): void {
     if (capacity === this.capacity && nodes === this.nodes) return
     const previousShare = this.capacity / this.nodes
@@ -76,7 +77,7 @@
     this.clamp()
   }
 
-  /** A first token came. `running` tells whether the limit was in use: only then may it grow. */
+  /** Records a time to first token. `running` is the lane's number of running requests; the limit grows only while in use. */
   recordFirstToken (firstTokenMs: number, running: number, nowMs: number): void {
     const { lateFirstTokenMs, lateRatio, windowMs, windowSamples } = this.options
     const baselineMs = this.baselineMs ?? firstTokenMs
@@ -92,7 +93,7 @@
     if (window.samples >= windowSamples && nowMs - window.sinceMs >= windowMs) this.closeWindow(nowMs)
   }
 
-  /** An endpoint had no room. Counts at once, but once per window: the signs of one congestion come together. */
+  /** Records that an endpoint refused for lack of capacity. Lowers the limit at once, but only once per window, since one congestion causes many refusals. */
   recordCongestion (nowMs: number): void {
     if (nowMs - this.lastDecreaseAtMs < this.options.windowMs) return
     this.decrease(nowMs)
@@ -114,7 +115,7 @@
     this.clamp()
   }
 
-  /** Between half an even share, so that no node is starved, and all of the capacity. */
+  /** Keeps the limit between half the even share, so that no node is starved, and the whole capacity. */
   private clamp (): void {
     if (this.capacity === 0) return
     const minLimit = Math.max(1, this.capacity / this.nodes / 2)
--- a/packages/dotterelspur/src/request/admission/AdmissionController.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionController.ts
@@ -19,7 +19,7 @@
   hasFirstToken: boolean
 }
 
-/** What waits and runs in one lane, for the operators' view. */
+/** Numbers of queued and running requests of one lane, shown to operators. */
 export interface LaneLoad {
   readonly lane: LaneId
   readonly running: number
@@ -28,10 +28,10 @@
 }
 
 /**
- * Decides when an accepted request is dispatched, and which ones are given up before that. One per process.
+ * Decides when a request is dispatched and which requests are shed. One instance per process.
  *
- * Every method returns the effects that the caller must carry out, at once. A request is first offered; it is then
- * dispatched or shed by that or a later call, exactly one of the two. The state changes in place, see Router.
+ * Methods return effects that the caller must carry out immediately. A request enters by `offer`; that call or a later
+ * one either dispatches or sheds it, exactly once. State is updated in place, see Router.
  */
 export class AdmissionController {
   private readonly lanes = new Map<LaneId, AdmissionLane>()
@@ -45,7 +45,7 @@
     this.teams = new TeamLimiter(sharing)
   }
 
-  /** Replaces the limits of all teams; a team without an entry is not limited. The nodes share them. */
+  /** Replaces the limits of all teams, which `nodes` nodes share. A team without an entry has no limit. */
   configureTeams (limits: ReadonlyMap<TeamId, TeamLimits>, nodes: number, nowMs: number): void {
     this.teams.configure(limits, nodes, nowMs)
     for (const team of this.teamRetryPacers.keys()) {
@@ -53,25 +53,25 @@
     }
   }
 
-  /** With LimitSharing.Holders, after each offer: what to ask a holder of the team for; see TeamLimiter. */
+  /** With LimitSharing.Holders, call it after each offer: returns the request to send to a holder; see TeamLimiter. */
   createAllowanceRequest (team: TeamId, nowMs: number, random: Random): AllowanceRequest | null {
     return this.teams.createAllowanceRequest(team, nowMs, random)
   }
 
-  /** A holder's answer to an ask. */
+  /** Applies a holder's response to an allowance request. */
   applyGrant (grant: AllowanceGrant): void {
     this.teams.applyGrant(grant)
   }
 
-  /** Sets how many requests the lane's endpoints can run side by side, and how many nodes share them. */
+  /** Sets the concurrent capacity of the lane's endpoints and the number of nodes that share it. */
   configureLane (lane: LaneId, capacity: number, nodes: number, nowMs: number): AdmissionEffect[] {
     this.lane(lane).limit.configure(capacity, nodes)
     return this.serve(lane, nowMs)
   }
 
   /**
-   * Slow callers fill this node's buffers: `share` is the part in use, 0 to 1. Above a half, lanes shrink in
-   * proportion, so that less is asked of engines than callers take.
+   * Sets the share of this node's response buffers in use, 0 to 1. Above one half, the limits of all lanes are scaled
+   * down linearly, so that engines don't produce more than slow callers read.
    */
   setBufferUsage (share: number, nowMs: number): AdmissionEffect[] {
     const limitFactor = Math.min(1, Math.max(0, (1 - share) * 2))
@@ -80,7 +80,7 @@
   }
 
   offer (request: AdmissionRequest, nowMs: number): AdmissionEffect[] {
-    invariant(!this.queued.has(request.id) && !this.running.has(request.id), `${request.id} is offered once`)
+    invariant(!this.queued.has(request.id) && !this.running.has(request.id), `request ${request.id} was offered twice`)
     const refusal = this.refuse(request, nowMs)
     if (refusal !== null) return [refusal]
     const expiresAtMs = Math.min(request.deadlineAtMs, nowMs + this.options.maxQueueMs[request.priority])
@@ -91,7 +91,7 @@
     return this.serve(request.lane, nowMs)
   }
 
-  /** Once per dispatched request at most, when its first token arrives: the limit learns sooner than by `finish`. */
+  /** Call it when the first token of a dispatched request arrives, so that the limit adapts before `finish`. Later calls are ignored. */
   recordFirstToken (id: RequestId, nowMs: number): void {
     const running = this.running.get(id)
     if (running === undefined || running.hasFirstToken) return
@@ -100,10 +100,10 @@
     lane.limit.recordFirstToken(nowMs - running.dispatchedAtMs, lane.runningCount, nowMs)
   }
 
-  /** Once for each dispatched request, when its last attempt has ended. */
+  /** Call it exactly once for each dispatched request, when its last attempt has ended. */
   finish (id: RequestId, result: AdmissionResult, nowMs: number): AdmissionEffect[] {
     const running = this.running.get(id)
-    invariant(running !== undefined, `finish of ${id}, which is not running`)
+    invariant(running !== undefined, `finish of request ${id}, which is not running`)
     const { request, dispatchedAtMs, hasFirstToken } = running
     const lane = this.lane(request.lane)
     if (result.overloaded) lane.limit.recordCongestion(nowMs)
@@ -116,7 +116,7 @@
     return wasAtLimit ? this.tick(nowMs) : this.serve(request.lane, nowMs)
   }
 
-  /** The caller went away: a queued request is shed as cancelled; a running one is left to `finish`. */
+  /** Call it when the caller has disconnected. Sheds a queued request as cancelled; a running one still ends by `finish`. */
   cancel (id: RequestId, nowMs: number): AdmissionEffect[] {
     const waiting = this.queued.get(id)
     if (waiting === undefined) return []
@@ -124,12 +124,12 @@
     return [this.shedQueued(waiting, OutcomeReason.Cancelled, null), ...this.serve(lane, nowMs)]
   }
 
-  /** Sheds what can no longer start in time and dispatches what can. Call it at `nextTickAtMs`. */
+  /** Sheds requests that have expired in a queue and dispatches those that have capacity. Call it at `nextTickAtMs`. */
   tick (nowMs: number): AdmissionEffect[] {
     return [...this.lanes.keys()].flatMap((lane) => this.serve(lane, nowMs))
   }
 
-  /** When something queued must be looked at again, if nothing else happens; null when nothing waits. */
+  /** When the next queued request expires; null when no request is queued. */
   nextTickAtMs (): number | null {
     if (this.queued.size === 0) return null
     let earliest = Infinity
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Refuses at once what could not be dispatched in time, rather than when its time is up: the caller can go
-   * elsewhere or come back, and the queue is kept for those that can still be served.
+   * Sheds on arrival a request that is not expected to be dispatched in time, instead of when it expires: the caller
+   * can use another node or retry, and the queue holds only requests that can still be served.
    */
   private refuse (request: AdmissionRequest, nowMs: number): AdmissionEffect | null {
     const { id, team, priority, tokens, deadlineAtMs } = request
@@ -200,7 +200,7 @@
     return { kind: AdmissionEffectKind.Dispatch, id: request.id, queuedMs: nowMs - queuedAtMs }
   }
 
-  /** It was charged when it was queued and has used nothing. */
+  /** Removes the request from its queue and refunds what the team was charged on arrival, since the request did not run. */
   private shedQueued (waiting: QueuedRequest, reason: OutcomeReason, retryAfterMs: number | null): AdmissionEffect {
     const { id, lane, priority, team, tokens } = waiting.request
     this.lane(lane).queues[priority].remove(waiting)
--- a/packages/dotterelspur/src/request/admission/AdmissionLane.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionLane.ts
@@ -12,7 +12,7 @@
 const MIN_RETRY_AFTER_MS = 500
 const DEFAULT_INTERVAL_MS = 100
 
-/** Queues and limit of one lane at this node. */
+/** The queues and the concurrency limit of one lane at this node. */
 export class AdmissionLane {
   readonly limit: AdaptiveLimit
   readonly queues: Readonly<Record<PriorityClass, ClassQueue>>
@@ -20,7 +20,7 @@
   private readonly retryPacers: Readonly<Record<PriorityClass, RetryAfterPacer>>
   private readonly share = new FairShare<PriorityClass>()
   private meanRunMs: number | null = null
-  /** Share of the limit that backpressure leaves, 0 to 1. */
+  /** Factor on the limit, 0 to 1, lowered while slow callers fill the buffers; see AdmissionController.setBufferUsage. */
   limitFactor = 1
 
   constructor (private readonly options: AdmissionOptions) {
@@ -34,7 +34,7 @@
     return PRIORITY_CLASSES.reduce((sum, priority) => sum + this.running[priority], 0)
   }
 
-  /** Takes the next request that may be dispatched: fair between classes, then between teams. */
+  /** Removes and returns the next request that may be dispatched: weighted fair between classes, then fair between teams. */
   next (mayRun: (team: TeamId) => boolean): QueuedRequest | undefined {
     if (this.runningCount >= this.effectiveLimit()) return undefined
     const ready = PRIORITY_CLASSES.filter((priority) => this.queues[priority].length > 0 && this.hasCapacity(priority) && this.queues[priority].hasRunnable(mayRun))
@@ -51,8 +51,8 @@
   }
 
   /**
-   * How long a request that is queued now is likely to wait: what stands before it at the pace of the lane. Null
-   * until a request has finished.
+   * Expected wait of a request queued now: the requests of its class queued before it times the interval between
+   * dispatches. Null until a request has finished.
    */
   expectedWaitMs (priority: PriorityClass): number | null {
     const intervalMs = this.intervalMs(priority)
@@ -61,14 +61,14 @@
     return queuedAhead === 0 && this.runningCount < this.effectiveLimit() ? 0 : queuedAhead * intervalMs
   }
 
-  /** When a shed caller should come back. */
+  /** Retry-After for the next shed caller of the class. */
   nextRetryAfterMs (priority: PriorityClass, nowMs: number): number {
     const intervalMs = this.intervalMs(priority) ?? DEFAULT_INTERVAL_MS
     const waitMs = Math.max(MIN_RETRY_AFTER_MS, this.queues[priority].length * intervalMs)
     return this.retryPacers[priority].nextDelayMs(waitMs, intervalMs, nowMs)
   }
 
-  /** Between two dispatches of the class while all that wait now go on waiting. */
+  /** Expected interval between two dispatches of the class while the classes that have queued requests now keep them. */
   private intervalMs (priority: PriorityClass): number | null {
     if (this.meanRunMs === null) return null
     const { classWeight } = this.options
@@ -78,8 +78,9 @@
   }
 
   /**
-   * A lower class leaves room for what comes with a higher one, counted over all that runs: a share of its own
-   * would not help, since the limit adapts and the class would fill it up again. Its floor keeps it going.
+   * Whether the class may dispatch. A lower class leaves part of the limit free for requests of higher classes, counted
+   * over all running requests: a separate share per class would not keep it free, since the limit adapts and the class
+   * would fill it again. The floor of the class prevents its starvation.
    */
   private hasCapacity (priority: PriorityClass): boolean {
     const { classShare, classFloor } = this.options
--- a/packages/dotterelspur/src/request/admission/AdmissionOptions.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionOptions.ts
@@ -2,17 +2,17 @@
 import { DEFAULT_ADAPTIVE_LIMIT_OPTIONS, type AdaptiveLimitOptions } from './AdaptiveLimit.js'
 
 export interface AdmissionOptions {
-  /** Queued requests per lane and class at this node. */
+  /** Maximum number of queued requests per lane and class at this node. */
   readonly queueLimit: Readonly<Record<PriorityClass, number>>
-  /** A request that waited this long is shed even when its deadline is far. */
+  /** Maximum time in the queue; a request that has waited this long is shed even if its deadline is later. */
   readonly maxQueueMs: Readonly<Record<PriorityClass, number>>
-  /** Share of dispatches while all classes wait. */
+  /** Weights of the classes for dispatches while several have queued requests. */
   readonly classWeight: Readonly<Record<PriorityClass, number>>
-  /** A class is dispatched only while less than this share of the lane's concurrency is in use, by whatever class. */
+  /** A class is dispatched only while less than this share of the lane's concurrency is in use by all classes together. */
   readonly classShare: Readonly<Record<PriorityClass, number>>
-  /** A class that holds less than this share of the concurrency is dispatched all the same: it is never starved. */
+  /** A class using less than this share of the concurrency is dispatched in spite of `classShare`, so that it is never starved. */
   readonly classFloor: Readonly<Record<PriorityClass, number>>
-  /** Concurrency of a lane that was never configured. */
+  /** Concurrency limit of a lane before its first configuration. */
   readonly initialConcurrency: number
   readonly limit: AdaptiveLimitOptions
 }
--- a/packages/dotterelspur/src/request/admission/AdmissionRequest.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionRequest.ts
@@ -2,25 +2,25 @@
 import type { RequestId, TeamId } from '../../process/ids.js'
 import type { Outcome } from '../Outcome.js'
 
-/** What shares the same endpoints and so the same concurrency limit: one model, or one plain service. */
+/** A lane is one model or one plain service: its requests share the same endpoints and so one concurrency limit. */
 export type LaneId = string & { readonly __flavor?: 'LaneId' }
 
-/** A request that asks to be dispatched. */
+/** A request offered for dispatch. */
 export interface AdmissionRequest {
   readonly id: RequestId
   readonly team: TeamId
   readonly lane: LaneId
   readonly priority: PriorityClass
-  /** Tokens that it is expected to use, prompt and answer; 0 for plain services. */
+  /** Expected tokens of prompt and answer together; 0 for plain services. */
   readonly tokens: number
-  /** On this node's monotonic clock: of no use when its first token comes later. */
+  /** Deadline for the first token, on this node's monotonic clock. */
   readonly deadlineAtMs: number
 }
 
 export enum AdmissionEffectKind {
-  /** Run it now; `finish` must follow. */
+  /** Run the request now; the caller must call `finish` afterwards. */
   Dispatch = 'dispatch',
-  /** Answer it at once with the outcome, a truthful not-run: it was never dispatched and is forgotten here. */
+  /** Respond with the outcome now. It is not-run, since the request was never dispatched; the controller keeps no state of it. */
   Shed = 'shed'
 }
 
@@ -28,12 +28,12 @@
   | { readonly kind: AdmissionEffectKind.Dispatch, readonly id: RequestId, readonly queuedMs: number }
   | { readonly kind: AdmissionEffectKind.Shed, readonly id: RequestId, readonly outcome: Outcome }
 
-/** How a dispatched request went, for the limit that adapts. */
+/** Result of a dispatched request, used to adapt the limit and to settle the team's account. */
 export interface AdmissionResult {
-  /** From dispatch to the first token; null when none came. */
+  /** Time from dispatch to the first token; null if none arrived. */
   readonly firstTokenMs: number | null
-  /** An endpoint refused for lack of room, or timed out. */
+  /** An endpoint refused for lack of capacity, or timed out. */
   readonly overloaded: boolean
-  /** Tokens that were really used; the team's account is corrected by the difference. */
+  /** Tokens actually used; the difference to the charged tokens is credited or charged to the team. */
   readonly tokens: number
 }
--- a/packages/dotterelspur/src/request/admission/AllowanceBudget.ts
+++ b/packages/dotterelspur/src/request/admission/AllowanceBudget.ts
@@ -3,13 +3,13 @@
 const MAX_HELD_SECONDS = 2
 const REQUEST_BELOW_SECONDS = 1
 const REQUEST_INTERVAL_MS = 250
-/** After a grant of less than half of what was asked, the next holder is asked sooner. */
+/** Interval until the next request after a grant of less than half of the requested size. */
 const SHORT_REQUEST_INTERVAL_MS = 50
 const GRANT_TIMEOUT_MS = 3_000
 
 /**
- * What a node may still spend of a team's limit, as holders granted it. It may be overdrawn by one request, so that
- * a team's first request at a node doesn't wait for a message; the next grant pays for it.
+ * The part of a team's limit that holders have granted to this node and that it has not spent. One request may
+ * overdraw it, so that a team's first request at a node needs no message exchange; the next grant covers the overdraft.
  */
 export class AllowanceBudget {
   private available = 0
@@ -29,7 +29,7 @@
     this.fallbackPerSecond = fallbackPerSecond
   }
 
-  /** A request of this size was offered, admitted or not. */
+  /** Records the size of an offered request, whether or not it is admitted. */
   recordDemand (size: number, nowMs: number): void {
     const passedMs = Math.max(0, nowMs - this.lastDemandAtMs)
     if (this.isCutOff(nowMs)) this.available = Math.min(this.available + this.fallbackPerSecond * passedMs / SECOND_MS, this.maxHeld())
@@ -50,7 +50,7 @@
     this.available = Math.min(this.maxHeld(), this.available + size)
   }
 
-  /** How much to ask for now; 0 when there is enough or an ask was made just before. */
+  /** Returns the size to request from a holder now; 0 when enough is available or the last request was too recent. */
   requestMore (nowMs: number): number {
     if (this.available >= this.demandPerSecond * REQUEST_BELOW_SECONDS || nowMs < this.nextRequestAtMs) return 0
     this.requestedAtMs = nowMs
@@ -66,7 +66,7 @@
     this.giveBack(size)
   }
 
-  /** Without an answer for a while the node spends its even part, so that a cut-off team is slowed and not stopped. */
+  /** After `GRANT_TIMEOUT_MS` without a grant the node spends its even share, so that a team at a node without reachable holders is slowed down rather than blocked. */
   private isCutOff (nowMs: number): boolean {
     return this.unansweredSinceMs !== null && nowMs - this.unansweredSinceMs > GRANT_TIMEOUT_MS
   }
--- a/packages/dotterelspur/src/request/admission/AllowanceHolder.ts
+++ b/packages/dotterelspur/src/request/admission/AllowanceHolder.ts
@@ -2,32 +2,32 @@
 import type { TeamLimits } from '../../version/TeamSettings.js'
 import { TokenBucket } from './TokenBucket.js'
 
-/** A node's ask for more of a team's limit. Both in units: requests, and tokens. */
+/** A node's request for more of a team's limit: number of requests and number of tokens. */
 export interface AllowanceRequest {
   readonly team: TeamId
   readonly requests: number
   readonly tokens: number
-  /** Which of the team's holders to ask, by rendezvous order of the team over the living nodes. */
+  /** Rank of the holder to send it to, in the rendezvous order of the team over the alive nodes. */
   readonly holderRank: number
 }
 
-/** The answer; what it grants is spent at the holder, whether or not the answer arrives. */
+/** A holder's response. What it grants is deducted at the holder, whether or not the response arrives. */
 export interface AllowanceGrant {
   readonly team: TeamId
   readonly requests: number
   readonly tokens: number
 }
 
-/** Holders of each team's limit. */
+/** Maximum number of holders per team. */
 export const ALLOWANCE_HOLDERS = 8
 
 const BURST_SECONDS = 1
 
 /**
- * This node's part of each team's limit, which it grants to the nodes that ask. The first holders of a team by
- * rendezvous order each have an even part: nothing is agreed and nothing is kept, and a holder that is lost takes
- * a part of the limit along until the next one has its place. A lost answer loses what it granted; nothing is
- * granted twice.
+ * This node's share of each team's limit, which it grants to nodes on request. The first `ALLOWANCE_HOLDERS` nodes of a
+ * team's rendezvous order have an even share each. Holders need no agreement and store nothing: when one fails, its
+ * share of the limit is unavailable until the next node in the order takes its rank. A lost response loses the amount
+ * that it granted; nothing is granted twice.
  */
 export class AllowanceHolder {
   private readonly shares = new Map<TeamId, { readonly requests: TokenBucket, readonly tokens: TokenBucket }>()
@@ -50,7 +50,7 @@
     return { team: request.team, requests: share.requests.takeUpTo(request.requests, nowMs), tokens: share.tokens.takeUpTo(request.tokens, nowMs) }
   }
 
-  /** Starts empty: a new holder can't know what its predecessor has granted in the last second. */
+  /** A new share starts empty, since this holder can't know what its predecessor has granted in the last second. */
   private shareOf (team: TeamId, nowMs: number) {
     const limits = this.limits.get(team)
     if (limits === undefined) return undefined
--- a/packages/dotterelspur/src/request/admission/ClassQueue.ts
+++ b/packages/dotterelspur/src/request/admission/ClassQueue.ts
@@ -2,15 +2,15 @@
 import type { AdmissionRequest } from './AdmissionRequest.js'
 import { FairShare } from './FairShare.js'
 
-/** A request that waits for its dispatch. */
+/** A request waiting for dispatch. */
 export interface QueuedRequest {
   readonly request: AdmissionRequest
   readonly queuedAtMs: number
-  /** Shed from then on: its deadline, or the longest wait of its class. */
+  /** The request is shed at this time: the earlier of its deadline and the maximum queue time of its class. */
   readonly expiresAtMs: number
 }
 
-/** The requests of one class in one lane: first in, first out within a team, fair by tokens between teams. */
+/** Queue of one priority class in one lane: first in, first out within a team, fair by tokens between teams. */
 export class ClassQueue {
   private readonly teams = new Map<TeamId, QueuedRequest[]>()
   private readonly share = new FairShare<TeamId>()
@@ -28,7 +28,7 @@
     this.count++
   }
 
-  /** True when a team that may run has something here. */
+  /** Whether a team that may run has a request in the queue. */
   hasRunnable (mayRun: (team: TeamId) => boolean): boolean {
     for (const team of this.teams.keys()) {
       if (mayRun(team)) return true
@@ -36,7 +36,7 @@
     return false
   }
 
-  /** Takes the next request of the teams that may run. */
+  /** Removes and returns the next request of the teams that may run. */
   pop (mayRun: (team: TeamId) => boolean): QueuedRequest | undefined {
     const team = this.share.next([...this.teams.keys()].filter(mayRun))
     if (team === undefined) return undefined
@@ -58,14 +58,14 @@
     this.share.retire(team)
   }
 
-  /** Takes out everything whose time is up. */
+  /** Removes and returns the expired requests. */
   takeExpired (nowMs: number): QueuedRequest[] {
     const expired = [...this.teams.values()].flatMap((queue) => queue.filter((waiting) => waiting.expiresAtMs <= nowMs))
     for (const waiting of expired) this.remove(waiting)
     return expired
   }
 
-  /** When the next request here must be given up; Infinity when none waits. */
+  /** When the next request expires; Infinity when the queue is empty. */
   nextExpiryAtMs (): number {
     let earliest = Infinity
     for (const queue of this.teams.values()) {
--- a/packages/dotterelspur/src/request/admission/FairShare.ts
+++ b/packages/dotterelspur/src/request/admission/FairShare.ts
@@ -1,12 +1,13 @@
 /**
- * Start-time fair queueing over keys: whoever has been served least, in proportion to its weight, goes next. A key
- * that was idle starts at the present and can't claim what it did not use, so no key is starved and none saves up.
+ * Start-time fair queueing over keys: the key with the earliest start time, i.e. the least service in proportion to its
+ * weight, is served next. A key that was idle starts at the current virtual time, so it gets no credit for unused
+ * service, and no key is starved.
  */
 export class FairShare<Key extends string> {
   private readonly finishTimes = new Map<Key, number>()
   private virtualTime = 0
 
-  /** The key to serve next among those that wait; undefined when none does. */
+  /** The key to serve next among the waiting ones; undefined if there is none. */
   next (waiting: Iterable<Key>): Key | undefined {
     let best: Key | undefined
     let earliest = Infinity
@@ -19,14 +20,14 @@
     return best
   }
 
-  /** Records that the key was served work of this size. */
+  /** Records service of this size for the key. */
   charge (key: Key, size: number, weight = 1): void {
     const start = this.startTimeOf(key)
     this.virtualTime = Math.max(this.virtualTime, start)
     this.finishTimes.set(key, start + size / weight)
   }
 
-  /** Forgets a key that no longer waits, so that the state is bounded by who waits. */
+  /** Removes a key that no longer waits, unless it is ahead of the virtual time, so that the state stays small. */
   retire (key: Key): void {
     if ((this.finishTimes.get(key) ?? 0) <= this.virtualTime) this.finishTimes.delete(key)
   }
--- a/packages/dotterelspur/src/request/admission/Hedge.ts
+++ b/packages/dotterelspur/src/request/admission/Hedge.ts
@@ -1,11 +1,11 @@
-/** What a node knows when it considers a second attempt beside one that shows no first token. */
+/** Inputs of the decision whether to send a hedged second attempt while the first has no first token. */
 export interface HedgeInput {
   readonly idempotent: boolean
-  /** Since the attempt was sent. */
+  /** Time since the attempt was sent. */
   readonly elapsedMs: number
-  /** First tokens that this node saw of the lane; null while too few are known. */
+  /** p95 time to first token of the lane at this node; null while it has too few samples. */
   readonly firstTokenP95Ms: number | null
-  /** Attempts of the request that are under way. */
+  /** Attempts of the request in flight. */
   readonly attempts: number
 }
 
@@ -13,8 +13,9 @@
 const MIN_HEDGE_DELAY_MS = 500
 
 /**
- * When to send a second attempt: only idempotent work, once, long after nearly all would have answered. The caller
- * must also take a retry from the budget, so that hedges can't add load when everything is slow. Null means never.
+ * Time until a hedged second attempt is due, null for never. Only idempotent requests are hedged, once, after twice
+ * the p95 time to first token. The caller must also take a retry from the budget, so that hedges can't multiply the
+ * load when all endpoints are slow.
  */
 export function hedgeDelayMs ({ idempotent, elapsedMs, firstTokenP95Ms, attempts }: HedgeInput): number | null {
   if (!idempotent || attempts !== 1 || firstTokenP95Ms === null) return null
--- a/packages/dotterelspur/src/request/admission/RetryAfterPacer.ts
+++ b/packages/dotterelspur/src/request/admission/RetryAfterPacer.ts
@@ -1,13 +1,13 @@
 const MAX_RETRY_AFTER_MS = 30_000
 
 /**
- * Tells shed callers when to come back, one after another at the pace at which requests are served. Told the same
- * time, all would come back together and most would be shed again; one would notice it as load that comes in waves.
+ * Computes the Retry-After of shed callers, spaced at the interval at which requests are served. With the same value,
+ * all of them would retry together and most would be shed again; the symptom is load in waves.
  */
 export class RetryAfterPacer {
   private lastRetryAtMs = -Infinity
 
-  /** `earliestMs` from now is when there is hope; `intervalMs` is the time that one request takes to be served. */
+  /** `earliestMs`: shortest useful delay from now; `intervalMs`: time between two served requests. */
   nextDelayMs (earliestMs: number, intervalMs: number, nowMs: number): number {
     const earliestAtMs = nowMs + earliestMs
     const pacedAtMs = Math.max(earliestAtMs, this.lastRetryAtMs + intervalMs)
--- a/packages/dotterelspur/src/request/admission/RetryBudget.ts
+++ b/packages/dotterelspur/src/request/admission/RetryBudget.ts
@@ -3,7 +3,7 @@
 export interface RetryBudgetOptions {
   /** Retries of this node per 100 first attempts. */
   readonly nodePercent: number
-  /** Retries that an idle team or node may make at once. */
+  /** Burst: retries that a team or node may make after a time without any. */
   readonly reserve: number
 }
 
@@ -12,9 +12,9 @@
 const PERCENT = 100
 
 /**
- * Allows retries in proportion to first attempts, per team and for the whole node, so that a fault can't turn
- * into a multiple of the load: without it, retries of a broken group hit the sound ones just when they take over
- * its traffic. One would notice it as load that stays high after the fault is gone.
+ * Allows retries in proportion to first attempts, per team and for the whole node, so that retries can't multiply the
+ * load during a fault. Without it, the retries of requests to a broken group reach the healthy groups just when these
+ * take over its traffic; the symptom is load that stays high after the fault has ended.
  */
 export class RetryBudget {
   private nodeTokens: number
@@ -24,7 +24,7 @@
     this.nodeTokens = options.reserve
   }
 
-  /** A request was dispatched for the first time. `teamPercent` is the team's own setting; with 0 it has no retries at all. */
+  /** Records the first attempt of a request. `teamPercent` is the team's own setting; with 0 the team has no retries. */
   recordFirstAttempt (team: TeamId, teamPercent: number): void {
     const { reserve, nodePercent } = this.options
     this.nodeTokens = Math.min(reserve, this.nodeTokens + nodePercent / PERCENT)
@@ -32,7 +32,7 @@
     this.teamTokens.set(team, Math.min(teamReserve, this.available(team) + teamPercent / PERCENT))
   }
 
-  /** Takes one retry, or one hedge, from both budgets; false when either is spent. */
+  /** Takes one retry, or one hedge, from both budgets; false if either is exhausted. */
   tryRetry (team: TeamId): boolean {
     const teamTokens = this.available(team)
     if (teamTokens < 1 || this.nodeTokens < 1) return false
--- a/packages/dotterelspur/src/request/admission/TeamLimiter.ts
+++ b/packages/dotterelspur/src/request/admission/TeamLimiter.ts
@@ -5,10 +5,10 @@
 import { ALLOWANCE_HOLDERS, type AllowanceRequest, type AllowanceGrant } from './AllowanceHolder.js'
 import { TokenBucket } from './TokenBucket.js'
 
-/** Seconds of its rate that a team may use at once after a pause. */
+/** Burst of an idle team, in seconds of its rate. */
 const BURST_SECONDS = 2
 
-/** What a team may spend at this node, in requests or in tokens. */
+/** A team's rate limit at this node, in requests or in tokens. */
 interface Budget {
   waitMs (size: number, nowMs: number): number
   take (size: number): void
@@ -25,21 +25,23 @@
 
 /** How the nodes share a team's limit. */
 export enum LimitSharing {
-  /** Each takes 1/n of it and never talks. */
+  /** Each of n nodes uses 1/n of the limit, without messages. */
   Even = 'even',
-  /** A few holders per team grant what the others ask for; see AllowanceHolder. */
+  /** A few holder nodes per team grant allowances to the others on request; see AllowanceHolder. */
   Holders = 'holders'
 }
 
 /**
- * This node's part of each team's limits, without a message per request and without a counter that all would need.
+ * Applies this node's share of each team's limits, without a message per request and without a shared counter.
  *
- * Error bounds, n nodes. Even: over all nodes at most the limit plus one burst, n x max(1, 2 s x limit / n)
- * requests; exact only where a team's requests are even over the nodes, and far too strict where a node's part is
- * less than a request per second or so. Holders: at most the limit plus one second of it, plus one request per
- * node; what nodes hold in hand, two seconds of their own demand, may be left unused. While nodes disagree on who
- * lives, as in a partition, each side spends the parts that it believes to be its own: at most the limit once per
- * side. Concurrent and queued requests are always shared evenly, rounded up: at most n - 1 more than the limit.
+ * Error bounds for n nodes:
+ * - Even: over all nodes at most the limit plus one burst of n x max(1, 2 s x limit / n) requests. Accurate only when a
+ *   team's requests are spread evenly over the nodes; far too strict when a node's share is below about one request
+ *   per second.
+ * - Holders: at most the limit plus one second of it, plus one request per node. Granted allowances, two seconds of a
+ *   node's own demand, may remain unused. While nodes disagree on which nodes are alive, as in a network partition,
+ *   each side uses the shares that it considers its own: at most the limit once per side.
+ * - Concurrent and queued requests are always shared evenly, rounded up: at most n - 1 more than the limit.
  */
 export class TeamLimiter {
   private readonly accounts = new Map<TeamId, TeamAccount>()
@@ -47,7 +49,7 @@
 
   constructor (private readonly sharing: LimitSharing = LimitSharing.Even) {}
 
-  /** Replaces all limits; a team without one is not limited. What is running and queued goes on being counted. */
+  /** Replaces all limits; a team without an entry has no limit. The counts of running and queued requests are kept. */
   configure (limits: ReadonlyMap<TeamId, TeamLimits>, nodes: number, nowMs: number): void {
     this.nodes = Math.max(1, nodes)
     for (const [team, account] of this.accounts) {
@@ -56,7 +58,7 @@
     for (const [team, teamLimits] of limits) this.configureTeam(team, teamLimits, nowMs)
   }
 
-  /** Null when a request of this size may be admitted, and then it is charged; else when to come back. */
+  /** Charges a request if the limits allow it and returns null; otherwise returns the time to wait before a retry. */
   charge (team: TeamId, tokens: number, nowMs: number): number | null {
     const account = this.accounts.get(team)
     if (account === undefined) return null
@@ -70,9 +72,9 @@
   }
 
   /**
-   * What to ask a holder for; call it after each offer and send it to the holder of its rank. Null when nothing is
-   * needed, and always with even parts. The rank is drawn: taken in turn, all nodes would ask the same holder at the
-   * same time, and what the others earn meanwhile would be lost to their bursts.
+   * Returns the request to send to the holder of the given rank; call it after each offer. Null when nothing is needed,
+   * and always with LimitSharing.Even. The rank is drawn at random: in rotation, all nodes would send to the same holder
+   * at the same time, while the token buckets of the other holders reach their burst and lose what they accrue beyond it.
    */
   createAllowanceRequest (team: TeamId, nowMs: number, random: Random): AllowanceRequest | null {
     const account = this.accounts.get(team)
@@ -89,13 +91,13 @@
     if (account?.tokens instanceof AllowanceBudget) account.tokens.applyGrant(tokens)
   }
 
-  /** A charged request was given up before any dispatch. */
+  /** Refunds a charged request that was shed before dispatch. */
   refund (team: TeamId, chargedTokens: number): void {
     this.accounts.get(team)?.requests.giveBack(1)
     this.settle(team, chargedTokens, 0)
   }
 
-  /** A request used less, or more, than it was charged. */
+  /** Corrects the charge of a request by the tokens that it actually used. */
   settle (team: TeamId, chargedTokens: number, usedTokens: number): void {
     this.accounts.get(team)?.tokens.giveBack(chargedTokens - usedTokens)
   }
--- a/packages/dotterelspur/src/request/admission/TokenBucket.ts
+++ b/packages/dotterelspur/src/request/admission/TokenBucket.ts
@@ -1,6 +1,6 @@
 const SECOND_MS = 1_000
 
-/** A rate limit with a burst. It may be overdrawn by one taking that is larger than its content, and then recovers first. */
+/** Token bucket rate limit. One request larger than the burst may overdraw a full bucket, which then refills from below zero. */
 export class TokenBucket {
   private available: number
   private updatedAtMs: number
@@ -17,7 +17,7 @@
     this.available = Math.min(this.available, burst)
   }
 
-  /** Whether something may be taken now. A taking larger than the burst must be possible, else it never would be. */
+  /** Whether this size may be taken now. A size above the burst needs only a full bucket, since it could never be taken otherwise. */
   has (size: number, nowMs: number): boolean {
     this.refill(nowMs)
     return this.available >= Math.min(size, this.burst)
@@ -27,7 +27,7 @@
     this.available -= size
   }
 
-  /** Takes as much of this as there is. */
+  /** Takes at most `size` and returns the amount taken. */
   takeUpTo (size: number, nowMs: number): number {
     this.refill(nowMs)
     const taken = Math.max(0, Math.min(size, this.available))
@@ -39,7 +39,7 @@
     this.available = Math.min(this.burst, this.available + size)
   }
 
-  /** Until `has` would hold, if nothing is taken meanwhile. */
+  /** Time until `has` returns true, if nothing else is taken. */
   waitMs (size: number, nowMs: number): number {
     this.refill(nowMs)
     const shortfall = Math.min(size, this.burst) - this.available
--- a/packages/dotterelspur/src/request/admission/outcomes.ts
+++ b/packages/dotterelspur/src/request/admission/outcomes.ts
@@ -3,13 +3,13 @@
 import { AdmissionEffectKind, type AdmissionEffect } from './AdmissionRequest.js'
 
 const MESSAGES: Readonly<Partial<Record<OutcomeReason, string>>> = {
-  [OutcomeReason.RateLimited]: 'the team is over its limit',
-  [OutcomeReason.Overloaded]: 'too many requests wait already',
-  [OutcomeReason.DeadlineExceeded]: 'it could not have started before its deadline',
-  [OutcomeReason.Cancelled]: 'cancelled before it was dispatched'
+  [OutcomeReason.RateLimited]: 'the team has exceeded its limit',
+  [OutcomeReason.Overloaded]: 'too many requests are queued',
+  [OutcomeReason.DeadlineExceeded]: 'the request could not be started before its deadline',
+  [OutcomeReason.Cancelled]: 'the request was cancelled before dispatch'
 }
 
-/** Gives up a request that was never dispatched. `retryAfterMs` is null where coming back can't help. */
+/** Creates the effect that sheds a request that was never dispatched. `retryAfterMs` is null where a retry is pointless. */
 export function createShedEffect (id: RequestId, reason: OutcomeReason, retryAfterMs: number | null): AdmissionEffect {
   const message = MESSAGES[reason] ?? reason
   return { kind: AdmissionEffectKind.Shed, id, outcome: { kind: OutcomeKind.NotRun, reason, message, retryAfterMs } }
