--- a/packages/dotterelspur-entry/src/process/EntryContext.ts
+++ b/packages/dotterelspur-entry/src/process/EntryContext.ts
@@ -1,4 +1,4 @@
-import type { Clock, EngineApi, MeshApi, ObjectStore, PauseWatch, Random, RetryBudget, Router, ServiceApi } from 'dotterelspur'
+import type { Clock, EngineApi, MeshApi, ObjectStore, PauseDetector, Random, RetryBudget, Router, ServiceApi } from 'dotterelspur'
 import type { AdmissionGate } from './AdmissionGate.js'
 import type { EntryLimits, EntryTiming } from './EntryOptions.js'
 import type { EntryObserver } from './EntryObserver.js'
@@ -22,6 +22,6 @@
   readonly gate: AdmissionGate
   readonly router: Router
   readonly retries: RetryBudget
-  readonly pauses: PauseWatch
+  readonly pauses: PauseDetector
   readonly poison: PoisonKeeper
 }
--- a/packages/dotterelspur-entry/src/process/FleetView.ts
+++ b/packages/dotterelspur-entry/src/process/FleetView.ts
@@ -1,5 +1,5 @@
 import {
-  ASSIGNMENT_PREFIX, DRAIN_PREFIX, TargetKind, dispatchableGroups, groupTargetId, judgeDispatch, serviceTargetId,
+  ASSIGNMENT_PREFIX, DRAIN_PREFIX, TargetKind, dispatchableGroups, groupTargetId, checkDispatch, serviceTargetId,
   type AssignmentObject, type Clock, type DrainObject, type GroupView, type MeshApi, type RouteTarget, type ServicePresence, type ServiceTarget, type Teardown, type TeamId
 } from 'dotterelspur'
 
@@ -71,7 +71,7 @@
     const assigned = assignment?.groups.find((candidate) => candidate.group === view.group)
     if (assignment === undefined || assigned === undefined || assigned.formation !== view.formation) return false
     const presence = this.mesh.groupPresence().find((line) => line.group === view.group)
-    return judgeDispatch(assignment, assigned, presence, this.bounds()).view !== null
+    return checkDispatch(assignment, assigned, presence, this.bounds()).view !== null
   }
 
   /** The same for a worker of a plain service. */
--- a/packages/dotterelspur-entry/src/process/createEntry.ts
+++ b/packages/dotterelspur-entry/src/process/createEntry.ts
@@ -1,7 +1,7 @@
 import Fastify, { type FastifyError, type FastifyInstance } from 'fastify'
 import createDebug from 'debug'
 import {
-  OutcomeReason, PauseWatch, RetryBudget, Router, createRoutingOptions, mergeTeardowns, notRun, unknownOutcome,
+  OutcomeReason, PauseDetector, RetryBudget, Router, createRoutingOptions, mergeTeardowns, notRun, unknownOutcome,
   type Teardown
 } from 'dotterelspur'
 import { authenticate, sendOutcome } from '../connection/callers.js'
@@ -105,7 +105,7 @@
     gate: new AdmissionGate(clock, mesh, teams),
     router: new Router(createRoutingOptions({ region, failureDomain }, { prefixBlockTokens: PREFIX_BLOCK_TOKENS })),
     retries: new RetryBudget(),
-    pauses: new PauseWatch(timing.pauseThresholdMs, STALE_AFTER_PAUSE_MS, clock.nowMs()),
+    pauses: new PauseDetector(timing.pauseThresholdMs, STALE_AFTER_PAUSE_MS, clock.nowMs()),
     poison: new PoisonKeeper({ clock, mesh, store, limits: limits.poison, hasEnded })
   }
 }
--- a/packages/dotterelspur-entry/src/request/HomeRuns.ts
+++ b/packages/dotterelspur-entry/src/request/HomeRuns.ts
@@ -19,7 +19,7 @@
 const REFUSAL_OF: { readonly [Kind in Exclude<OpenKind, OpenKind.Run | OpenKind.InProgress | OpenKind.Ended>]: Outcome } = {
   [OpenKind.Forgotten]: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than what its home remembers; it is not run again'),
   [OpenKind.Mismatch]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id or key stands for another request'),
-  [OpenKind.Ahead]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id was issued in the future'),
+  [OpenKind.IssuedInFuture]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id was issued in the future'),
   [OpenKind.Full]: unknownOutcome(OutcomeReason.Overloaded, 'the home can\'t remember more ids now', 1_000)
 }
 
@@ -37,7 +37,7 @@
   constructor (private readonly context: EntryContext, private readonly runs: LocalRuns, private readonly gate: NodeGate) {
     const { limits, timing } = context
     this.clock = context.clock
-    const common = { keepMs: timing.outcomeMemoryMs, maxAheadMs: timing.maxIssuedAheadMs }
+    const common = { retentionMs: timing.outcomeMemoryMs, maxClockSkewMs: timing.maxIssuedAheadMs }
     this.memory = new OutcomeMemory({ ...common, maxEntries: limits.maxRememberedOutcomes })
     this.recent = new OutcomeMemory({ ...common, maxEntries: limits.maxRecentOutcomes })
   }
@@ -100,7 +100,7 @@
   private open (memory: OutcomeMemory<KeptRun>, request: RunRequest): Decision {
     const identity = parseRequestId(request.requestId)!
     const { requestId, team, fingerprint, submission, stale, ticket } = request
-    const opened = { requestId, issuedWallMs: identity.issuedWallMs, team, fingerprint, number: submission, stale, ticket: ticket ?? memory.ticket }
+    const opened = { requestId, issuedWallMs: identity.issuedWallMs, team, fingerprint, submissionNumber: submission, stale, ticket: ticket ?? memory.ticket }
     return memory.open(opened, this.clock.nowMs(), this.clock.wallMs())
   }
 
--- a/packages/dotterelspur-entry/src/request/KeyedRuns.ts
+++ b/packages/dotterelspur-entry/src/request/KeyedRuns.ts
@@ -1,7 +1,7 @@
 import { createHash, randomBytes } from 'node:crypto'
 import {
-  CLAIM_PREFIX, ClaimEffectKind, ClaimStandKind, OutcomeKind, OutcomeReason, StoreErrorKind, formatRequestId, hashText, homeOf, parseRequestId, runProcedure, settleClaim, sleep, unknownOutcome,
-  type ClaimObject, type ClaimStand, type HomeId, type Outcome, type RequestId, type TeamId
+  CLAIM_PREFIX, ClaimEffectKind, ClaimStateKind, OutcomeKind, OutcomeReason, StoreErrorKind, formatRequestId, hashText, homeOf, parseRequestId, runProcedure, resolveClaim, sleep, unknownOutcome,
+  type ClaimObject, type ClaimState, type HomeId, type Outcome, type RequestId, type TeamId
 } from 'dotterelspur'
 import { CLAIM_BUCKETS, claimBucket } from '../process/ClaimSweeper.js'
 import type { EntryContext } from '../process/EntryContext.js'
@@ -63,8 +63,8 @@
     const refusal = this.gate.refusal()
     if (refusal !== null) return this.refuseOrPass(request, key, refusal)
     const stand = await this.claim(request, key)
-    if (stand.kind === ClaimStandKind.Settled) return this.atHome({ ...request, requestId: stand.requestId })
-    const outcome = stand.kind === ClaimStandKind.NotWritten
+    if (stand.kind === ClaimStateKind.Settled) return this.atHome({ ...request, requestId: stand.requestId })
+    const outcome = stand.kind === ClaimStateKind.NotWritten
       ? unsent(request, `the key could not be claimed: ${stand.reason}`, OutcomeReason.StoreUnavailable)
       : unknownOutcome(OutcomeReason.ClaimUnsettled, `it is not settled which request the key stands for: ${stand.reason}`, 1_000)
     return this.refuse(request, outcome)
@@ -82,12 +82,12 @@
     return { requestId: request.requestId, events: onlyFinished(outcome) }
   }
 
-  private claim (request: RunRequest, key: string): Promise<ClaimStand> {
+  private claim (request: RunRequest, key: string): Promise<ClaimState> {
     const { store, clock, observer } = this.context
     const { team, requestId } = request
     const path = claimKey(team, key)
     const body: ClaimObject = { team, key, requestId, claimedAtWallMs: clock.wallMs(), writeToken: requestId }
-    return runProcedure(settleClaim(), {
+    return runProcedure(resolveClaim(), {
       [ClaimEffectKind.Create]: () => {
         observer.claimCall()
         return store.create(path, body)
--- a/packages/dotterelspur-entry/src/request/ModelRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ModelRunner.ts
@@ -52,8 +52,8 @@
         safety: this.request.safety,
         maxAttempts: limits.maxAttempts,
         maxLookups: Math.ceil(timing.regroupWaitMs / (timing.retryPauseMs * 10)),
-        pauseMs: timing.retryPauseMs,
-        maxBarrenChoices: Math.ceil(timing.regroupWaitMs / timing.retryPauseMs)
+        retryDelayMs: timing.retryPauseMs,
+        maxFailedSelections: Math.ceil(timing.regroupWaitMs / timing.retryPauseMs)
       }), this.handlers)
     } finally {
       cancelStallCheck()
@@ -70,7 +70,7 @@
     [LifecycleEffectKind.NextEvent]: () => this.next(),
     [LifecycleEffectKind.CloseStream]: ({ cancel }) => { this.closeStream(cancel) },
     [LifecycleEffectKind.Lookup]: ({ group }) => this.context.engines.lookup(group.leaderAddress, this.request.requestId, this.context.timing.lookupTimeoutMs),
-    [LifecycleEffectKind.JudgeRequest]: async () => {
+    [LifecycleEffectKind.CheckPoison]: async () => {
       await this.lossNoted
       return this.context.poison.guard.maySendAgain(this.content)
     },
@@ -80,7 +80,7 @@
       this.delivered = true
       return this.channel.push({ kind: RunEventKind.Text, offset, tokens, text })
     },
-    [LifecycleEffectKind.StartAgain]: () => this.startAgain()
+    [LifecycleEffectKind.RestartAnswer]: () => this.startAgain()
   }
 
   private select (excluded: readonly string[], version: string | null): Result<GroupView, Outcome> {
@@ -120,7 +120,7 @@
   private send ({ group, attempt, resumeOffset, resumeText }: SendEffect): boolean {
     const { clock, pauses, fleet, observer, router, engines } = this.context
     const nowMs = clock.nowMs()
-    if (pauses.isOldDecision(this.decidedAtMs, nowMs) || !fleet.holdsNow(group)) {
+    if (pauses.isStaleDecision(this.decidedAtMs, nowMs) || !fleet.holdsNow(group)) {
       observer.staleChoice()
       fleet.refresh()
       return false
--- a/packages/dotterelspur-entry/src/request/ServiceRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ServiceRunner.ts
@@ -33,7 +33,7 @@
   private readonly handlers: EffectHandlers<ServiceEffects> = {
     [LifecycleEffectKind.SelectWorker]: ({ excluded }) => this.select(excluded),
     [LifecycleEffectKind.CallService]: (effect) => this.call(effect),
-    [LifecycleEffectKind.JudgeRequest]: async () => {
+    [LifecycleEffectKind.CheckPoison]: async () => {
       await this.lossNoted
       return this.context.poison.guard.maySendAgain(this.content)
     },
@@ -67,7 +67,7 @@
   private async call ({ worker, attempt }: CallServiceEffect): Promise<CallResult> {
     const { clock, pauses, fleet, observer, router } = this.context
     const nowMs = clock.nowMs()
-    if (pauses.isOldDecision(this.decidedAtMs, nowMs) || !fleet.workerHoldsNow(worker.vm, worker.address)) {
+    if (pauses.isStaleDecision(this.decidedAtMs, nowMs) || !fleet.workerHoldsNow(worker.vm, worker.address)) {
       observer.staleChoice()
       fleet.refresh()
       return null
--- a/packages/dotterelspur-entry/src/request/StreamFinder.ts
+++ b/packages/dotterelspur-entry/src/request/StreamFinder.ts
@@ -1,5 +1,5 @@
 import {
-  ChunkVerdictKind, FinishReason, OutcomeReason, StreamEventKind, StreamState, answered, judgeChunk, unknownOutcome,
+  ChunkVerdictKind, FinishReason, OutcomeReason, StreamEventKind, StreamState, answered, checkChunk, unknownOutcome,
   type ChunkCursor, type GroupView
 } from 'dotterelspur'
 import type { EntryContext } from '../process/EntryContext.js'
@@ -27,15 +27,15 @@
     try {
       for await (const event of this.context.engines.resume(group.leaderAddress, request.requestId, 0, 0, abort.signal)) {
         if (event.kind === StreamEventKind.Error) break
-        const verdict = judgeChunk(cursor, event.chunk)
+        const verdict = checkChunk(cursor, event.chunk)
         const { offset } = cursor
         cursor = verdict.cursor
         if (verdict.kind === ChunkVerdictKind.Drop) continue
-        if (verdict.kind === ChunkVerdictKind.Take) {
+        if (verdict.kind === ChunkVerdictKind.Accept) {
           yield [{ kind: RunEventKind.Text, offset, tokens: verdict.tokens, text: verdict.text }]
           continue
         }
-        if (verdict.kind === ChunkVerdictKind.Whole) {
+        if (verdict.kind === ChunkVerdictKind.Completed) {
           const { finishReason, promptTokens } = verdict
           yield [{ ...finishedWith(answered()), finishReason: finishReason ?? FinishReason.Stop, promptTokens, completionTokens: cursor.offset }]
           return
--- a/packages/dotterelspur/src/request/lifecycle/AnswerProgress.ts
+++ b/packages/dotterelspur/src/request/lifecycle/AnswerProgress.ts
@@ -9,21 +9,21 @@
   /** Tokens handed to the caller. */
   readonly offset: number
   /** Text before the last chunk. */
-  readonly settledText: string
-  readonly settledOffset: number
-  readonly lastText: string
+  readonly baseText: string
+  readonly baseOffset: number
+  readonly lastChunkText: string
 }
 
-export const EMPTY_PROGRESS: AnswerProgress = { version: null, offset: 0, settledText: '', settledOffset: 0, lastText: '' }
+export const EMPTY_PROGRESS: AnswerProgress = { version: null, offset: 0, baseText: '', baseOffset: 0, lastChunkText: '' }
 
 /** Appends tokens that have been handed over. */
 export function extendProgress (progress: AnswerProgress, version: ModelVersion, text: string, tokens: number): AnswerProgress {
   return {
     version,
     offset: progress.offset + tokens,
-    settledText: progress.settledText + progress.lastText,
-    settledOffset: progress.offset,
-    lastText: text
+    baseText: progress.baseText + progress.lastChunkText,
+    baseOffset: progress.offset,
+    lastChunkText: text
   }
 }
 
@@ -31,15 +31,15 @@
   /** Still inside what the caller has; it agrees so far. */
   Overlap = 'overlap',
   /** Text beyond what the caller has. */
-  Fresh = 'fresh',
+  New = 'fresh',
   /** The engine produced something else: the answer can't be continued by it. */
-  Differs = 'differs'
+  Diverged = 'differs'
 }
 
 export type Join =
   | { readonly kind: JoinKind.Overlap, readonly expected: string }
-  | { readonly kind: JoinKind.Fresh, readonly text: string, readonly tokens: number }
-  | { readonly kind: JoinKind.Differs }
+  | { readonly kind: JoinKind.New, readonly text: string, readonly tokens: number }
+  | { readonly kind: JoinKind.Diverged }
 
 /**
  * Joins a chunk of a later attempt to what the caller has. `expected` is the text still to be repeated,
@@ -47,11 +47,11 @@
  */
 export function joinChunk (expected: string, offset: number, chunkEnd: number, text: string): Join {
   if (chunkEnd <= offset) {
-    if (!expected.startsWith(text)) return { kind: JoinKind.Differs }
-    const rest = expected.slice(text.length)
-    if (chunkEnd === offset && rest !== '') return { kind: JoinKind.Differs }
-    return { kind: JoinKind.Overlap, expected: rest }
+    if (!expected.startsWith(text)) return { kind: JoinKind.Diverged }
+    const remaining = expected.slice(text.length)
+    if (chunkEnd === offset && remaining !== '') return { kind: JoinKind.Diverged }
+    return { kind: JoinKind.Overlap, expected: remaining }
   }
-  if (!text.startsWith(expected)) return { kind: JoinKind.Differs }
-  return { kind: JoinKind.Fresh, text: text.slice(expected.length), tokens: chunkEnd - offset }
+  if (!text.startsWith(expected)) return { kind: JoinKind.Diverged }
+  return { kind: JoinKind.New, text: text.slice(expected.length), tokens: chunkEnd - offset }
 }
--- a/packages/dotterelspur/src/request/lifecycle/LifecycleEffects.ts
+++ b/packages/dotterelspur/src/request/lifecycle/LifecycleEffects.ts
@@ -2,7 +2,7 @@
 import type { Effect } from '../../process/Procedure.js'
 import type { Result } from '../../process/Result.js'
 import type { Outcome } from '../Outcome.js'
-import type { GroupView } from './GroupTable.js'
+import type { GroupView } from './dispatchChecks.js'
 
 /** Whether a request may be run more than once. */
 export enum RequestSafety {
@@ -41,11 +41,11 @@
   CloseStream = 'close-stream',
   Lookup = 'lookup',
   CallService = 'call-service',
-  JudgeRequest = 'judge-request',
+  CheckPoison = 'judge-request',
   SpendRetry = 'spend-retry',
   Wait = 'wait',
   Deliver = 'deliver',
-  StartAgain = 'start-again'
+  RestartAnswer = 'start-again'
 }
 
 /** Chooses a group; never one of `excluded`. Without one, the reason as an outcome of this choice alone. */
@@ -107,8 +107,8 @@
 }
 
 /** Asks whether the request may go to another endpoint; false when it seems to be what ended the one before. */
-export interface JudgeRequestEffect extends Effect<LifecycleEffectKind.JudgeRequest, boolean> {
-  readonly kind: LifecycleEffectKind.JudgeRequest
+export interface CheckPoisonEffect extends Effect<LifecycleEffectKind.CheckPoison, boolean> {
+  readonly kind: LifecycleEffectKind.CheckPoison
 }
 
 /** Asks the team's and the node's retry budgets for one more attempt. */
@@ -131,15 +131,15 @@
 }
 
 /** Asks to drop what was collected and start the answer again; false when the caller has seen some of it. */
-export interface StartAgainEffect extends Effect<LifecycleEffectKind.StartAgain, boolean> {
-  readonly kind: LifecycleEffectKind.StartAgain
+export interface RestartAnswerEffect extends Effect<LifecycleEffectKind.RestartAnswer, boolean> {
+  readonly kind: LifecycleEffectKind.RestartAnswer
 }
 
 export type ModelEffects =
   | SelectGroupEffect | SendEffect | ResumeEffect | NextEventEffect | CloseStreamEffect | LookupEffect
-  | JudgeRequestEffect | SpendRetryEffect | WaitEffect | DeliverEffect | StartAgainEffect
+  | CheckPoisonEffect | SpendRetryEffect | WaitEffect | DeliverEffect | RestartAnswerEffect
 
-export type ServiceEffects = SelectWorkerEffect | CallServiceEffect | JudgeRequestEffect | SpendRetryEffect | WaitEffect
+export type ServiceEffects = SelectWorkerEffect | CallServiceEffect | CheckPoisonEffect | SpendRetryEffect | WaitEffect
 
 /** How a model request ended. */
 export interface ModelResult {
--- a/packages/dotterelspur/src/request/lifecycle/OutcomeMemory.ts
+++ b/packages/dotterelspur/src/request/lifecycle/OutcomeMemory.ts
@@ -5,9 +5,9 @@
 export interface OutcomeMemoryOptions {
   readonly maxEntries: number
   /** How long an ended id is remembered. */
-  readonly keepMs: number
+  readonly retentionMs: number
   /** An id that says it was issued this far ahead of the home's wall clock is refused. */
-  readonly maxAheadMs: number
+  readonly maxClockSkewMs: number
 }
 
 /** One submission of a request id, as it reaches the id's home. */
@@ -18,7 +18,7 @@
   /** Hash of what was asked; an id stands for one body. */
   readonly fingerprint: string
   /** The caller's count of its submissions of this id, from 1; null when it keeps none. */
-  readonly number: number | null
+  readonly submissionNumber: number | null
   /** Taken in by a node right after a pause: the caller may have given it up long ago. */
   readonly stale: boolean
   /** The memory's `ticket` from when the submission was passed on, its caller still waiting. */
@@ -37,7 +37,7 @@
   /** The id belongs to another team or another body. */
   Mismatch = 'mismatch',
   /** Issued in the home's future. */
-  Ahead = 'ahead',
+  IssuedInFuture = 'ahead',
   /** Nothing can be remembered now. */
   Full = 'full'
 }
@@ -98,7 +98,7 @@
     const entry = this.entries.get(submission.requestId)
     if (entry !== undefined) return this.reopen(entry, submission)
     if (submission.issuedWallMs <= this.floorWallMs) return { kind: OpenKind.Forgotten }
-    if (submission.issuedWallMs > wallMs + this.options.maxAheadMs) return { kind: OpenKind.Ahead }
+    if (submission.issuedWallMs > wallMs + this.options.maxClockSkewMs) return { kind: OpenKind.IssuedInFuture }
     if (!this.makeRoom()) return { kind: OpenKind.Full }
     this.start(submission)
     return { kind: OpenKind.Run }
@@ -130,8 +130,8 @@
     const first = entry.submission
     if (first.team !== submission.team || first.fingerprint !== submission.fingerprint) return { kind: OpenKind.Mismatch }
     if (entry.ended === null) return { kind: OpenKind.InProgress }
-    if (entry.ended.outcome.kind !== OutcomeKind.NotRun || !isLater(submission, entry)) return { kind: OpenKind.Ended, ended: entry.ended }
-    this.start({ ...submission, number: submission.number ?? first.number })
+    if (entry.ended.outcome.kind !== OutcomeKind.NotRun || !isLaterSubmission(submission, entry)) return { kind: OpenKind.Ended, ended: entry.ended }
+    this.start({ ...submission, submissionNumber: submission.submissionNumber ?? first.submissionNumber })
     return { kind: OpenKind.Run }
   }
 
@@ -144,7 +144,7 @@
   private expire (nowMs: number): void {
     for (const [requestId, entry] of this.entries) {
       if (entry.ended === null) continue
-      if (nowMs - entry.endedAtMs < this.options.keepMs) return
+      if (nowMs - entry.endedAtMs < this.options.retentionMs) return
       this.evict(requestId, entry)
     }
   }
@@ -171,8 +171,8 @@
  * so. A caller that numbers its submissions settles it. Of the others, a copy that waited in a link shows by its
  * ticket, and one that waited in a node by the node's word that it was paused.
  */
-function isLater (submission: Submission, earlier: MemoryEntry<unknown>): boolean {
-  const { number } = earlier.submission
-  if (submission.number !== null && number !== null) return submission.number > number
+function isLaterSubmission (submission: Submission, earlier: MemoryEntry<unknown>): boolean {
+  const { submissionNumber } = earlier.submission
+  if (submission.submissionNumber !== null && submissionNumber !== null) return submission.submissionNumber > submissionNumber
   return !submission.stale && submission.ticket >= earlier.endedTicket
 }
--- a/packages/dotterelspur/src/request/lifecycle/PauseWatch.ts
+++ b/packages/dotterelspur/src/request/lifecycle/PauseDetector.ts
@@ -5,7 +5,7 @@
  * given up, groups have changed, others have been told outcomes. One would notice it as a request that runs
  * minutes after its caller was answered elsewhere. What is marked stale is treated with more care.
  */
-export class PauseWatch {
+export class PauseDetector {
   private lastTickMs: number
   private lastPauseEndMs = -Infinity
   private pauses = 0
@@ -34,7 +34,7 @@
   }
 
   /** Whether a decision made at `decidedAtMs` is too old to be acted on without looking again. */
-  isOldDecision (decidedAtMs: number, nowMs: number): boolean {
+  isStaleDecision (decidedAtMs: number, nowMs: number): boolean {
     return nowMs - decidedAtMs >= this.thresholdMs
   }
 }
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/OutcomeMemory.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/OutcomeMemory.test.ts
@@ -1,15 +1,15 @@
 import { expect } from 'chai'
-import { OpenKind, OutcomeKind, OutcomeMemory, OutcomeReason, PauseWatch, type Outcome, type Submission } from '../../../../index.js'
+import { OpenKind, OutcomeKind, OutcomeMemory, OutcomeReason, PauseDetector, type Outcome, type Submission } from '../../../../index.js'
 
-const KEEP_MS = 100
-const MAX_AHEAD_MS = 1_000
+const RETENTION_MS = 100
+const MAX_CLOCK_SKEW_MS = 1_000
 
 function createMemory (maxEntries = 2): OutcomeMemory<string> {
-  return new OutcomeMemory<string>({ maxEntries, keepMs: KEEP_MS, maxAheadMs: MAX_AHEAD_MS })
+  return new OutcomeMemory<string>({ maxEntries, retentionMs: RETENTION_MS, maxClockSkewMs: MAX_CLOCK_SKEW_MS })
 }
 
 function submission (requestId: string, changes: Partial<Submission> = {}): Submission {
-  return { requestId, issuedWallMs: 0, team: 'tradeline', fingerprint: 'loan', number: null, stale: false, ticket: 0, ...changes }
+  return { requestId, issuedWallMs: 0, team: 'tradeline', fingerprint: 'loan', submissionNumber: null, stale: false, ticket: 0, ...changes }
 }
 
 const ANSWERED: Outcome = { kind: OutcomeKind.Answered, reason: OutcomeReason.Completed, message: '', retryAfterMs: null }
@@ -27,7 +27,7 @@
   // Sequence: the id is answered; its entry is evicted, by time or to make room; the caller repeats the id.
   // Cause: an id that is not remembered is taken for one that never came.
   for (const [how, evict] of [
-    ['by time', (memory: OutcomeMemory<string>) => { memory.lookup('x', 0, 'tradeline', KEEP_MS) }],
+    ['by time', (memory: OutcomeMemory<string>) => { memory.lookup('x', 0, 'tradeline', RETENTION_MS) }],
     ['to make room', (memory: OutcomeMemory<string>) => {
       for (const id of ['b', 'c']) memory.open(submission(id, { issuedWallMs: 20 }), 1, 1)
     }]
@@ -37,8 +37,8 @@
       memory.open(submission('a', { issuedWallMs: 10 }), 0, 0)
       memory.close('a', { outcome: ANSWERED, answer: null }, 0)
       evict(memory)
-      expect(memory.open(submission('a', { issuedWallMs: 10 }), KEEP_MS, KEEP_MS).kind).to.equal(OpenKind.Forgotten)
-      expect(memory.lookup('a', 10, 'tradeline', KEEP_MS)?.kind).to.equal(OpenKind.Forgotten)
+      expect(memory.open(submission('a', { issuedWallMs: 10 }), RETENTION_MS, RETENTION_MS).kind).to.equal(OpenKind.Forgotten)
+      expect(memory.lookup('a', 10, 'tradeline', RETENTION_MS)?.kind).to.equal(OpenKind.Forgotten)
     })
   }
 
@@ -46,7 +46,7 @@
     const memory = createMemory()
     memory.open(submission('a'), 0, 0)
     memory.open(submission('b'), 0, 0)
-    expect(memory.open(submission('c', { issuedWallMs: 1 }), KEEP_MS * 9, 0).kind).to.equal(OpenKind.Full)
+    expect(memory.open(submission('c', { issuedWallMs: 1 }), RETENTION_MS * 9, 0).kind).to.equal(OpenKind.Full)
     expect(memory.runningCount).to.equal(2)
   })
 
@@ -55,18 +55,18 @@
     memory.open(submission('a'), 0, 0)
     expect(memory.open(submission('a', { team: 'piedmont' }), 1, 1).kind).to.equal(OpenKind.Mismatch)
     expect(memory.open(submission('a', { fingerprint: 'other' }), 1, 1).kind).to.equal(OpenKind.Mismatch)
-    expect(memory.open(submission('b', { issuedWallMs: MAX_AHEAD_MS + 1 }), 0, 0).kind).to.equal(OpenKind.Ahead)
+    expect(memory.open(submission('b', { issuedWallMs: MAX_CLOCK_SKEW_MS + 1 }), 0, 0).kind).to.equal(OpenKind.IssuedInFuture)
     expect(memory.lookup('a', 0, 'piedmont', 1)).to.equal(undefined)
   })
 })
 
 describe('PauseWatch', () => {
   it('notices a gap in its own ticks, and holds what came with it for stale', () => {
-    const watch = new PauseWatch(1_000, 250, 0)
+    const watch = new PauseDetector(1_000, 250, 0)
     expect([watch.tick(300), watch.tick(600), watch.isStale(700)]).to.deep.equal([0, 0, false])
     expect(watch.isStale(9_000), 'before the first tick after the pause').to.equal(true)
     expect(watch.tick(9_000)).to.equal(8_400)
     expect([watch.isStale(9_100), watch.isStale(9_250), watch.pauseCount]).to.deep.equal([true, false, 1])
-    expect([watch.isOldDecision(600, 9_000), watch.isOldDecision(8_900, 9_000)]).to.deep.equal([true, false])
+    expect([watch.isStaleDecision(600, 9_000), watch.isStaleDecision(8_900, 9_000)]).to.deep.equal([true, false])
   })
 })
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/GroupTable.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/dispatchChecks.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { GroupState, NotDispatchable, judgeDispatch, type AssignedGroup, type AssignmentObject, type GroupPresence } from '../../../../index.js'
+import { GroupState, NotDispatchable, checkDispatch, type AssignedGroup, type AssignmentObject, type GroupPresence } from '../../../../index.js'
 
 const EVIDENCE_TTL_MS = 2_500
 
@@ -45,8 +45,8 @@
       const group = assignedGroup(assigned)
       const assignment: AssignmentObject = { fabricDomain: 'fabric-1', failureDomain: 'fd-1', region: 'perth', fencing: 1, writeToken: 'w', groups: [group] }
       const evidence = presence === null ? undefined : presenceOf(presence)
-      const judged = judgeDispatch(assignment, group, evidence, { drained: new Set(drained), evidenceTtlMs: EVIDENCE_TTL_MS })
-      expect({ obstacle: judged.obstacle, dispatchable: judged.view !== null }).to.deep.equal({ obstacle, dispatchable: obstacle === null })
+      const check = checkDispatch(assignment, group, evidence, { drained: new Set(drained), evidenceTtlMs: EVIDENCE_TTL_MS })
+      expect({ obstacle: check.obstacle, dispatchable: check.view !== null }).to.deep.equal({ obstacle, dispatchable: obstacle === null })
     })
   }
 })
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/runModelRequest.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/runModelRequest.test.ts
@@ -12,7 +12,7 @@
 
 type EngineScript = (attempt: number, resumeOffset: number) => NextEvent[]
 
-interface World {
+interface Scenario {
   /** What each group's engine does when it is sent the request. */
   readonly engines: Readonly<Record<string, EngineScript>>
   /** What each look at the endpoint finds, in order; the last stands. */
@@ -22,7 +22,7 @@
   /** Sends that find the choice stale. */
   readonly staleSends?: number
   readonly retryBudget?: number
-  readonly callerSees?: boolean
+  readonly callerReceives?: boolean
 }
 
 function tokens (from: number, to: number, attempt: number, requestId = REQUEST, texts = TOKENS): NextEvent[] {
@@ -74,17 +74,17 @@
   }
 }
 
-async function runIn (world: World, safety: RequestSafety): Promise<Run> {
+async function runScenario (scenario: Scenario, safety: RequestSafety): Promise<Run> {
   const sends: string[] = []
   const deliveredOffsets: number[] = []
   let text = ''
   let events: NextEvent[] = []
-  let looks = 0
-  let stale = world.staleSends ?? 0
-  let budget = world.retryBudget ?? 10
+  let lookupCount = 0
+  let stale = scenario.staleSends ?? 0
+  let budget = scenario.retryBudget ?? 10
   const handlers: EffectHandlers<ModelEffects> = {
     'select-group': ({ excluded }) => {
-      const group = Object.keys(world.engines).find((name) => !excluded.includes(name))
+      const group = Object.keys(scenario.engines).find((name) => !excluded.includes(name))
       return group === undefined ? failed(notRun(OutcomeReason.NoReplica, 'no group')) : success(view(group))
     },
     send: ({ group, attempt, resumeOffset }) => {
@@ -93,16 +93,16 @@
         return false
       }
       sends.push(`${group.group}@${resumeOffset}`)
-      events = world.engines[group.group]!(attempt, resumeOffset)
+      events = scenario.engines[group.group]!(attempt, resumeOffset)
       return true
     },
-    resume: ({ attempt, offset }) => { events = (world.resumed ?? healthy)(attempt, offset) },
+    resume: ({ attempt, offset }) => { events = (scenario.resumed ?? healthy)(attempt, offset) },
     'next-event': () => events.shift() ?? null,
     'close-stream': () => { events = [] },
     lookup: () => {
-      const states = world.lookups ?? []
-      const state = states[Math.min(looks, states.length - 1)]
-      looks += 1
+      const states = scenario.lookups ?? []
+      const state = states[Math.min(lookupCount, states.length - 1)]
+      lookupCount += 1
       if (state === undefined || state === null) return failed({ kind: EndpointErrorKind.NotRun, reason: 'unreachable' })
       return success({ requestId: REQUEST, state, offset: 6 })
     },
@@ -117,13 +117,13 @@
       text += effect.text
     },
     'start-again': () => {
-      if (world.callerSees ?? true) return false
+      if (scenario.callerReceives ?? true) return false
       text = ''
       deliveredOffsets.length = 0
       return true
     }
   }
-  const plan = { requestId: REQUEST, safety, maxAttempts: 3, maxLookups: 3, pauseMs: 100, maxBarrenChoices: 4 }
+  const plan = { requestId: REQUEST, safety, maxAttempts: 3, maxLookups: 3, retryDelayMs: 100, maxFailedSelections: 4 }
   const result = await runProcedure(runModelRequest(plan), handlers)
   return { result, text, sends, deliveredOffsets }
 }
@@ -132,7 +132,7 @@
   readonly fault: string
   readonly moment: string
   readonly safety: RequestSafety
-  readonly world: World
+  readonly scenario: Scenario
   readonly outcome: OutcomeKind
   readonly reason?: OutcomeReason
   readonly sends: readonly string[]
@@ -140,48 +140,48 @@
 
 const { Answered, NotRun, Unknown, Failed } = OutcomeKind
 const rows: Row[] = [
-  { fault: 'none', moment: '-', safety: Idempotent, world: { engines: { g1: healthy } }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'none', moment: '-', safety: NonIdempotent, world: { engines: { g1: healthy } }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'no group', moment: 'before the send', safety: NonIdempotent, world: { engines: {} }, outcome: NotRun, reason: OutcomeReason.NoReplica, sends: [] },
-  { fault: 'node paused, choice stale', moment: 'before the send', safety: NonIdempotent, world: { engines: { g1: healthy }, staleSends: 2 }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'choice always stale', moment: 'before the send', safety: NonIdempotent, world: { engines: { g1: healthy }, staleSends: 99 }, outcome: NotRun, sends: [] },
-  { fault: 'engine at another formation', moment: 'at the send', safety: NonIdempotent, world: { engines: { g1: refuses, g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
-  { fault: 'every engine refuses', moment: 'at the send', safety: NonIdempotent, world: { engines: { g1: full, g2: full, g3: full, g4: healthy } }, outcome: NotRun, reason: OutcomeReason.Overloaded, sends: ['g1@0', 'g2@0', 'g3@0'] },
-  { fault: 'connection breaks', moment: 'between write and reply', safety: Idempotent, world: { engines: { g1: ambiguous, g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
-  { fault: 'connection breaks', moment: 'between write and reply', safety: NonIdempotent, world: { engines: { g1: ambiguous, g2: healthy }, lookups: [StreamState.Absent] }, outcome: Unknown, reason: OutcomeReason.StreamBroken, sends: ['g1@0'] },
-  { fault: 'connection breaks, it runs', moment: 'between write and reply', safety: NonIdempotent, world: { engines: { g1: ambiguous }, lookups: [StreamState.Absent, StreamState.Running] }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'connection breaks, endpoint gone', moment: 'between write and reply', safety: NonIdempotent, world: { engines: { g1: ambiguous, g2: healthy }, lookups: [null] }, outcome: Unknown, sends: ['g1@0'] },
-  { fault: 'refusal after a lost send', moment: 'at the second send', safety: Idempotent, world: { engines: { g1: ambiguous, g2: refuses, g3: refuses } }, outcome: Unknown, sends: ['g1@0', 'g2@0', 'g3@0'] },
-  { fault: 'replica dies', moment: 'in mid-answer', safety: Idempotent, world: { engines: { g1: breaks(3), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@2'] },
-  { fault: 'replica dies', moment: 'in mid-answer', safety: NonIdempotent, world: { engines: { g1: breaks(3), g2: healthy }, lookups: [null] }, outcome: Unknown, sends: ['g1@0'] },
-  { fault: 'connection breaks', moment: 'in mid-answer', safety: NonIdempotent, world: { engines: { g1: breaks(3), g2: healthy }, lookups: [StreamState.Whole] }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'engine cancelled it', moment: 'in mid-answer', safety: NonIdempotent, world: { engines: { g1: breaks(3), g2: healthy }, lookups: [StreamState.Cancelled] }, outcome: Failed, sends: ['g1@0'] },
-  { fault: 'stream ends in silence', moment: 'in mid-answer', safety: Idempotent, world: { engines: { g1: silent(4), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@3'] },
-  { fault: 'stream stalls', moment: 'in mid-answer', safety: Idempotent, world: { engines: { g1: interrupted(2, InterruptKind.Stalled), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
-  { fault: 'chunk missing', moment: 'in mid-answer', safety: Idempotent, world: { engines: { g1: (a) => [...tokens(0, 2, a), ...tokens(3, 6, a), end(6, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
-  { fault: 'chunks reordered', moment: 'in mid-answer', safety: Idempotent, world: { engines: { g1: (a) => [...tokens(0, 1, a), ...tokens(2, 3, a), ...tokens(1, 2, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
-  { fault: 'chunks repeated', moment: 'in mid-answer', safety: NonIdempotent, world: { engines: { g1: (a) => [...tokens(0, 3, a), ...tokens(1, 3, a), ...tokens(3, 6, a), end(6, a)] } }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'chunk of another request', moment: 'in mid-answer', safety: Idempotent, world: { engines: { g1: (a) => [...tokens(0, 2, a), ...tokens(2, 3, a, 'other.1.abc.random02')], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
-  { fault: 'late chunk of the first attempt', moment: 'in the second attempt', safety: Idempotent, world: { engines: { g1: breaks(2), g2: (a, from) => [...tokens(2, 4, 1), ...tokens(from, 6, a), end(6, a)] } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
-  { fault: 'end mark too early', moment: 'at the end', safety: Idempotent, world: { engines: { g1: (a) => [...tokens(0, 4, a), end(6, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@3'] },
-  { fault: 'end mark lost', moment: 'at the end', safety: Idempotent, world: { engines: { g1: (a) => tokens(0, 6, a), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@5'] },
-  { fault: 'engines disagree, caller saw some', moment: 'in the second attempt', safety: Idempotent, world: { engines: { g1: breaks(3), g2: (a, from) => [...tokens(from, 6, a, REQUEST, ['x', 'y', 'z', 'u', 'v', 'w']), end(6, a)] } }, outcome: Unknown, reason: OutcomeReason.StreamBroken, sends: ['g1@0', 'g2@2'] },
-  { fault: 'engines disagree, caller saw nothing', moment: 'in the second attempt', safety: Idempotent, world: { callerSees: false, engines: { g1: breaks(3), g2: (a, from) => from === 0 ? healthy(a, 0) : tokens(from, 6, a, REQUEST, ['x', 'y', 'z', 'u', 'v', 'w']), g3: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@2', 'g3@0'] },
-  { fault: 'only replica dies and comes back', moment: 'in mid-answer', safety: Idempotent, world: { engines: { g1: (a, from) => a === 1 ? breaks(2)(a, from) : healthy(a, from) } }, outcome: Answered, sends: ['g1@0', 'g1@1'] },
-  { fault: 'retry budget spent', moment: 'in mid-answer', safety: Idempotent, world: { retryBudget: 0, engines: { g1: breaks(2), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.RetryBudgetExhausted, sends: ['g1@0'] },
-  { fault: 'caller goes', moment: 'in mid-answer', safety: Idempotent, world: { engines: { g1: interrupted(2, InterruptKind.CallerGone), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.Cancelled, sends: ['g1@0'] },
-  { fault: 'deadline passes', moment: 'before the first chunk', safety: NonIdempotent, world: { engines: { g1: interrupted(0, InterruptKind.Deadline), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.DeadlineExceeded, sends: ['g1@0'] },
-  { fault: 'cancel after the end mark', moment: 'at the end', safety: Idempotent, world: { engines: { g1: (a) => [...healthy(a, 0), { kind: InterruptKind.CallerGone }] } }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'engine fails it', moment: 'at the send', safety: NonIdempotent, world: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'out of memory', status: 500 })], g2: healthy } }, outcome: Failed, sends: ['g1@0'] },
-  { fault: 'engine fails it', moment: 'at the send', safety: Idempotent, world: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'out of memory', status: 500 })], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
-  { fault: 'request at fault', moment: 'at the send', safety: Idempotent, world: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'too long', status: 400 })], g2: healthy } }, outcome: Failed, sends: ['g1@0'] },
-  { fault: 'answer breaks the contract', moment: 'at the send', safety: NonIdempotent, world: { engines: { g1: () => [error({ kind: EndpointErrorKind.Malformed, reason: 'not JSON' })], g2: healthy }, lookups: [StreamState.Absent] }, outcome: Unknown, sends: ['g1@0'] }
+  { fault: 'none', moment: '-', safety: Idempotent, scenario: { engines: { g1: healthy } }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'none', moment: '-', safety: NonIdempotent, scenario: { engines: { g1: healthy } }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'no group', moment: 'before the send', safety: NonIdempotent, scenario: { engines: {} }, outcome: NotRun, reason: OutcomeReason.NoReplica, sends: [] },
+  { fault: 'node paused, choice stale', moment: 'before the send', safety: NonIdempotent, scenario: { engines: { g1: healthy }, staleSends: 2 }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'choice always stale', moment: 'before the send', safety: NonIdempotent, scenario: { engines: { g1: healthy }, staleSends: 99 }, outcome: NotRun, sends: [] },
+  { fault: 'engine at another formation', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: refuses, g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
+  { fault: 'every engine refuses', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: full, g2: full, g3: full, g4: healthy } }, outcome: NotRun, reason: OutcomeReason.Overloaded, sends: ['g1@0', 'g2@0', 'g3@0'] },
+  { fault: 'connection breaks', moment: 'between write and reply', safety: Idempotent, scenario: { engines: { g1: ambiguous, g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
+  { fault: 'connection breaks', moment: 'between write and reply', safety: NonIdempotent, scenario: { engines: { g1: ambiguous, g2: healthy }, lookups: [StreamState.Absent] }, outcome: Unknown, reason: OutcomeReason.StreamBroken, sends: ['g1@0'] },
+  { fault: 'connection breaks, it runs', moment: 'between write and reply', safety: NonIdempotent, scenario: { engines: { g1: ambiguous }, lookups: [StreamState.Absent, StreamState.Running] }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'connection breaks, endpoint gone', moment: 'between write and reply', safety: NonIdempotent, scenario: { engines: { g1: ambiguous, g2: healthy }, lookups: [null] }, outcome: Unknown, sends: ['g1@0'] },
+  { fault: 'refusal after a lost send', moment: 'at the second send', safety: Idempotent, scenario: { engines: { g1: ambiguous, g2: refuses, g3: refuses } }, outcome: Unknown, sends: ['g1@0', 'g2@0', 'g3@0'] },
+  { fault: 'replica dies', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: breaks(3), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@2'] },
+  { fault: 'replica dies', moment: 'in mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [null] }, outcome: Unknown, sends: ['g1@0'] },
+  { fault: 'connection breaks', moment: 'in mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [StreamState.Whole] }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'engine cancelled it', moment: 'in mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [StreamState.Cancelled] }, outcome: Failed, sends: ['g1@0'] },
+  { fault: 'stream ends in silence', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: silent(4), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@3'] },
+  { fault: 'stream stalls', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: interrupted(2, InterruptKind.Stalled), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
+  { fault: 'chunk missing', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 2, a), ...tokens(3, 6, a), end(6, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
+  { fault: 'chunks reordered', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 1, a), ...tokens(2, 3, a), ...tokens(1, 2, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
+  { fault: 'chunks repeated', moment: 'in mid-answer', safety: NonIdempotent, scenario: { engines: { g1: (a) => [...tokens(0, 3, a), ...tokens(1, 3, a), ...tokens(3, 6, a), end(6, a)] } }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'chunk of another request', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 2, a), ...tokens(2, 3, a, 'other.1.abc.random02')], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
+  { fault: 'late chunk of the first attempt', moment: 'in the second attempt', safety: Idempotent, scenario: { engines: { g1: breaks(2), g2: (a, from) => [...tokens(2, 4, 1), ...tokens(from, 6, a), end(6, a)] } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
+  { fault: 'end mark too early', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 4, a), end(6, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@3'] },
+  { fault: 'end mark lost', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => tokens(0, 6, a), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@5'] },
+  { fault: 'engines disagree, caller saw some', moment: 'in the second attempt', safety: Idempotent, scenario: { engines: { g1: breaks(3), g2: (a, from) => [...tokens(from, 6, a, REQUEST, ['x', 'y', 'z', 'u', 'v', 'w']), end(6, a)] } }, outcome: Unknown, reason: OutcomeReason.StreamBroken, sends: ['g1@0', 'g2@2'] },
+  { fault: 'engines disagree, caller saw nothing', moment: 'in the second attempt', safety: Idempotent, scenario: { callerReceives: false, engines: { g1: breaks(3), g2: (a, from) => from === 0 ? healthy(a, 0) : tokens(from, 6, a, REQUEST, ['x', 'y', 'z', 'u', 'v', 'w']), g3: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@2', 'g3@0'] },
+  { fault: 'only replica dies and comes back', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: (a, from) => a === 1 ? breaks(2)(a, from) : healthy(a, from) } }, outcome: Answered, sends: ['g1@0', 'g1@1'] },
+  { fault: 'retry budget spent', moment: 'in mid-answer', safety: Idempotent, scenario: { retryBudget: 0, engines: { g1: breaks(2), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.RetryBudgetExhausted, sends: ['g1@0'] },
+  { fault: 'caller goes', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: interrupted(2, InterruptKind.CallerGone), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.Cancelled, sends: ['g1@0'] },
+  { fault: 'deadline passes', moment: 'before the first chunk', safety: NonIdempotent, scenario: { engines: { g1: interrupted(0, InterruptKind.Deadline), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.DeadlineExceeded, sends: ['g1@0'] },
+  { fault: 'cancel after the end mark', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => [...healthy(a, 0), { kind: InterruptKind.CallerGone }] } }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'engine fails it', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'out of memory', status: 500 })], g2: healthy } }, outcome: Failed, sends: ['g1@0'] },
+  { fault: 'engine fails it', moment: 'at the send', safety: Idempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'out of memory', status: 500 })], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
+  { fault: 'request at fault', moment: 'at the send', safety: Idempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'too long', status: 400 })], g2: healthy } }, outcome: Failed, sends: ['g1@0'] },
+  { fault: 'answer breaks the contract', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Malformed, reason: 'not JSON' })], g2: healthy }, lookups: [StreamState.Absent] }, outcome: Unknown, sends: ['g1@0'] }
 ]
 
 describe('runModelRequest', () => {
   for (const row of rows) {
     it(`${row.safety}: ${row.fault}, ${row.moment} -> ${row.outcome}`, async () => {
-      const { result, text, sends, deliveredOffsets } = await runIn(row.world, row.safety)
+      const { result, text, sends, deliveredOffsets } = await runScenario(row.scenario, row.safety)
       expect({ outcome: result.outcome.kind, sends }).to.deep.equal({ outcome: row.outcome, sends: row.sends })
       if (row.reason !== undefined) expect(result.outcome.reason).to.equal(row.reason)
       if (row.outcome === Answered) expect({ text, tokens: result.completionTokens }).to.deep.equal({ text: WHOLE, tokens: 6 })
--- a/packages/dotterelspur/src/request/lifecycle/GroupTable.ts
+++ b/packages/dotterelspur/src/request/lifecycle/dispatchChecks.ts
@@ -35,7 +35,7 @@
 }
 
 /** What an entry holds when it judges its groups. Ages are as of the moment of the call. */
-export interface GroupFacts {
+export interface DispatchInputs {
   readonly assignments: readonly AssignmentObject[]
   readonly presence: readonly GroupPresence[]
   /** Targets of `drains/`: VMs and groups that take no new work. */
@@ -43,18 +43,18 @@
   readonly evidenceTtlMs: number
 }
 
-export interface JudgedDispatch {
+export interface DispatchCheck {
   readonly assigned: AssignedGroup
   readonly view: GroupView | null
   readonly obstacle: NotDispatchable | null
 }
 
 /** Judges every assigned group; a group with a view may be dispatched to now. */
-export function judgeDispatches (facts: GroupFacts): JudgedDispatch[] {
-  const presence = new Map(facts.presence.map((line) => [line.group, line]))
+export function checkDispatches (facts: DispatchInputs): DispatchCheck[] {
+  const presence = new Map(facts.presence.map((evidence) => [evidence.group, evidence]))
   return facts.assignments.flatMap((assignment) => assignment.groups.map((assigned) => {
     const line = presence.get(assigned.group)
-    return judgeDispatch(assignment, standingGroup(assigned, line), line, facts)
+    return checkDispatch(assignment, groupAtFormation(assigned, line), line, facts)
   }))
 }
 
@@ -62,19 +62,19 @@
  * The group as its evidence shows it: while the store is out, standbys may step in at a formation that the
  * assignment set aside for it, and its members follow from the assignment alone.
  */
-function standingGroup (assigned: AssignedGroup, presence: GroupPresence | undefined): AssignedGroup {
+function groupAtFormation (assigned: AssignedGroup, presence: GroupPresence | undefined): AssignedGroup {
   if (presence === undefined || presence.formation === assigned.formation || !takesNewWork(assigned.state)) return assigned
   const derived = readStepIn(assigned, presence.formation)
   return derived === null ? assigned : groupAtStepIn(assigned, derived)
 }
 
 /** The groups that may be dispatched to now. */
-export function dispatchableGroups (facts: GroupFacts): GroupView[] {
-  return judgeDispatches(facts).flatMap((judged) => judged.view === null ? [] : [judged.view])
+export function dispatchableGroups (facts: DispatchInputs): GroupView[] {
+  return checkDispatches(facts).flatMap((check) => check.view === null ? [] : [check.view])
 }
 
 /** Judges one group of one assignment. */
-export function judgeDispatch (assignment: AssignmentObject, assigned: AssignedGroup, presence: GroupPresence | undefined, facts: Omit<GroupFacts, 'assignments' | 'presence'>): JudgedDispatch {
+export function checkDispatch (assignment: AssignmentObject, assigned: AssignedGroup, presence: GroupPresence | undefined, facts: Omit<DispatchInputs, 'assignments' | 'presence'>): DispatchCheck {
   const obstacle = findObstacle(assigned, presence, facts)
   if (obstacle !== null || presence === undefined) return { assigned, view: null, obstacle }
   const view: GroupView = {
@@ -94,7 +94,7 @@
   return { assigned, view, obstacle: null }
 }
 
-function findObstacle (assigned: AssignedGroup, presence: GroupPresence | undefined, facts: Omit<GroupFacts, 'assignments' | 'presence'>): NotDispatchable | null {
+function findObstacle (assigned: AssignedGroup, presence: GroupPresence | undefined, facts: Omit<DispatchInputs, 'assignments' | 'presence'>): NotDispatchable | null {
   if (assigned.state !== GroupState.Serving && assigned.state !== GroupState.Forming) return NotDispatchable.WrongState
   if (assigned.members.length === 0) return NotDispatchable.NoMembers
   if (facts.drained.has(assigned.group) || assigned.members.some((member) => facts.drained.has(member.vm))) return NotDispatchable.Drained
--- a/packages/dotterelspur/src/request/lifecycle/orderEntries.ts
+++ b/packages/dotterelspur/src/request/lifecycle/orderEntries.ts
@@ -3,7 +3,7 @@
 import { rendezvousOrder } from '../../process/rendezvous.js'
 
 /** Where a caller says that it is. */
-export interface CallerPlace {
+export interface CallerLocation {
   readonly failureDomain: FailureDomainId | null
   readonly region: RegionId
   /** Spreads callers: each key has its own order of the nodes of one distance. */
@@ -23,14 +23,14 @@
  * distance each caller has its own order, so that callers spread evenly, and a node that goes moves only the
  * callers that had it. Suspected nodes come last of their distance; leaving and dead ones are out at once.
  */
-export function orderEntries (members: readonly NodeMember[], place: CallerPlace): NodeMember[] {
+export function orderEntries (members: readonly NodeMember[], place: CallerLocation): NodeMember[] {
   return DISTANCES.flatMap((distance) => {
-    const near = members.filter((member) => distanceOf(member, place) === distance)
-    return [NodeState.Alive, NodeState.Suspect].flatMap((state) => spread(near.filter((member) => member.state === state), place.spreadKey))
+    const atDistance = members.filter((member) => distanceOf(member, place) === distance)
+    return [NodeState.Alive, NodeState.Suspect].flatMap((state) => spread(atDistance.filter((member) => member.state === state), place.spreadKey))
   })
 }
 
-function distanceOf (member: NodeMember, place: CallerPlace): Distance {
+function distanceOf (member: NodeMember, place: CallerLocation): Distance {
   if (member.failureDomain === place.failureDomain) return Distance.FailureDomain
   return member.region === place.region ? Distance.Region : Distance.Elsewhere
 }
--- a/packages/dotterelspur/src/request/lifecycle/settleClaim.ts
+++ b/packages/dotterelspur/src/request/lifecycle/resolveClaim.ts
@@ -33,7 +33,7 @@
 
 export type ClaimEffects = CreateClaimEffect | GetClaimEffect | ClaimWaitEffect
 
-export enum ClaimStandKind {
+export enum ClaimStateKind {
   /** The key stands for this request id. */
   Settled = 'settled',
   /** Nothing was written and nothing can be any more. */
@@ -42,11 +42,11 @@
   Unsettled = 'unsettled'
 }
 
-export type ClaimStand =
-  | { readonly kind: ClaimStandKind.Settled, readonly requestId: RequestId }
-  | { readonly kind: ClaimStandKind.NotWritten | ClaimStandKind.Unsettled, readonly reason: string }
+export type ClaimState =
+  | { readonly kind: ClaimStateKind.Settled, readonly requestId: RequestId }
+  | { readonly kind: ClaimStateKind.NotWritten | ClaimStateKind.Unsettled, readonly reason: string }
 
-const MAX_TRIES = 3
+const MAX_ATTEMPTS = 3
 
 /**
  * Finds out which request id a caller's key stands for, claiming it when it is free.
@@ -56,24 +56,24 @@
  * created again and read back: whichever write landed first, the stored request id is the one that counts. A
  * conflict whose claim can't be read yet, because the read came from the past, stays unsettled.
  */
-export function * settleClaim (): Procedure<ClaimEffects, ClaimStand> {
-  let mayBeClaimed = false
+export function * resolveClaim (): Procedure<ClaimEffects, ClaimState> {
+  let mayBeWritten = false
   let reason = ''
-  for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+  for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
     const created = yield * perform<CreateClaimEffect>({ kind: ClaimEffectKind.Create })
     if (created.ok) return settled(created.value)
-    if (created.error.kind === StoreErrorKind.Unknown || created.error.kind === StoreErrorKind.Conflict) mayBeClaimed = true
+    if (created.error.kind === StoreErrorKind.Unknown || created.error.kind === StoreErrorKind.Conflict) mayBeWritten = true
     const read = yield * perform<GetClaimEffect>({ kind: ClaimEffectKind.Get })
     if (read.ok && !read.value.deleted) return settled(read.value)
     reason = describe(created.error)
-    if (!mayBeClaimed) break
+    if (!mayBeWritten) break
     yield * perform<ClaimWaitEffect>({ kind: ClaimEffectKind.Wait })
   }
-  return { kind: mayBeClaimed ? ClaimStandKind.Unsettled : ClaimStandKind.NotWritten, reason }
+  return { kind: mayBeWritten ? ClaimStateKind.Unsettled : ClaimStateKind.NotWritten, reason }
 }
 
-function settled (object: StoredObject<ClaimObject>): ClaimStand {
-  return { kind: ClaimStandKind.Settled, requestId: object.body.requestId }
+function settled (object: StoredObject<ClaimObject>): ClaimState {
+  return { kind: ClaimStateKind.Settled, requestId: object.body.requestId }
 }
 
 function describe (error: StoreError): string {
--- a/packages/dotterelspur/src/request/lifecycle/runModelRequest.ts
+++ b/packages/dotterelspur/src/request/lifecycle/runModelRequest.ts
@@ -3,12 +3,12 @@
 import { perform, type Procedure } from '../../process/Procedure.js'
 import { OutcomeReason, type Outcome } from '../Outcome.js'
 import { EMPTY_PROGRESS, JoinKind, extendProgress, joinChunk, type AnswerProgress } from './AnswerProgress.js'
-import { ChunkVerdictKind, judgeChunk, type ChunkCursor, type ChunkVerdict } from './ChunkCursor.js'
-import type { GroupView } from './GroupTable.js'
+import { ChunkVerdictKind, checkChunk, type ChunkCursor, type ChunkVerdict } from './ChunkCursor.js'
+import type { GroupView } from './dispatchChecks.js'
 import {
   InterruptKind, LifecycleEffectKind, RequestSafety, isInterrupt,
-  type CloseStreamEffect, type DeliverEffect, type JudgeRequestEffect, type LookupEffect, type ModelEffects, type ModelResult, type NextEventEffect,
-  type ResumeEffect, type SelectGroupEffect, type SendEffect, type SpendRetryEffect, type StartAgainEffect, type WaitEffect
+  type CloseStreamEffect, type DeliverEffect, type CheckPoisonEffect, type LookupEffect, type ModelEffects, type ModelResult, type NextEventEffect,
+  type ResumeEffect, type SelectGroupEffect, type SendEffect, type SpendRetryEffect, type RestartAnswerEffect, type WaitEffect
 } from './LifecycleEffects.js'
 import { answered, failedByEndpoint, notRun, unknownOutcome } from './outcomes.js'
 
@@ -20,13 +20,13 @@
   /** Looks at the endpoint after an ambiguous send of a non-idempotent request. */
   readonly maxLookups: number
   /** Between two looks, and between two choices while no group can go on with the answer. */
-  readonly pauseMs: number
+  readonly retryDelayMs: number
   /** Choices that found no group, after an attempt, before the request is given up. */
-  readonly maxBarrenChoices: number
+  readonly maxFailedSelections: number
 }
 
-enum AttemptEndKind {
-  Whole = 'whole',
+enum AttemptResultKind {
+  Completed = 'whole',
   /** The endpoint ran nothing and will not. */
   Refused = 'refused',
   /** It may have run; it may run still. */
@@ -34,33 +34,33 @@
   /** The endpoint ran it and says that it failed. */
   Failed = 'failed',
   /** The caller or the deadline ended it. */
-  Stopped = 'stopped',
+  Interrupted = 'stopped',
   /** The engine's text differs from what the caller has. */
-  Differs = 'differs'
+  Diverged = 'differs'
 }
 
-type AttemptEnd =
-  | { readonly kind: AttemptEndKind.Whole, readonly finishReason: FinishReason, readonly promptTokens: number }
-  | { readonly kind: AttemptEndKind.Refused, readonly reason: string, readonly busy: boolean, readonly retryAfterMs: number | null }
-  | { readonly kind: AttemptEndKind.Lost, readonly reason: string }
-  | { readonly kind: AttemptEndKind.Failed, readonly reason: string, readonly status: number }
-  | { readonly kind: AttemptEndKind.Stopped, readonly interrupt: InterruptKind }
-  | { readonly kind: AttemptEndKind.Differs }
+type AttemptResult =
+  | { readonly kind: AttemptResultKind.Completed, readonly finishReason: FinishReason, readonly promptTokens: number }
+  | { readonly kind: AttemptResultKind.Refused, readonly reason: string, readonly busy: boolean, readonly retryAfterMs: number | null }
+  | { readonly kind: AttemptResultKind.Lost, readonly reason: string }
+  | { readonly kind: AttemptResultKind.Failed, readonly reason: string, readonly status: number }
+  | { readonly kind: AttemptResultKind.Interrupted, readonly interrupt: InterruptKind }
+  | { readonly kind: AttemptResultKind.Diverged }
 
 interface ModelRun {
   readonly plan: ModelPlan
   progress: AnswerProgress
   attempt: number
-  barrenChoices: number
+  failedSelections: number
   excluded: string[]
   /** Some attempt may have reached an endpoint, so not-run can no longer be said. */
   mayHaveRun: boolean
 }
 
-type Next = ModelResult | null
+type StepResult = ModelResult | null
 
 /** Most choices that turned out stale right before the send; each was cheap and sent nothing. */
-const MAX_STALE_CHOICES = 8
+const MAX_STALE_SELECTIONS = 8
 
 /**
  * One model request from its first choice to its outcome.
@@ -70,49 +70,49 @@
  * endpoint for its stream and follows that, and never sends again.
  */
 export function * runModelRequest (plan: ModelPlan): Procedure<ModelEffects, ModelResult> {
-  const run: ModelRun = { plan, progress: EMPTY_PROGRESS, attempt: 0, barrenChoices: 0, excluded: [], mayHaveRun: false }
-  let staleChoices = 0
+  const run: ModelRun = { plan, progress: EMPTY_PROGRESS, attempt: 0, failedSelections: 0, excluded: [], mayHaveRun: false }
+  let staleSelections = 0
   for (;;) {
-    const choice = yield * perform<SelectGroupEffect>({ kind: LifecycleEffectKind.SelectGroup, excluded: run.excluded, version: run.progress.version })
-    if (!choice.ok) {
-      const ended = yield * afterBarrenChoice(run, choice.error)
+    const selection = yield * perform<SelectGroupEffect>({ kind: LifecycleEffectKind.SelectGroup, excluded: run.excluded, version: run.progress.version })
+    if (!selection.ok) {
+      const ended = yield * afterFailedSelection(run, selection.error)
       if (ended !== null) return ended
       continue
     }
-    const group = choice.value
+    const group = selection.value
     const sent = yield * send(run, group)
     if (!sent) {
-      staleChoices += 1
-      if (staleChoices >= MAX_STALE_CHOICES) return finish(run, giveUp(run, OutcomeReason.NoReplica, 'no group stayed whole until the send'))
+      staleSelections += 1
+      if (staleSelections >= MAX_STALE_SELECTIONS) return finish(run, notRunOrUnknown(run, OutcomeReason.NoReplica, 'no group stayed whole until the send'))
       continue
     }
-    const end = yield * followStream(run, group)
-    const ended = yield * afterAttempt(run, group, end)
+    const result = yield * followStream(run, group)
+    const ended = yield * afterAttempt(run, group, result)
     if (ended !== null) return ended
   }
 }
 
 function * send (run: ModelRun, group: GroupView): Procedure<ModelEffects, boolean> {
-  const { settledOffset, settledText } = run.progress
-  const sent = yield * perform<SendEffect>({ kind: LifecycleEffectKind.Send, group, attempt: run.attempt + 1, resumeOffset: settledOffset, resumeText: settledText })
+  const { baseOffset, baseText } = run.progress
+  const sent = yield * perform<SendEffect>({ kind: LifecycleEffectKind.Send, group, attempt: run.attempt + 1, resumeOffset: baseOffset, resumeText: baseText })
   if (sent) run.attempt += 1
   return sent
 }
 
-function * followStream (run: ModelRun, group: GroupView): Procedure<ModelEffects, AttemptEnd> {
-  let cursor: ChunkCursor = { requestId: run.plan.requestId, attempt: run.attempt, offset: run.progress.settledOffset }
-  let expected = run.progress.lastText
+function * followStream (run: ModelRun, group: GroupView): Procedure<ModelEffects, AttemptResult> {
+  let cursor: ChunkCursor = { requestId: run.plan.requestId, attempt: run.attempt, offset: run.progress.baseOffset }
+  let expected = run.progress.lastChunkText
   for (;;) {
     const event = yield * perform<NextEventEffect>({ kind: LifecycleEffectKind.NextEvent })
     if (event === null) return lost('the stream ended without its end mark')
-    if (isInterrupt(event)) return event.kind === InterruptKind.Stalled ? lost('the stream stalled') : { kind: AttemptEndKind.Stopped, interrupt: event.kind }
-    if (event.kind === StreamEventKind.Error) return endOfError(event.error)
-    const verdict = judgeChunk(cursor, event.chunk)
+    if (isInterrupt(event)) return event.kind === InterruptKind.Stalled ? lost('the stream stalled') : { kind: AttemptResultKind.Interrupted, interrupt: event.kind }
+    if (event.kind === StreamEventKind.Error) return resultOfError(event.error)
+    const verdict = checkChunk(cursor, event.chunk)
     cursor = verdict.cursor
     if (verdict.kind === ChunkVerdictKind.Drop) continue
-    if (verdict.kind !== ChunkVerdictKind.Take) return endOfVerdict(run, verdict, event.chunk)
+    if (verdict.kind !== ChunkVerdictKind.Accept) return resultOfVerdict(run, verdict, event.chunk)
     const join = joinChunk(expected, run.progress.offset, cursor.offset, verdict.text)
-    if (join.kind === JoinKind.Differs) return { kind: AttemptEndKind.Differs }
+    if (join.kind === JoinKind.Diverged) return { kind: AttemptResultKind.Diverged }
     expected = join.kind === JoinKind.Overlap ? join.expected : ''
     if (join.kind === JoinKind.Overlap) continue
     const { offset } = run.progress
@@ -121,24 +121,24 @@
   }
 }
 
-function endOfVerdict (run: ModelRun, verdict: ChunkVerdict, chunk: GenerateChunk): AttemptEnd {
-  if (verdict.kind === ChunkVerdictKind.Whole) {
+function resultOfVerdict (run: ModelRun, verdict: ChunkVerdict, chunk: GenerateChunk): AttemptResult {
+  if (verdict.kind === ChunkVerdictKind.Completed) {
     if (verdict.cursor.offset < run.progress.offset) return lost(`end at ${verdict.cursor.offset}, but the caller has ${run.progress.offset}`)
-    return { kind: AttemptEndKind.Whole, finishReason: verdict.finishReason, promptTokens: verdict.promptTokens }
+    return { kind: AttemptResultKind.Completed, finishReason: verdict.finishReason, promptTokens: verdict.promptTokens }
   }
-  if (verdict.kind === ChunkVerdictKind.Cancelled) return { kind: AttemptEndKind.Failed, reason: 'the engine cancelled it', status: 0 }
+  if (verdict.kind === ChunkVerdictKind.Cancelled) return { kind: AttemptResultKind.Failed, reason: 'the engine cancelled it', status: 0 }
   return lost(verdict.kind === ChunkVerdictKind.Broken ? verdict.reason : `unexpected chunk of attempt ${chunk.attempt}`)
 }
 
-function lost (reason: string): AttemptEnd {
-  return { kind: AttemptEndKind.Lost, reason }
+function lost (reason: string): AttemptResult {
+  return { kind: AttemptResultKind.Lost, reason }
 }
 
-function refused (error: { readonly reason: string, readonly retryAfterMs?: number }, busy: boolean): AttemptEnd {
-  return { kind: AttemptEndKind.Refused, reason: error.reason, busy, retryAfterMs: error.retryAfterMs ?? null }
+function refused (error: { readonly reason: string, readonly retryAfterMs?: number }, busy: boolean): AttemptResult {
+  return { kind: AttemptResultKind.Refused, reason: error.reason, busy, retryAfterMs: error.retryAfterMs ?? null }
 }
 
-const END_OF_ERROR: { readonly [Kind in EndpointErrorKind]: (error: Extract<EndpointError, { kind: Kind }>) => AttemptEnd } = {
+const RESULT_OF_ERROR: { readonly [Kind in EndpointErrorKind]: (error: Extract<EndpointError, { kind: Kind }>) => AttemptResult } = {
   [EndpointErrorKind.NotRun]: (error) => refused(error, false),
   [EndpointErrorKind.WrongFormation]: (error) => refused(error, false),
   [EndpointErrorKind.Fenced]: (error) => refused({ reason: `fenced by ${error.highestFencing}` }, false),
@@ -146,126 +146,126 @@
   [EndpointErrorKind.Ambiguous]: (error) => lost(error.reason),
   [EndpointErrorKind.Broken]: (error) => lost(error.reason),
   [EndpointErrorKind.Malformed]: (error) => lost(error.reason),
-  [EndpointErrorKind.Failed]: (error) => ({ kind: AttemptEndKind.Failed, reason: error.reason, status: error.status })
+  [EndpointErrorKind.Failed]: (error) => ({ kind: AttemptResultKind.Failed, reason: error.reason, status: error.status })
 }
 
-function endOfError (error: EndpointError): AttemptEnd {
-  return (END_OF_ERROR[error.kind] as (error: EndpointError) => AttemptEnd)(error)
+function resultOfError (error: EndpointError): AttemptResult {
+  return (RESULT_OF_ERROR[error.kind] as (error: EndpointError) => AttemptResult)(error)
 }
 
-type EndHandlers = { readonly [Kind in AttemptEndKind]: (run: ModelRun, group: GroupView, end: Extract<AttemptEnd, { kind: Kind }>) => Procedure<ModelEffects, Next> }
+type ResultHandlers = { readonly [Kind in AttemptResultKind]: (run: ModelRun, group: GroupView, result: Extract<AttemptResult, { kind: Kind }>) => Procedure<ModelEffects, StepResult> }
 
-const END_HANDLERS: EndHandlers = {
-  [AttemptEndKind.Whole]: function * (run, _group, end) {
-    yield * close(false)
-    return finish(run, answered(), end.finishReason, end.promptTokens)
+const RESULT_HANDLERS: ResultHandlers = {
+  [AttemptResultKind.Completed]: function * (run, _group, result) {
+    yield * closeStream(false)
+    return finish(run, answered(), result.finishReason, result.promptTokens)
   },
-  [AttemptEndKind.Refused]: function * (run, group, end) {
-    yield * close(false)
-    const reason = end.busy ? OutcomeReason.Overloaded : OutcomeReason.NoReplica
-    return yield * tryElsewhere(run, group, giveUp(run, reason, end.reason, end.retryAfterMs))
+  [AttemptResultKind.Refused]: function * (run, group, result) {
+    yield * closeStream(false)
+    const reason = result.busy ? OutcomeReason.Overloaded : OutcomeReason.NoReplica
+    return yield * retryElsewhere(run, group, notRunOrUnknown(run, reason, result.reason, result.retryAfterMs))
   },
-  [AttemptEndKind.Lost]: function * (run, group, end) {
+  [AttemptResultKind.Lost]: function * (run, group, result) {
     run.mayHaveRun = true
-    yield * close(run.plan.safety === RequestSafety.Idempotent)
-    if (run.plan.safety === RequestSafety.NonIdempotent) return yield * recover(run, group, end.reason)
-    return yield * tryElsewhere(run, group, unknownOutcome(OutcomeReason.StreamBroken, end.reason))
+    yield * closeStream(run.plan.safety === RequestSafety.Idempotent)
+    if (run.plan.safety === RequestSafety.NonIdempotent) return yield * recoverStream(run, group, result.reason)
+    return yield * retryElsewhere(run, group, unknownOutcome(OutcomeReason.StreamBroken, result.reason))
   },
-  [AttemptEndKind.Failed]: function * (run, group, end) {
+  [AttemptResultKind.Failed]: function * (run, group, result) {
     run.mayHaveRun = true
-    yield * close(false)
-    const outcome = failedByEndpoint(OutcomeReason.EndpointFailed, end.reason)
-    if (run.plan.safety === RequestSafety.NonIdempotent || isCallersFault(end.status)) return finish(run, outcome)
-    return yield * tryElsewhere(run, group, outcome)
+    yield * closeStream(false)
+    const outcome = failedByEndpoint(OutcomeReason.EndpointFailed, result.reason)
+    if (run.plan.safety === RequestSafety.NonIdempotent || isClientError(result.status)) return finish(run, outcome)
+    return yield * retryElsewhere(run, group, outcome)
   },
-  [AttemptEndKind.Stopped]: function * (run, _group, end) {
+  [AttemptResultKind.Interrupted]: function * (run, _group, result) {
     run.mayHaveRun = true
-    yield * close(run.plan.safety === RequestSafety.Idempotent)
-    return finish(run, stopped(run, end.interrupt))
+    yield * closeStream(run.plan.safety === RequestSafety.Idempotent)
+    return finish(run, interruptedOutcome(run, result.interrupt))
   },
-  [AttemptEndKind.Differs]: function * (run, group) {
+  [AttemptResultKind.Diverged]: function * (run, group) {
     run.mayHaveRun = true
-    yield * close(true)
-    const restarted = yield * startAgain(run)
+    yield * closeStream(true)
+    const restarted = yield * restartAnswer(run)
     const outcome = unknownOutcome(OutcomeReason.StreamBroken, 'the answer could not be continued: the engines disagree about it')
-    return restarted ? yield * tryElsewhere(run, group, outcome) : finish(run, outcome)
+    return restarted ? yield * retryElsewhere(run, group, outcome) : finish(run, outcome)
   }
 }
 
-function * afterAttempt (run: ModelRun, group: GroupView, end: AttemptEnd): Procedure<ModelEffects, Next> {
-  const handler = END_HANDLERS[end.kind] as (run: ModelRun, group: GroupView, end: AttemptEnd) => Procedure<ModelEffects, Next>
-  return yield * handler(run, group, end)
+function * afterAttempt (run: ModelRun, group: GroupView, result: AttemptResult): Procedure<ModelEffects, StepResult> {
+  const handler = RESULT_HANDLERS[result.kind] as (run: ModelRun, group: GroupView, result: AttemptResult) => Procedure<ModelEffects, StepResult>
+  return yield * handler(run, group, result)
 }
 
-function * close (cancel: boolean): Procedure<ModelEffects, void> {
+function * closeStream (cancel: boolean): Procedure<ModelEffects, void> {
   yield * perform<CloseStreamEffect>({ kind: LifecycleEffectKind.CloseStream, cancel })
 }
 
 /** Drops what was collected, where the caller has seen none of it; then any version will do. */
-function * startAgain (run: ModelRun): Procedure<ModelEffects, boolean> {
+function * restartAnswer (run: ModelRun): Procedure<ModelEffects, boolean> {
   if (run.progress.offset === 0) return true
-  const allowed = yield * perform<StartAgainEffect>({ kind: LifecycleEffectKind.StartAgain })
+  const allowed = yield * perform<RestartAnswerEffect>({ kind: LifecycleEffectKind.RestartAnswer })
   if (allowed) run.progress = EMPTY_PROGRESS
   return allowed
 }
 
-function * tryElsewhere (run: ModelRun, group: GroupView, otherwise: Outcome): Procedure<ModelEffects, Next> {
+function * retryElsewhere (run: ModelRun, group: GroupView, fallback: Outcome): Procedure<ModelEffects, StepResult> {
   run.excluded.push(group.group)
-  if (run.attempt >= run.plan.maxAttempts) return finish(run, otherwise)
-  const trusted = yield * perform<JudgeRequestEffect>({ kind: LifecycleEffectKind.JudgeRequest })
-  if (!trusted) return finish(run, otherwise)
-  const allowed = yield * perform<SpendRetryEffect>({ kind: LifecycleEffectKind.SpendRetry })
-  if (allowed) return null
-  return finish(run, { ...otherwise, reason: OutcomeReason.RetryBudgetExhausted, message: `${otherwise.message}; the retry budget is spent` })
+  if (run.attempt >= run.plan.maxAttempts) return finish(run, fallback)
+  const isAllowedByPoisonCheck = yield * perform<CheckPoisonEffect>({ kind: LifecycleEffectKind.CheckPoison })
+  if (!isAllowedByPoisonCheck) return finish(run, fallback)
+  const hasRetryBudget = yield * perform<SpendRetryEffect>({ kind: LifecycleEffectKind.SpendRetry })
+  if (hasRetryBudget) return null
+  return finish(run, { ...fallback, reason: OutcomeReason.RetryBudgetExhausted, message: `${fallback.message}; the retry budget is spent` })
 }
 
 /**
  * No group could be chosen. A request that was never sent is refused at once. One that began waits for a while:
  * first the groups it had left are allowed again, then another version where the caller has seen nothing.
  */
-function * afterBarrenChoice (run: ModelRun, refusal: Outcome): Procedure<ModelEffects, Next> {
+function * afterFailedSelection (run: ModelRun, refusal: Outcome): Procedure<ModelEffects, StepResult> {
   if (run.attempt === 0) return finish(run, refusal)
-  run.barrenChoices += 1
-  if (run.barrenChoices > run.plan.maxBarrenChoices) return finish(run, giveUp(run, refusal.reason, refusal.message, refusal.retryAfterMs))
+  run.failedSelections += 1
+  if (run.failedSelections > run.plan.maxFailedSelections) return finish(run, notRunOrUnknown(run, refusal.reason, refusal.message, refusal.retryAfterMs))
   run.excluded = []
-  if (run.barrenChoices > run.plan.maxBarrenChoices / 2) yield * startAgain(run)
-  const interrupt = yield * perform<WaitEffect>({ kind: LifecycleEffectKind.Wait, durationMs: run.plan.pauseMs })
-  return interrupt === null ? null : finish(run, stopped(run, interrupt.kind))
+  if (run.failedSelections > run.plan.maxFailedSelections / 2) yield * restartAnswer(run)
+  const interrupt = yield * perform<WaitEffect>({ kind: LifecycleEffectKind.Wait, durationMs: run.plan.retryDelayMs })
+  return interrupt === null ? null : finish(run, interruptedOutcome(run, interrupt.kind))
 }
 
 /** Follows the stream of a non-idempotent request whose connection was lost. The request is never sent again. */
-function * recover (run: ModelRun, group: GroupView, cause: string): Procedure<ModelEffects, Next> {
-  for (let look = 0; look < run.plan.maxLookups; look += 1) {
+function * recoverStream (run: ModelRun, group: GroupView, cause: string): Procedure<ModelEffects, StepResult> {
+  for (let lookups = 0; lookups < run.plan.maxLookups; lookups += 1) {
     const status = yield * perform<LookupEffect>({ kind: LifecycleEffectKind.Lookup, group })
     const state = status.ok ? status.value.state : StreamState.Absent
     if (state === StreamState.Cancelled) return finish(run, failedByEndpoint(OutcomeReason.StreamBroken, 'the engine stopped it before its end'))
     if (state === StreamState.Running || state === StreamState.Whole) {
-      yield * perform<ResumeEffect>({ kind: LifecycleEffectKind.Resume, group, attempt: run.attempt, offset: run.progress.settledOffset })
-      const end = yield * followStream(run, group)
-      if (end.kind === AttemptEndKind.Whole || end.kind === AttemptEndKind.Failed || end.kind === AttemptEndKind.Stopped) return yield * afterAttempt(run, group, end)
-      yield * close(false)
+      yield * perform<ResumeEffect>({ kind: LifecycleEffectKind.Resume, group, attempt: run.attempt, offset: run.progress.baseOffset })
+      const result = yield * followStream(run, group)
+      if (result.kind === AttemptResultKind.Completed || result.kind === AttemptResultKind.Failed || result.kind === AttemptResultKind.Interrupted) return yield * afterAttempt(run, group, result)
+      yield * closeStream(false)
     }
-    const interrupt = yield * perform<WaitEffect>({ kind: LifecycleEffectKind.Wait, durationMs: run.plan.pauseMs })
-    if (interrupt !== null) return finish(run, stopped(run, interrupt.kind))
+    const interrupt = yield * perform<WaitEffect>({ kind: LifecycleEffectKind.Wait, durationMs: run.plan.retryDelayMs })
+    if (interrupt !== null) return finish(run, interruptedOutcome(run, interrupt.kind))
   }
   return finish(run, unknownOutcome(OutcomeReason.StreamBroken, cause))
 }
 
-const STOP_REASON: { readonly [Kind in InterruptKind]: OutcomeReason } = {
+const INTERRUPT_REASON: { readonly [Kind in InterruptKind]: OutcomeReason } = {
   [InterruptKind.CallerGone]: OutcomeReason.Cancelled,
   [InterruptKind.Deadline]: OutcomeReason.DeadlineExceeded,
   [InterruptKind.Stalled]: OutcomeReason.StreamBroken
 }
 
-function stopped (run: ModelRun, interrupt: InterruptKind): Outcome {
-  return giveUp(run, STOP_REASON[interrupt], interrupt === InterruptKind.Deadline ? 'the deadline passed' : 'the caller went away', null)
+function interruptedOutcome (run: ModelRun, interrupt: InterruptKind): Outcome {
+  return notRunOrUnknown(run, INTERRUPT_REASON[interrupt], interrupt === InterruptKind.Deadline ? 'the deadline passed' : 'the caller went away', null)
 }
 
-function giveUp (run: ModelRun, reason: OutcomeReason, message: string, retryAfterMs: number | null = null): Outcome {
+function notRunOrUnknown (run: ModelRun, reason: OutcomeReason, message: string, retryAfterMs: number | null = null): Outcome {
   return run.mayHaveRun ? unknownOutcome(reason, message, retryAfterMs) : notRun(reason, message, retryAfterMs ?? undefined)
 }
 
-function isCallersFault (status: number): boolean {
+function isClientError (status: number): boolean {
   return status >= 400 && status < 500
 }
 
--- a/packages/dotterelspur/src/request/lifecycle/runServiceRequest.ts
+++ b/packages/dotterelspur/src/request/lifecycle/runServiceRequest.ts
@@ -3,7 +3,7 @@
 import { OutcomeReason, type Outcome } from '../Outcome.js'
 import {
   InterruptKind, LifecycleEffectKind, RequestSafety,
-  type CallServiceEffect, type Interrupt, type JudgeRequestEffect, type SelectWorkerEffect, type ServiceEffects, type ServiceResult, type ServiceWorker, type SpendRetryEffect
+  type CallServiceEffect, type Interrupt, type CheckPoisonEffect, type SelectWorkerEffect, type ServiceEffects, type ServiceResult, type ServiceWorker, type SpendRetryEffect
 } from './LifecycleEffects.js'
 import { answered, failedByEndpoint, notRun, unknownOutcome } from './outcomes.js'
 
@@ -31,7 +31,7 @@
   [EndpointErrorKind.Malformed]: false
 }
 
-const MAX_STALE_CHOICES = 8
+const MAX_STALE_SELECTIONS = 8
 
 /**
  * One call to a plain service. What the service answers is passed on as it is, whatever its status. An
@@ -40,41 +40,41 @@
  */
 export function * runServiceRequest (plan: ServicePlan): Procedure<ServiceEffects, ServiceResult> {
   const run: ServiceRun = { plan, attempt: 0, mayHaveRun: false, excluded: [] }
-  for (let staleChoices = 0; staleChoices < MAX_STALE_CHOICES;) {
-    const choice = yield * perform<SelectWorkerEffect>({ kind: LifecycleEffectKind.SelectWorker, excluded: run.excluded })
-    if (!choice.ok) return finish(run, weaken(run, choice.error))
-    const reply = yield * perform<CallServiceEffect>({ kind: LifecycleEffectKind.CallService, worker: choice.value, attempt: run.attempt + 1 })
+  for (let staleSelections = 0; staleSelections < MAX_STALE_SELECTIONS;) {
+    const selection = yield * perform<SelectWorkerEffect>({ kind: LifecycleEffectKind.SelectWorker, excluded: run.excluded })
+    if (!selection.ok) return finish(run, weaken(run, selection.error))
+    const reply = yield * perform<CallServiceEffect>({ kind: LifecycleEffectKind.CallService, worker: selection.value, attempt: run.attempt + 1 })
     if (reply === null) {
-      staleChoices += 1
+      staleSelections += 1
       continue
     }
     run.attempt += 1
     if ('ok' in reply && reply.ok) return { outcome: answered(), response: reply.value, attempts: run.attempt }
-    const ended = 'ok' in reply ? yield * afterError(run, choice.value, reply.error) : stop(run, reply)
+    const ended = 'ok' in reply ? yield * afterError(run, selection.value, reply.error) : interruptedResult(run, reply)
     if (ended !== null) return ended
   }
   return finish(run, weaken(run, notRun(OutcomeReason.NoReplica, 'no worker stayed present until the send')))
 }
 
-function stop (run: ServiceRun, interrupt: Interrupt): ServiceResult {
+function interruptedResult (run: ServiceRun, interrupt: Interrupt): ServiceResult {
   const reason = interrupt.kind === InterruptKind.Deadline ? OutcomeReason.DeadlineExceeded : OutcomeReason.Cancelled
   return finish(run, unknownOutcome(reason, 'the call was given up while it was under way'))
 }
 
 function * afterError (run: ServiceRun, worker: ServiceWorker, error: EndpointError): Procedure<ServiceEffects, ServiceResult | null> {
-  const provedNotRun = PROVES_NOT_RUN[error.kind]
-  if (!provedNotRun) run.mayHaveRun = true
-  const outcome = describe(run, error)
-  if (!provedNotRun && run.plan.safety === RequestSafety.NonIdempotent) return finish(run, outcome)
+  const isProvenNotRun = PROVES_NOT_RUN[error.kind]
+  if (!isProvenNotRun) run.mayHaveRun = true
+  const outcome = outcomeOfError(run, error)
+  if (!isProvenNotRun && run.plan.safety === RequestSafety.NonIdempotent) return finish(run, outcome)
   run.excluded.push(worker.vm)
   if (run.attempt >= run.plan.maxAttempts) return finish(run, outcome)
-  const trusted = yield * perform<JudgeRequestEffect>({ kind: LifecycleEffectKind.JudgeRequest })
-  if (!trusted) return finish(run, outcome)
-  const allowed = yield * perform<SpendRetryEffect>({ kind: LifecycleEffectKind.SpendRetry })
-  return allowed ? null : finish(run, { ...outcome, reason: OutcomeReason.RetryBudgetExhausted })
+  const isAllowedByPoisonCheck = yield * perform<CheckPoisonEffect>({ kind: LifecycleEffectKind.CheckPoison })
+  if (!isAllowedByPoisonCheck) return finish(run, outcome)
+  const hasRetryBudget = yield * perform<SpendRetryEffect>({ kind: LifecycleEffectKind.SpendRetry })
+  return hasRetryBudget ? null : finish(run, { ...outcome, reason: OutcomeReason.RetryBudgetExhausted })
 }
 
-function describe (run: ServiceRun, error: EndpointError): Outcome {
+function outcomeOfError (run: ServiceRun, error: EndpointError): Outcome {
   const message = 'reason' in error ? error.reason : 'fenced'
   if (error.kind === EndpointErrorKind.Failed) return failedByEndpoint(OutcomeReason.EndpointFailed, message)
   if (run.mayHaveRun) return unknownOutcome(OutcomeReason.StreamBroken, message)
