--- a/packages/dotterelspur-entry/src/__tests__/unit/CacheEventPoller.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/CacheEventPoller.test.ts
@@ -38,7 +38,7 @@
         return () => { listening = false }
       }
     },
-    router: { noteCacheEvents: (id: TargetId, page: CacheEventPage) => { noted.push({ id, events: page.events.length }) } },
+    router: { applyCacheEvents: (id: TargetId, page: CacheEventPage) => { noted.push({ id, events: page.events.length }) } },
     engines: {
       cacheEvents: async (address: string, after: number) => {
         polls.push({ address, after, atMs: clock.nowMs() })
