--- a/packages/dotterelspur/src/request/admission/AdaptiveLimit.ts
+++ b/packages/dotterelspur/src/request/admission/AdaptiveLimit.ts
@@ -1,5 +1,8 @@
 export interface AdaptiveLimitOptions {
-  /** A first token is late, a sign of requests queueing at the endpoints, above this time and above `lateRatio` times the baseline. */
+  /**
+   * A first token is late, a sign of requests queueing at the endpoints, above this time and above `lateRatio` times
+   * the baseline.
+   */
   readonly lateFirstTokenMs: number
   readonly lateRatio: number
   /** Share of late first tokens in a window above which the window counts as congested. */
@@ -9,7 +12,10 @@
   readonly windowSamples: number
   /** Factor applied to the limit on congestion. */
   readonly decreaseFactor: number
-  /** Factors applied after a window without congestion in which the limit was in use; the fast one once `fastAfterMs` has passed since the last decrease. */
+  /**
+   * Factors applied after a window without congestion in which the limit was in use; the fast one once `fastAfterMs`
+   * has passed since the last decrease.
+   */
   readonly increaseFactor: number
   readonly fastIncreaseFactor: number
   readonly fastAfterMs: number
@@ -66,7 +72,9 @@
     return Math.max(1, Math.floor(this.limit))
   }
 
-  /** Sets the endpoints' capacity and the number of nodes that share it. The limit is scaled with the node's even share. */
+  /**
+   * Sets the endpoints' capacity and the number of nodes that share it. The limit is scaled with the node's even share.
+   */
   configure (capacity: number, nodes: number): void {
     if (capacity === this.capacity && nodes === this.nodes) return
     const previousShare = this.capacity / this.nodes
@@ -77,7 +85,10 @@
     this.clamp()
   }
 
-  /** Records a time to first token. `running` is the lane's number of running requests; the limit grows only while in use. */
+  /**
+   * Records a time to first token. `running` is the lane's number of running requests; the limit grows only while in
+   * use.
+   */
   recordFirstToken (firstTokenMs: number, running: number, nowMs: number): void {
     const { lateFirstTokenMs, lateRatio, windowMs, windowSamples } = this.options
     const baselineMs = this.baselineMs ?? firstTokenMs
@@ -93,7 +104,10 @@
     if (window.samples >= windowSamples && nowMs - window.sinceMs >= windowMs) this.closeWindow(nowMs)
   }
 
-  /** Records that an endpoint refused for lack of capacity. Lowers the limit at once, but only once per window, since one congestion causes many refusals. */
+  /**
+   * Records that an endpoint refused for lack of capacity. Lowers the limit at once, but only once per window, since
+   * one congestion causes many refusals.
+   */
   recordCongestion (nowMs: number): void {
     if (nowMs - this.lastDecreaseAtMs < this.options.windowMs) return
     this.decrease(nowMs)
--- a/packages/dotterelspur/src/request/admission/AdmissionController.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionController.ts
@@ -91,7 +91,10 @@
     return this.serve(request.lane, nowMs)
   }
 
-  /** Call it when the first token of a dispatched request arrives, so that the limit adapts before `finish`. Later calls are ignored. */
+  /**
+   * Call it when the first token of a dispatched request arrives, so that the limit adapts before `finish`. Later calls
+   * are ignored.
+   */
   recordFirstToken (id: RequestId, nowMs: number): void {
     const running = this.running.get(id)
     if (running === undefined || running.hasFirstToken) return
@@ -116,7 +119,10 @@
     return wasAtLimit ? this.tick(nowMs) : this.serve(request.lane, nowMs)
   }
 
-  /** Call it when the caller has disconnected. Sheds a queued request as cancelled; a running one still ends by `finish`. */
+  /**
+   * Call it when the caller has disconnected. Sheds a queued request as cancelled; a running one still ends by
+   * `finish`.
+   */
   cancel (id: RequestId, nowMs: number): AdmissionEffect[] {
     const waiting = this.queued.get(id)
     if (waiting === undefined) return []
@@ -200,7 +206,9 @@
     return { kind: AdmissionEffectKind.Dispatch, id: request.id, queuedMs: nowMs - queuedAtMs }
   }
 
-  /** Removes the request from its queue and refunds what the team was charged on arrival, since the request did not run. */
+  /**
+   * Removes the request from its queue and refunds what the team was charged on arrival, since the request did not run.
+   */
   private shedQueued (waiting: QueuedRequest, reason: OutcomeReason, retryAfterMs: number | null): AdmissionEffect {
     const { id, lane, priority, team, tokens } = waiting.request
     this.lane(lane).queues[priority].remove(waiting)
--- a/packages/dotterelspur/src/request/admission/AdmissionLane.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionLane.ts
@@ -34,7 +34,10 @@
     return PRIORITY_CLASSES.reduce((sum, priority) => sum + this.running[priority], 0)
   }
 
-  /** Removes and returns the next request that may be dispatched: weighted fair between classes, then fair between teams. */
+  /**
+   * Removes and returns the next request that may be dispatched: weighted fair between classes, then fair between
+   * teams.
+   */
   next (mayRun: (team: TeamId) => boolean): QueuedRequest | undefined {
     if (this.runningCount >= this.effectiveLimit()) return undefined
     const ready = PRIORITY_CLASSES.filter((priority) => this.queues[priority].length > 0 && this.hasCapacity(priority) && this.queues[priority].hasRunnable(mayRun))
--- a/packages/dotterelspur/src/request/admission/AdmissionOptions.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionOptions.ts
@@ -8,9 +8,14 @@
   readonly maxQueueMs: Readonly<Record<PriorityClass, number>>
   /** Weights of the classes for dispatches while several have queued requests. */
   readonly classWeight: Readonly<Record<PriorityClass, number>>
-  /** A class is dispatched only while less than this share of the lane's concurrency is in use by all classes together. */
+  /**
+   * A class is dispatched only while less than this share of the lane's concurrency is in use by all classes together.
+   */
   readonly classShare: Readonly<Record<PriorityClass, number>>
-  /** A class using less than this share of the concurrency is dispatched in spite of `classShare`, so that it is never starved. */
+  /**
+   * A class using less than this share of the concurrency is dispatched in spite of `classShare`, so that it is never
+   * starved.
+   */
   readonly classFloor: Readonly<Record<PriorityClass, number>>
   /** Concurrency limit of a lane before its first configuration. */
   readonly initialConcurrency: number
--- a/packages/dotterelspur/src/request/admission/AdmissionRequest.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionRequest.ts
@@ -20,7 +20,10 @@
 export enum AdmissionEffectKind {
   /** Run the request now; the caller must call `finish` afterwards. */
   Dispatch = 'dispatch',
-  /** Respond with the outcome now. It is not-run, since the request was never dispatched; the controller keeps no state of it. */
+  /**
+   * Respond with the outcome now. It is not-run, since the request was never dispatched; the controller keeps no state
+   * of it.
+   */
   Shed = 'shed'
 }
 
--- a/packages/dotterelspur/src/request/admission/AllowanceBudget.ts
+++ b/packages/dotterelspur/src/request/admission/AllowanceBudget.ts
@@ -66,7 +66,10 @@
     this.giveBack(size)
   }
 
-  /** After `GRANT_TIMEOUT_MS` without a grant the node spends its even share, so that a team at a node without reachable holders is slowed down rather than blocked. */
+  /**
+   * After `GRANT_TIMEOUT_MS` without a grant the node spends its even share, so that a team at a node without reachable
+   * holders is slowed down rather than blocked.
+   */
   private isCutOff (nowMs: number): boolean {
     return this.unansweredSinceMs !== null && nowMs - this.unansweredSinceMs > GRANT_TIMEOUT_MS
   }
--- a/packages/dotterelspur/src/request/admission/TokenBucket.ts
+++ b/packages/dotterelspur/src/request/admission/TokenBucket.ts
@@ -1,6 +1,9 @@
 const SECOND_MS = 1_000
 
-/** Token bucket rate limit. One request larger than the burst may overdraw a full bucket, which then refills from below zero. */
+/**
+ * Token bucket rate limit. One request larger than the burst may overdraw a full bucket, which then refills from below
+ * zero.
+ */
 export class TokenBucket {
   private available: number
   private updatedAtMs: number
@@ -17,7 +20,10 @@
     this.available = Math.min(this.available, burst)
   }
 
-  /** Whether this size may be taken now. A size above the burst needs only a full bucket, since it could never be taken otherwise. */
+  /**
+   * Whether this size may be taken now. A size above the burst needs only a full bucket, since it could never be taken
+   * otherwise.
+   */
   has (size: number, nowMs: number): boolean {
     this.refill(nowMs)
     return this.available >= Math.min(size, this.burst)
--- a/packages/dotterelspur/src/request/admission/outcomes.ts
+++ b/packages/dotterelspur/src/request/admission/outcomes.ts
@@ -9,7 +9,9 @@
   [OutcomeReason.Cancelled]: 'the request was cancelled before dispatch'
 }
 
-/** Creates the effect that sheds a request that was never dispatched. `retryAfterMs` is null where a retry is pointless. */
+/**
+ * Creates the effect that sheds a request that was never dispatched. `retryAfterMs` is null where a retry is pointless.
+ */
 export function createShedEffect (id: RequestId, reason: OutcomeReason, retryAfterMs: number | null): AdmissionEffect {
   const message = MESSAGES[reason] ?? reason
   return { kind: AdmissionEffectKind.Shed, id, outcome: { kind: OutcomeKind.NotRun, reason, message, retryAfterMs } }
--- a/packages/dotterelspur/src/request/lifecycle/AnswerProgress.ts
+++ b/packages/dotterelspur/src/request/lifecycle/AnswerProgress.ts
@@ -1,22 +1,24 @@
 import type { ModelVersion } from '../../process/ids.js'
 
 /**
- * What an answer has come to, over all attempts. The last chunk is kept apart: an attempt that goes on
- * elsewhere starts at its beginning and must produce it again, which shows whether the engine is deterministic.
+ * Progress of an answer over all attempts. The last chunk is stored separately from the text before it: a later
+ * attempt resumes at the start of that chunk and must produce it again, which shows whether the engines generate the
+ * same text.
  */
 export interface AnswerProgress {
   readonly version: ModelVersion | null
-  /** Tokens handed to the caller. */
+  /** Number of tokens handed over for delivery to the caller. */
   readonly offset: number
-  /** Text before the last chunk. */
+  /** Text before the last chunk; a later attempt resumes at its end. */
   readonly baseText: string
+  /** Number of tokens in `baseText`. */
   readonly baseOffset: number
   readonly lastChunkText: string
 }
 
 export const EMPTY_PROGRESS: AnswerProgress = { version: null, offset: 0, baseText: '', baseOffset: 0, lastChunkText: '' }
 
-/** Appends tokens that have been handed over. */
+/** Appends a chunk of new tokens. */
 export function extendProgress (progress: AnswerProgress, version: ModelVersion, text: string, tokens: number): AnswerProgress {
   return {
     version,
@@ -28,11 +30,11 @@
 }
 
 export enum JoinKind {
-  /** Still inside what the caller has; it agrees so far. */
+  /** Within the text that the caller has, and equal to it so far. */
   Overlap = 'overlap',
-  /** Text beyond what the caller has. */
+  /** Contains text beyond that of the caller. */
   New = 'fresh',
-  /** The engine produced something else: the answer can't be continued by it. */
+  /** The engine produced different text and can't continue the answer. */
   Diverged = 'differs'
 }
 
@@ -42,8 +44,8 @@
   | { readonly kind: JoinKind.Diverged }
 
 /**
- * Joins a chunk of a later attempt to what the caller has. `expected` is the text still to be repeated,
- * `chunkEnd` the chunk's end offset, `offset` what the caller has.
+ * Joins a chunk of a later attempt to the text that the caller has. `expected` is the text of the last chunk that the
+ * attempt must still reproduce, `offset` the number of tokens that the caller has, `chunkEnd` the chunk's end offset.
  */
 export function joinChunk (expected: string, offset: number, chunkEnd: number, text: string): Join {
   if (chunkEnd <= offset) {
--- a/packages/dotterelspur/src/request/lifecycle/ChunkCursor.ts
+++ b/packages/dotterelspur/src/request/lifecycle/ChunkCursor.ts
@@ -1,25 +1,27 @@
 import { ChunkKind, FinishReason, type GenerateChunk } from '../../connection/EngineApi.js'
 import type { RequestId } from '../../process/ids.js'
 
-/** Where one attempt stands in the whole answer. */
+/** Position of one attempt in the whole answer. */
 export interface ChunkCursor {
   readonly requestId: RequestId
-  /** Null until the first chunk of a followed stream tells which attempt it is. */
+  /** Attempt number; null when following a stream whose attempt is unknown until its first chunk. */
   readonly attempt: number | null
-  /** Tokens taken so far, counted from the start of the whole answer. */
+  /** Tokens accepted so far, counted from the start of the whole answer. */
   readonly offset: number
 }
 
 export enum ChunkVerdictKind {
   /** The next tokens of the answer. */
   Accept = 'take',
-  /** A repeat, or a late chunk of an earlier attempt: dropped. */
+  /** A duplicate, or a late chunk of an earlier attempt; ignored. */
   Drop = 'drop',
-  /** The end mark at the offset that was reached: the answer is whole. */
+  /** The end chunk, at the current offset: the answer is complete. */
   Completed = 'whole',
-  /** The engine says that it stopped before the end. */
+  /** The engine reports that it cancelled the request. */
   Cancelled = 'cancelled',
-  /** The stream can't be trusted: a gap, another request's chunk, an end at the wrong place. */
+  /**
+   * Protocol violation: a gap or overlap, a chunk of another request or a later attempt, or an end at the wrong offset.
+   */
   Broken = 'broken'
 }
 
@@ -31,14 +33,14 @@
   | { readonly kind: ChunkVerdictKind.Broken, readonly cursor: ChunkCursor, readonly reason: string }
 
 /**
- * Judges one chunk. Chunks may come late, twice, out of order, cut short or belong to another request; what
- * is wrong shows by request id, attempt and offset, and only the next tokens of this answer pass.
+ * Checks one chunk. Chunks may be late, duplicated, out of order, truncated or of another request; request id, attempt
+ * and offset reveal this, and only the next tokens of this answer are accepted.
  */
 export function checkChunk (cursor: ChunkCursor, chunk: GenerateChunk): ChunkVerdict {
   if (chunk.requestId !== cursor.requestId) return broken(cursor, 'chunk of another request')
   const attempt = cursor.attempt ?? chunk.attempt
   if (chunk.attempt < attempt) return { kind: ChunkVerdictKind.Drop, cursor }
-  if (chunk.attempt > attempt) return broken(cursor, 'chunk of an attempt that was not made')
+  if (chunk.attempt > attempt) return broken(cursor, 'chunk of an attempt later than the current one')
   const current = cursor.attempt === null ? { ...cursor, attempt } : cursor
   return chunk.kind === ChunkKind.Tokens ? checkTokens(current, chunk) : checkEnd(current, chunk)
 }
@@ -54,7 +56,7 @@
 
 function checkEnd (cursor: ChunkCursor, chunk: Extract<GenerateChunk, { kind: ChunkKind.End }>): ChunkVerdict {
   if (chunk.finishReason === FinishReason.Cancelled) return { kind: ChunkVerdictKind.Cancelled, cursor }
-  if (chunk.offset !== cursor.offset) return broken(cursor, `end at ${chunk.offset}, but ${cursor.offset} tokens came`)
+  if (chunk.offset !== cursor.offset) return broken(cursor, `end at offset ${chunk.offset}, but ${cursor.offset} tokens arrived`)
   return { kind: ChunkVerdictKind.Completed, cursor, finishReason: chunk.finishReason, promptTokens: chunk.promptTokens }
 }
 
--- a/packages/dotterelspur/src/request/lifecycle/LifecycleEffects.ts
+++ b/packages/dotterelspur/src/request/lifecycle/LifecycleEffects.ts
@@ -7,17 +7,17 @@
 /** Whether a request may be run more than once. */
 export enum RequestSafety {
   Idempotent = 'idempotent',
-  /** Runs at most once: an ambiguous send is never repeated. */
+  /** Runs at most once: after an ambiguous send it is never sent again. */
   NonIdempotent = 'non-idempotent'
 }
 
 /** Why a wait for the next event of a stream ended without one. */
 export enum InterruptKind {
-  /** The caller has gone. */
+  /** The caller has disconnected. */
   CallerGone = 'caller-gone',
   /** The request's deadline has passed. */
   Deadline = 'deadline',
-  /** The stream is silent and its group is no longer whole, or it was silent for too long. */
+  /** The stream is silent and its group is no longer complete, or it has been silent for too long. */
   Stalled = 'stalled'
 }
 
@@ -25,7 +25,7 @@
   readonly kind: InterruptKind
 }
 
-/** What came of waiting for the next event. Null at the end of a stream that had neither End nor Error. */
+/** Result of waiting for the next event. Null when the stream ended without an end chunk or an error. */
 export type NextEvent = StreamEvent | Interrupt | null
 
 export function isInterrupt (event: NextEvent): event is Interrupt {
@@ -48,11 +48,14 @@
   RestartAnswer = 'start-again'
 }
 
-/** Chooses a group; never one of `excluded`. Without one, the reason as an outcome of this choice alone. */
+/**
+ * Selects a group that is not in `excluded`. If there is none, the outcome describes this selection only, not the whole
+ * request.
+ */
 export interface SelectGroupEffect extends Effect<LifecycleEffectKind.SelectGroup, Result<GroupView, Outcome>> {
   readonly kind: LifecycleEffectKind.SelectGroup
   readonly excluded: readonly string[]
-  /** Set when the answer must go on at the version that began it. */
+  /** Set when the answer must be continued at the version of its earlier attempts. */
   readonly version: string | null
 }
 
@@ -67,8 +70,8 @@
 }
 
 /**
- * Sends an attempt. The handler judges the group again in the same turn of the event loop as the send, since the
- * choice may be old: the node may have been paused between. False: nothing was sent.
+ * Sends an attempt. The handler checks the group again in the same turn of the event loop as the send, since the
+ * process may have been paused after the selection. False if nothing was sent.
  */
 export interface SendEffect extends Effect<LifecycleEffectKind.Send, boolean> {
   readonly kind: LifecycleEffectKind.Send
@@ -89,7 +92,7 @@
   readonly kind: LifecycleEffectKind.NextEvent
 }
 
-/** Drops the current stream. `cancel`: the engine is to stop it; otherwise it may run to its end. */
+/** Closes the current stream. With `cancel` the engine is asked to stop the request; otherwise it may run to its end. */
 export interface CloseStreamEffect extends Effect<LifecycleEffectKind.CloseStream, void> {
   readonly kind: LifecycleEffectKind.CloseStream
   readonly cancel: boolean
@@ -106,23 +109,26 @@
   readonly attempt: number
 }
 
-/** Asks whether the request may go to another endpoint; false when it seems to be what ended the one before. */
+/**
+ * Checks whether the request may be sent to another endpoint; false if it is suspected of having crashed the previous
+ * one.
+ */
 export interface CheckPoisonEffect extends Effect<LifecycleEffectKind.CheckPoison, boolean> {
   readonly kind: LifecycleEffectKind.CheckPoison
 }
 
-/** Asks the team's and the node's retry budgets for one more attempt. */
+/** Takes one retry from the team's and the node's retry budgets; false if either is exhausted. */
 export interface SpendRetryEffect extends Effect<LifecycleEffectKind.SpendRetry, boolean> {
   readonly kind: LifecycleEffectKind.SpendRetry
 }
 
-/** Waits; an interrupt ends it early. */
+/** Waits for the duration, or until an interrupt. */
 export interface WaitEffect extends Effect<LifecycleEffectKind.Wait, Interrupt | null> {
   readonly kind: LifecycleEffectKind.Wait
   readonly durationMs: number
 }
 
-/** Hands tokens to the caller; answered once there is room, so a slow caller slows the engine. */
+/** Delivers tokens to the caller. Completes once the buffer has space, so that a slow caller slows the engine down. */
 export interface DeliverEffect extends Effect<LifecycleEffectKind.Deliver, void> {
   readonly kind: LifecycleEffectKind.Deliver
   readonly offset: number
@@ -130,7 +136,7 @@
   readonly tokens: number
 }
 
-/** Asks to drop what was collected and start the answer again; false when the caller has seen some of it. */
+/** Discards the text collected so far to restart the answer; false if the caller has already received part of it. */
 export interface RestartAnswerEffect extends Effect<LifecycleEffectKind.RestartAnswer, boolean> {
   readonly kind: LifecycleEffectKind.RestartAnswer
 }
@@ -141,7 +147,7 @@
 
 export type ServiceEffects = SelectWorkerEffect | CallServiceEffect | CheckPoisonEffect | SpendRetryEffect | WaitEffect
 
-/** How a model request ended. */
+/** Final result of a model request. */
 export interface ModelResult {
   readonly outcome: Outcome
   readonly finishReason: FinishReason | null
--- a/packages/dotterelspur/src/request/lifecycle/OutcomeMemory.ts
+++ b/packages/dotterelspur/src/request/lifecycle/OutcomeMemory.ts
@@ -4,41 +4,41 @@
 
 export interface OutcomeMemoryOptions {
   readonly maxEntries: number
-  /** How long an ended id is remembered. */
+  /** Retention time of an id after its request has ended. */
   readonly retentionMs: number
-  /** An id that says it was issued this far ahead of the home's wall clock is refused. */
+  /** An id whose issue time is more than this ahead of the home's wall clock is refused. */
   readonly maxClockSkewMs: number
 }
 
-/** One submission of a request id, as it reaches the id's home. */
+/** One submission of a request id, as received by the home node of the id. */
 export interface Submission {
   readonly requestId: RequestId
   readonly issuedWallMs: number
   readonly team: TeamId
-  /** Hash of what was asked; an id stands for one body. */
+  /** Hash of the request body; all submissions of an id must have the same body. */
   readonly fingerprint: string
-  /** The caller's count of its submissions of this id, from 1; null when it keeps none. */
+  /** The caller's sequence number of this submission of the id, from 1; null if the caller doesn't number them. */
   readonly submissionNumber: number | null
-  /** Taken in by a node right after a pause: the caller may have given it up long ago. */
+  /** The receiving node accepted it right after a pause of its process, so that the caller may have given up long ago. */
   readonly stale: boolean
-  /** The memory's `ticket` from when the submission was passed on, its caller still waiting. */
+  /** Value of `OutcomeMemory.ticket` when the submission was forwarded to the home and the caller was still waiting. */
   readonly ticket: number
 }
 
 export enum OpenKind {
-  /** The id is this submission's to run. */
+  /** This submission may run the request. */
   Run = 'run',
-  /** It runs now. */
+  /** The request is running. */
   InProgress = 'in-progress',
-  /** It has ended; the outcome stands. */
+  /** The request has ended; its outcome is final. */
   Ended = 'ended',
-  /** Older than what the memory vouches for. */
+  /** The id is not in memory and may have been evicted, so it may have run. */
   Forgotten = 'forgotten',
-  /** The id belongs to another team or another body. */
+  /** The id was submitted by another team or with another body. */
   Mismatch = 'mismatch',
-  /** Issued in the home's future. */
+  /** The issue time is too far ahead of the home's wall clock. */
   IssuedInFuture = 'ahead',
-  /** Nothing can be remembered now. */
+  /** The memory is full of running requests. */
   Full = 'full'
 }
 
@@ -55,18 +55,18 @@
   readonly submission: Submission
   ended: EndedRequest<Answer> | null
   endedAtMs: number
-  /** The ticket that was current when it ended. */
+  /** Value of the memory's `ticket` when the request ended. */
   endedTicket: number
 }
 
 /**
- * What a home remembers of the ids that it decides on.
+ * State and outcomes of the request ids for which this node is the home, used to run each id at most once.
  *
- * Eviction must never make an id runnable again: the caller that repeats it would have it run twice, and
- * nobody would notice. So each evicted id raises a floor to its issue stamp, and an id at or below the floor
- * that is not remembered is Forgotten. The stamp is the issuer's; it is only compared with other stamps, so
- * clocks that disagree cost refusals, never a second run. A stamp far ahead is refused, since evicting it would
- * raise the floor over everyone else's ids.
+ * Eviction must never make an id runnable again: a caller that retries the id would run the request twice without
+ * any sign of it. So evicting an id raises a floor to its issue time, and an id that is not in memory and was issued at
+ * or before the floor is Forgotten. Issue times come from the issuers' clocks and are compared with each other only, so
+ * clock skew causes refusals but never a second run. An issue time too far in the future is refused, since evicting it
+ * would raise the floor above the ids of all other issuers.
  */
 export class OutcomeMemory<Answer> {
   private readonly entries = new Map<RequestId, MemoryEntry<Answer>>()
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Rises with each end that is remembered. A submission that carries a ticket was passed on after every end up
-   * to it, so one that was long under way can be told from one that was made after its caller had its answer.
+   * Number of requests that have ended so far. A submission with this ticket was forwarded after all of those ends,
+   * which distinguishes a submission delayed in transit from one made after its caller had received a response.
    */
   get ticket (): number {
     return this.currentTicket
@@ -104,7 +104,7 @@
     return { kind: OpenKind.Run }
   }
 
-  /** Ends a running id. Its outcome is final, except that a not-run lets a later submission run. */
+  /** Ends a running request. Its outcome is final, except that a later submission may run the id after a not-run. */
   close (requestId: RequestId, ended: EndedRequest<Answer>, nowMs: number): void {
     const entry = this.entries.get(requestId)
     invariant(entry !== undefined && entry.ended === null, `request ${requestId} is not running`)
@@ -117,7 +117,7 @@
     this.entries.set(requestId, entry)
   }
 
-  /** What is known of an id, for the team that it belongs to. */
+  /** State of an id; undefined if it is unknown or belongs to another team. */
   lookup (requestId: RequestId, issuedWallMs: number, team: TeamId, nowMs: number): OpenDecision<Answer> | undefined {
     this.expire(nowMs)
     const entry = this.entries.get(requestId)
@@ -166,10 +166,10 @@
 }
 
 /**
- * Whether a submission was surely made after an earlier one was answered. A copy that was under way for long, in
- * a link or in a paused node, must not run after another copy was answered not-run, for the caller has been told
- * so. A caller that numbers its submissions settles it. Of the others, a copy that waited in a link shows by its
- * ticket, and one that waited in a node by the node's word that it was paused.
+ * Whether a submission was certainly made after the earlier one got its response. A copy delayed on a connection or in
+ * a paused node must not run after another copy was answered with not-run, because the caller has received that
+ * outcome. Submission numbers decide where the caller provides them. Otherwise a copy delayed on a connection has an
+ * older ticket, and a copy delayed in a paused node is marked as stale by that node.
  */
 function isLaterSubmission (submission: Submission, earlier: MemoryEntry<unknown>): boolean {
   const { submissionNumber } = earlier.submission
--- a/packages/dotterelspur/src/request/lifecycle/PauseDetector.ts
+++ b/packages/dotterelspur/src/request/lifecycle/PauseDetector.ts
@@ -1,9 +1,9 @@
 /**
- * Notices that the process was paused, by a gap in its own ticks on the monotonic clock.
+ * Detects pauses of the process by gaps between its own ticks on the monotonic clock.
  *
- * What a paused node took in or decided before or right after the pause may be long out of date: callers have
- * given up, groups have changed, others have been told outcomes. One would notice it as a request that runs
- * minutes after its caller was answered elsewhere. What is marked stale is treated with more care.
+ * Requests that a paused node accepted, and decisions that it made, before or right after the pause may be outdated:
+ * callers have given up or received an outcome from another node, and groups have changed. Without this check a
+ * request could run minutes after its caller got a response elsewhere.
  */
 export class PauseDetector {
   private lastTickMs: number
@@ -18,7 +18,7 @@
     return this.pauses
   }
 
-  /** Call it several times per threshold. Returns the length of the pause that has just ended, 0 for none. */
+  /** Call it several times per threshold. Returns the duration of a pause that has just ended, 0 if there was none. */
   tick (nowMs: number): number {
     const gapMs = nowMs - this.lastTickMs
     this.lastTickMs = nowMs
@@ -28,12 +28,12 @@
     return gapMs
   }
 
-  /** Whether what is taken in now may have waited through a pause. */
+  /** Whether a request accepted now may have been waiting during a pause. */
   isStale (nowMs: number): boolean {
     return nowMs - this.lastTickMs >= this.thresholdMs || nowMs - this.lastPauseEndMs < this.staleForMs
   }
 
-  /** Whether a decision made at `decidedAtMs` is too old to be acted on without looking again. */
+  /** Whether a decision made at `decidedAtMs` must be checked again before it is acted on. */
   isStaleDecision (decidedAtMs: number, nowMs: number): boolean {
     return nowMs - decidedAtMs >= this.thresholdMs
   }
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/OutcomeMemory.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/OutcomeMemory.test.ts
@@ -15,7 +15,7 @@
 const ANSWERED: Outcome = { kind: OutcomeKind.Answered, reason: OutcomeReason.Completed, message: '', retryAfterMs: null }
 
 describe('OutcomeMemory', () => {
-  it('answers a repeat by what became of the first', () => {
+  it('answers a retry with the state or outcome of the first submission', () => {
     const memory = createMemory()
     expect(memory.open(submission('a'), 0, 0).kind).to.equal(OpenKind.Run)
     expect(memory.open(submission('a'), 1, 1).kind).to.equal(OpenKind.InProgress)
@@ -23,16 +23,15 @@
     expect(memory.open(submission('a'), 3, 3)).to.deep.equal({ kind: OpenKind.Ended, ended: { outcome: ANSWERED, answer: 'text' } })
   })
 
-  // Symptom: a loan is sent to its lender a second time, long after the first.
-  // Sequence: the id is answered; its entry is evicted, by time or to make room; the caller repeats the id.
-  // Cause: an id that is not remembered is taken for one that never came.
+  // Failure: a request runs a second time, long after the first. Its entry is evicted after its outcome, by time or to
+  // make room; the caller retries the id, and the missing entry is taken for an id that was never submitted.
   for (const [how, evict] of [
     ['by time', (memory: OutcomeMemory<string>) => { memory.lookup('x', 0, 'tradeline', RETENTION_MS) }],
     ['to make room', (memory: OutcomeMemory<string>) => {
       for (const id of ['b', 'c']) memory.open(submission(id, { issuedWallMs: 20 }), 1, 1)
     }]
   ] as const) {
-    it(`never runs an id again that was evicted ${how}`, () => {
+    it(`never runs an id again after its eviction ${how}`, () => {
       const memory = createMemory()
       memory.open(submission('a', { issuedWallMs: 10 }), 0, 0)
       memory.close('a', { outcome: ANSWERED, answer: null }, 0)
@@ -42,7 +41,7 @@
     })
   }
 
-  it('never evicts what runs, and says so when it is full of that', () => {
+  it('never evicts running requests, and returns Full when there are only these', () => {
     const memory = createMemory()
     memory.open(submission('a'), 0, 0)
     memory.open(submission('b'), 0, 0)
@@ -50,7 +49,7 @@
     expect(memory.runningCount).to.equal(2)
   })
 
-  it('refuses another team\'s id, another body, and a stamp from the future', () => {
+  it('refuses an id of another team, another body, and an issue time in the future', () => {
     const memory = createMemory()
     memory.open(submission('a'), 0, 0)
     expect(memory.open(submission('a', { team: 'piedmont' }), 1, 1).kind).to.equal(OpenKind.Mismatch)
@@ -60,8 +59,8 @@
   })
 })
 
-describe('PauseWatch', () => {
-  it('notices a gap in its own ticks, and holds what came with it for stale', () => {
+describe('PauseDetector', () => {
+  it('detects a gap between its ticks, and reports requests accepted around it as stale', () => {
     const watch = new PauseDetector(1_000, 250, 0)
     expect([watch.tick(300), watch.tick(600), watch.isStale(700)]).to.deep.equal([0, 0, false])
     expect(watch.isStale(9_000), 'before the first tick after the pause').to.equal(true)
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/dispatchChecks.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/dispatchChecks.test.ts
@@ -23,13 +23,13 @@
 
 const rows: readonly Row[] = [
   { fault: 'none', obstacle: null },
-  { fault: 'it has just been formed', assigned: { state: GroupState.Forming }, obstacle: null },
-  { fault: 'it lost a member', assigned: { state: GroupState.Broken }, obstacle: NotDispatchable.WrongState },
-  { fault: 'it finishes what it has', assigned: { state: GroupState.Draining }, obstacle: NotDispatchable.WrongState },
-  { fault: 'it has no members', assigned: { members: [] }, obstacle: NotDispatchable.NoMembers },
-  { fault: 'nothing was heard of it', presence: null, obstacle: NotDispatchable.NoEvidence },
-  { fault: 'the evidence is of the formation before', presence: { formation: 2 }, obstacle: NotDispatchable.OtherFormation },
-  { fault: 'the evidence is of a formation not heard of yet', presence: { formation: 4 }, obstacle: NotDispatchable.OtherFormation },
+  { fault: 'the group has just been formed', assigned: { state: GroupState.Forming }, obstacle: null },
+  { fault: 'the group has lost a member', assigned: { state: GroupState.Broken }, obstacle: NotDispatchable.WrongState },
+  { fault: 'the group is draining', assigned: { state: GroupState.Draining }, obstacle: NotDispatchable.WrongState },
+  { fault: 'the group has no members', assigned: { members: [] }, obstacle: NotDispatchable.NoMembers },
+  { fault: 'there is no evidence of the group', presence: null, obstacle: NotDispatchable.NoEvidence },
+  { fault: 'the evidence is of the previous formation', presence: { formation: 2 }, obstacle: NotDispatchable.OtherFormation },
+  { fault: 'the evidence is of a later formation', presence: { formation: 4 }, obstacle: NotDispatchable.OtherFormation },
   { fault: 'a member did not answer', presence: { complete: false }, obstacle: NotDispatchable.Incomplete },
   { fault: 'a member is leaving', presence: { leaving: true }, obstacle: NotDispatchable.Leaving },
   { fault: 'the evidence has just expired', presence: { ageMs: EVIDENCE_TTL_MS }, obstacle: NotDispatchable.Expired },
@@ -39,7 +39,7 @@
   { fault: 'another VM is drained', drained: ['vm-3'], obstacle: null }
 ]
 
-describe('judgeDispatch', () => {
+describe('checkDispatch', () => {
   for (const { fault, assigned, presence, drained = [], obstacle } of rows) {
     it(`${fault} -> ${obstacle ?? 'may be dispatched to'}`, () => {
       const group = assignedGroup(assigned)
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/lifecycle.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/lifecycle.test.ts
@@ -13,7 +13,7 @@
 const rarely = fc.nat({ max: 4 }).map((value) => value === 0)
 const safety = fc.constantFrom(...Object.values(RequestSafety))
 
-/** One thing that happens in the simulation; weights keep runs moving while faults are frequent. */
+/** One step of the simulation; the weights let runs make progress in spite of frequent faults. */
 const step: fc.Arbitrary<Step> = fc.oneof(
   { weight: 8, arbitrary: fc.tuple(pick, safety, fc.boolean()).map(([p, s, numbered]): Step => (simulation) => { simulation.submitNew(p, s, numbered) }) },
   { weight: 10, arbitrary: pick.map((p): Step => (simulation) => { simulation.submitAgain(p) }) },
@@ -29,11 +29,12 @@
 )
 
 describe('request lifecycle', () => {
-  // Symptom: a loan request reaches its lender twice, a caller is told not-run of what ran, or gets another's text.
-  // Sequence: any interleaving of callers that repeat ids, homes that restart and forget, engines that refuse,
-  // restart or take a send late, and messages that are lost, late, duplicated or foreign.
-  // Cause: a decision taken on less than what the whole request id may have done.
-  it(`keeps its promises in any interleaving (seed ${SEED})`, () => {
+  // Failures: a non-idempotent request runs twice, a caller receives not-run for a request that ran, or receives the
+  // text of another request. They come about when an outcome is decided from one submission or attempt instead of
+  // everything that the request id may have done. The steps are any interleaving of callers that retry ids, homes that
+  // restart and evict, engines that refuse, restart or receive a send late, and messages that are lost, late,
+  // duplicated or of another request.
+  it(`keeps its at-most-once guarantees in any interleaving (seed ${SEED})`, () => {
     const outcomeCounts = new Map<OutcomeKind, number>()
     fc.assert(fc.property(fc.array(step, { minLength: 50, maxLength: 300 }), (steps) => {
       const simulation = new AtMostOnceSimulation(['node-a', 'node-b'], ['g1', 'g2', 'g3'])
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/orderEntries.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/orderEntries.test.ts
@@ -16,17 +16,17 @@
 }
 
 describe('orderEntries', () => {
-  it('puts the nearest first, suspects last of their distance, and leaves out who takes no new work', () => {
+  it('puts the nearest nodes first, suspected ones last within their distance, and omits nodes that take no new requests', () => {
     const nodes = order('fd-a')
     expect(nodes.slice(0, 2).sort()).to.deep.equal(['a1', 'a2'])
     expect(nodes.slice(2)).to.deep.equal(['a3', 'b1', 'c1'])
   })
 
-  it('takes the region where no failure domain is given', () => {
+  it('uses the region when no failure domain is given', () => {
     expect(order(null).at(-1)).to.equal('c1')
   })
 
-  it('spreads callers evenly and moves only those whose node has gone', () => {
+  it('spreads callers evenly and moves only the callers of a removed node', () => {
     const callers = Array.from({ length: 1_000 }, (_, index) => `caller-${index}`)
     const eight = Array.from({ length: 8 }, (_, index) => member(`n${index}`, 'perth', 'fd-a'))
     const counts = new Map<string, number>()
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/runModelRequest.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/runModelRequest.test.ts
@@ -13,13 +13,13 @@
 type EngineScript = (attempt: number, resumeOffset: number) => NextEvent[]
 
 interface Scenario {
-  /** What each group's engine does when it is sent the request. */
+  /** Events that each group's engine sends in response to the request. */
   readonly engines: Readonly<Record<string, EngineScript>>
-  /** What each look at the endpoint finds, in order; the last stands. */
+  /** State found by each stream lookup, in order; the last one repeats. Null: the endpoint is unreachable. */
   readonly lookups?: ReadonlyArray<StreamState | null>
-  /** What following the stream gives. */
+  /** Events of the stream after it is resumed. */
   readonly resumed?: EngineScript
-  /** Sends that find the choice stale. */
+  /** Number of sends that find the selection stale. */
   readonly staleSends?: number
   readonly retryBudget?: number
   readonly callerReceives?: boolean
@@ -143,39 +143,39 @@
   { fault: 'none', moment: '-', safety: Idempotent, scenario: { engines: { g1: healthy } }, outcome: Answered, sends: ['g1@0'] },
   { fault: 'none', moment: '-', safety: NonIdempotent, scenario: { engines: { g1: healthy } }, outcome: Answered, sends: ['g1@0'] },
   { fault: 'no group', moment: 'before the send', safety: NonIdempotent, scenario: { engines: {} }, outcome: NotRun, reason: OutcomeReason.NoReplica, sends: [] },
-  { fault: 'node paused, choice stale', moment: 'before the send', safety: NonIdempotent, scenario: { engines: { g1: healthy }, staleSends: 2 }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'choice always stale', moment: 'before the send', safety: NonIdempotent, scenario: { engines: { g1: healthy }, staleSends: 99 }, outcome: NotRun, sends: [] },
+  { fault: 'node paused, selection stale', moment: 'before the send', safety: NonIdempotent, scenario: { engines: { g1: healthy }, staleSends: 2 }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'selection always stale', moment: 'before the send', safety: NonIdempotent, scenario: { engines: { g1: healthy }, staleSends: 99 }, outcome: NotRun, sends: [] },
   { fault: 'engine at another formation', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: refuses, g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
   { fault: 'every engine refuses', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: full, g2: full, g3: full, g4: healthy } }, outcome: NotRun, reason: OutcomeReason.Overloaded, sends: ['g1@0', 'g2@0', 'g3@0'] },
   { fault: 'connection breaks', moment: 'between write and reply', safety: Idempotent, scenario: { engines: { g1: ambiguous, g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
   { fault: 'connection breaks', moment: 'between write and reply', safety: NonIdempotent, scenario: { engines: { g1: ambiguous, g2: healthy }, lookups: [StreamState.Absent] }, outcome: Unknown, reason: OutcomeReason.StreamBroken, sends: ['g1@0'] },
-  { fault: 'connection breaks, it runs', moment: 'between write and reply', safety: NonIdempotent, scenario: { engines: { g1: ambiguous }, lookups: [StreamState.Absent, StreamState.Running] }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'connection breaks, request runs', moment: 'between write and reply', safety: NonIdempotent, scenario: { engines: { g1: ambiguous }, lookups: [StreamState.Absent, StreamState.Running] }, outcome: Answered, sends: ['g1@0'] },
   { fault: 'connection breaks, endpoint gone', moment: 'between write and reply', safety: NonIdempotent, scenario: { engines: { g1: ambiguous, g2: healthy }, lookups: [null] }, outcome: Unknown, sends: ['g1@0'] },
   { fault: 'refusal after a lost send', moment: 'at the second send', safety: Idempotent, scenario: { engines: { g1: ambiguous, g2: refuses, g3: refuses } }, outcome: Unknown, sends: ['g1@0', 'g2@0', 'g3@0'] },
-  { fault: 'replica dies', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: breaks(3), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@2'] },
-  { fault: 'replica dies', moment: 'in mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [null] }, outcome: Unknown, sends: ['g1@0'] },
-  { fault: 'connection breaks', moment: 'in mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [StreamState.Whole] }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'engine cancelled it', moment: 'in mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [StreamState.Cancelled] }, outcome: Failed, sends: ['g1@0'] },
-  { fault: 'stream ends in silence', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: silent(4), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@3'] },
-  { fault: 'stream stalls', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: interrupted(2, InterruptKind.Stalled), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
-  { fault: 'chunk missing', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 2, a), ...tokens(3, 6, a), end(6, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
-  { fault: 'chunks reordered', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 1, a), ...tokens(2, 3, a), ...tokens(1, 2, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
-  { fault: 'chunks repeated', moment: 'in mid-answer', safety: NonIdempotent, scenario: { engines: { g1: (a) => [...tokens(0, 3, a), ...tokens(1, 3, a), ...tokens(3, 6, a), end(6, a)] } }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'chunk of another request', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 2, a), ...tokens(2, 3, a, 'other.1.abc.random02')], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
+  { fault: 'replica fails', moment: 'mid-answer', safety: Idempotent, scenario: { engines: { g1: breaks(3), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@2'] },
+  { fault: 'replica fails', moment: 'mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [null] }, outcome: Unknown, sends: ['g1@0'] },
+  { fault: 'connection breaks', moment: 'mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [StreamState.Whole] }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'engine cancelled the request', moment: 'mid-answer', safety: NonIdempotent, scenario: { engines: { g1: breaks(3), g2: healthy }, lookups: [StreamState.Cancelled] }, outcome: Failed, sends: ['g1@0'] },
+  { fault: 'stream ends without an end chunk', moment: 'mid-answer', safety: Idempotent, scenario: { engines: { g1: silent(4), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@3'] },
+  { fault: 'stream stalls', moment: 'mid-answer', safety: Idempotent, scenario: { engines: { g1: interrupted(2, InterruptKind.Stalled), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
+  { fault: 'chunk missing', moment: 'mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 2, a), ...tokens(3, 6, a), end(6, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
+  { fault: 'chunks reordered', moment: 'mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 1, a), ...tokens(2, 3, a), ...tokens(1, 2, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
+  { fault: 'chunks duplicated', moment: 'mid-answer', safety: NonIdempotent, scenario: { engines: { g1: (a) => [...tokens(0, 3, a), ...tokens(1, 3, a), ...tokens(3, 6, a), end(6, a)] } }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'chunk of another request', moment: 'mid-answer', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 2, a), ...tokens(2, 3, a, 'other.1.abc.random02')], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
   { fault: 'late chunk of the first attempt', moment: 'in the second attempt', safety: Idempotent, scenario: { engines: { g1: breaks(2), g2: (a, from) => [...tokens(2, 4, 1), ...tokens(from, 6, a), end(6, a)] } }, outcome: Answered, sends: ['g1@0', 'g2@1'] },
-  { fault: 'end mark too early', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 4, a), end(6, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@3'] },
-  { fault: 'end mark lost', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => tokens(0, 6, a), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@5'] },
-  { fault: 'engines disagree, caller saw some', moment: 'in the second attempt', safety: Idempotent, scenario: { engines: { g1: breaks(3), g2: (a, from) => [...tokens(from, 6, a, REQUEST, ['x', 'y', 'z', 'u', 'v', 'w']), end(6, a)] } }, outcome: Unknown, reason: OutcomeReason.StreamBroken, sends: ['g1@0', 'g2@2'] },
-  { fault: 'engines disagree, caller saw nothing', moment: 'in the second attempt', safety: Idempotent, scenario: { callerReceives: false, engines: { g1: breaks(3), g2: (a, from) => from === 0 ? healthy(a, 0) : tokens(from, 6, a, REQUEST, ['x', 'y', 'z', 'u', 'v', 'w']), g3: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@2', 'g3@0'] },
-  { fault: 'only replica dies and comes back', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: (a, from) => a === 1 ? breaks(2)(a, from) : healthy(a, from) } }, outcome: Answered, sends: ['g1@0', 'g1@1'] },
-  { fault: 'retry budget spent', moment: 'in mid-answer', safety: Idempotent, scenario: { retryBudget: 0, engines: { g1: breaks(2), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.RetryBudgetExhausted, sends: ['g1@0'] },
-  { fault: 'caller goes', moment: 'in mid-answer', safety: Idempotent, scenario: { engines: { g1: interrupted(2, InterruptKind.CallerGone), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.Cancelled, sends: ['g1@0'] },
+  { fault: 'end chunk too early', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => [...tokens(0, 4, a), end(6, a)], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@3'] },
+  { fault: 'end chunk lost', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => tokens(0, 6, a), g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@5'] },
+  { fault: 'engines disagree, caller has received tokens', moment: 'in the second attempt', safety: Idempotent, scenario: { engines: { g1: breaks(3), g2: (a, from) => [...tokens(from, 6, a, REQUEST, ['x', 'y', 'z', 'u', 'v', 'w']), end(6, a)] } }, outcome: Unknown, reason: OutcomeReason.StreamBroken, sends: ['g1@0', 'g2@2'] },
+  { fault: 'engines disagree, caller has received nothing', moment: 'in the second attempt', safety: Idempotent, scenario: { callerReceives: false, engines: { g1: breaks(3), g2: (a, from) => from === 0 ? healthy(a, 0) : tokens(from, 6, a, REQUEST, ['x', 'y', 'z', 'u', 'v', 'w']), g3: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@2', 'g3@0'] },
+  { fault: 'only replica fails and recovers', moment: 'mid-answer', safety: Idempotent, scenario: { engines: { g1: (a, from) => a === 1 ? breaks(2)(a, from) : healthy(a, from) } }, outcome: Answered, sends: ['g1@0', 'g1@1'] },
+  { fault: 'retry budget spent', moment: 'mid-answer', safety: Idempotent, scenario: { retryBudget: 0, engines: { g1: breaks(2), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.RetryBudgetExhausted, sends: ['g1@0'] },
+  { fault: 'caller disconnects', moment: 'mid-answer', safety: Idempotent, scenario: { engines: { g1: interrupted(2, InterruptKind.CallerGone), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.Cancelled, sends: ['g1@0'] },
   { fault: 'deadline passes', moment: 'before the first chunk', safety: NonIdempotent, scenario: { engines: { g1: interrupted(0, InterruptKind.Deadline), g2: healthy } }, outcome: Unknown, reason: OutcomeReason.DeadlineExceeded, sends: ['g1@0'] },
-  { fault: 'cancel after the end mark', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => [...healthy(a, 0), { kind: InterruptKind.CallerGone }] } }, outcome: Answered, sends: ['g1@0'] },
-  { fault: 'engine fails it', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'out of memory', status: 500 })], g2: healthy } }, outcome: Failed, sends: ['g1@0'] },
-  { fault: 'engine fails it', moment: 'at the send', safety: Idempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'out of memory', status: 500 })], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
-  { fault: 'request at fault', moment: 'at the send', safety: Idempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'too long', status: 400 })], g2: healthy } }, outcome: Failed, sends: ['g1@0'] },
-  { fault: 'answer breaks the contract', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Malformed, reason: 'not JSON' })], g2: healthy }, lookups: [StreamState.Absent] }, outcome: Unknown, sends: ['g1@0'] }
+  { fault: 'caller disconnects after the end chunk', moment: 'at the end', safety: Idempotent, scenario: { engines: { g1: (a) => [...healthy(a, 0), { kind: InterruptKind.CallerGone }] } }, outcome: Answered, sends: ['g1@0'] },
+  { fault: 'engine reports a failure', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'out of memory', status: 500 })], g2: healthy } }, outcome: Failed, sends: ['g1@0'] },
+  { fault: 'engine reports a failure', moment: 'at the send', safety: Idempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'out of memory', status: 500 })], g2: healthy } }, outcome: Answered, sends: ['g1@0', 'g2@0'] },
+  { fault: 'client error', moment: 'at the send', safety: Idempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Failed, reason: 'too long', status: 400 })], g2: healthy } }, outcome: Failed, sends: ['g1@0'] },
+  { fault: 'malformed response', moment: 'at the send', safety: NonIdempotent, scenario: { engines: { g1: () => [error({ kind: EndpointErrorKind.Malformed, reason: 'not JSON' })], g2: healthy }, lookups: [StreamState.Absent] }, outcome: Unknown, sends: ['g1@0'] }
 ]
 
 describe('runModelRequest', () => {
--- a/packages/dotterelspur/src/request/lifecycle/dispatchChecks.ts
+++ b/packages/dotterelspur/src/request/lifecycle/dispatchChecks.ts
@@ -4,7 +4,7 @@
 import { groupAtStepIn, readStepIn } from '../../version/planning/StepIn.js'
 import { GroupState, type AssignedGroup, type AssignmentObject } from '../../version/PlatformObjects.js'
 
-/** A group as an entry sees it, with everything that a dispatch must check. */
+/** A group that requests can be dispatched to, with the load and the identity that a dispatch needs. */
 export interface GroupView {
   readonly group: GroupId
   readonly formation: number
@@ -18,7 +18,7 @@
   /** Base URL of the member of rank 0. */
   readonly leaderAddress: string
   readonly load: LoadReport
-  /** Age of the evidence when this view was made. */
+  /** Age of the presence evidence when this view was created. */
   readonly evidenceAgeMs: number
 }
 
@@ -34,11 +34,11 @@
   Expired = 'expired'
 }
 
-/** What an entry holds when it judges its groups. Ages are as of the moment of the call. */
+/** State of an entry from which dispatchability is computed. Ages are as of the time of the call. */
 export interface DispatchInputs {
   readonly assignments: readonly AssignmentObject[]
   readonly presence: readonly GroupPresence[]
-  /** Targets of `drains/`: VMs and groups that take no new work. */
+  /** Drain targets under `drains/`: VMs and groups that take no new requests. */
   readonly drained: ReadonlySet<string>
   readonly evidenceTtlMs: number
 }
@@ -49,7 +49,7 @@
   readonly obstacle: NotDispatchable | null
 }
 
-/** Judges every assigned group; a group with a view may be dispatched to now. */
+/** Checks every assigned group. Groups with a view may be dispatched to now. */
 export function checkDispatches (facts: DispatchInputs): DispatchCheck[] {
   const presence = new Map(facts.presence.map((evidence) => [evidence.group, evidence]))
   return facts.assignments.flatMap((assignment) => assignment.groups.map((assigned) => {
@@ -59,8 +59,8 @@
 }
 
 /**
- * The group as its evidence shows it: while the store is out, standbys may step in at a formation that the
- * assignment set aside for it, and its members follow from the assignment alone.
+ * The group at the formation of its presence evidence. While the store is unavailable, standbys may step in at a
+ * formation that the assignment reserves for this; the members of that formation are derived from the assignment.
  */
 function groupAtFormation (assigned: AssignedGroup, presence: GroupPresence | undefined): AssignedGroup {
   if (presence === undefined || presence.formation === assigned.formation || !takesNewWork(assigned.state)) return assigned
@@ -73,7 +73,7 @@
   return checkDispatches(facts).flatMap((check) => check.view === null ? [] : [check.view])
 }
 
-/** Judges one group of one assignment. */
+/** Checks one group of an assignment. */
 export function checkDispatch (assignment: AssignmentObject, assigned: AssignedGroup, presence: GroupPresence | undefined, facts: Omit<DispatchInputs, 'assignments' | 'presence'>): DispatchCheck {
   const obstacle = findObstacle(assigned, presence, facts)
   if (obstacle !== null || presence === undefined) return { assigned, view: null, obstacle }
--- a/packages/dotterelspur/src/request/lifecycle/orderEntries.ts
+++ b/packages/dotterelspur/src/request/lifecycle/orderEntries.ts
@@ -2,11 +2,11 @@
 import type { FailureDomainId, RegionId } from '../../process/ids.js'
 import { rendezvousOrder } from '../../process/rendezvous.js'
 
-/** Where a caller says that it is. */
+/** Location stated by a caller. */
 export interface CallerLocation {
   readonly failureDomain: FailureDomainId | null
   readonly region: RegionId
-  /** Spreads callers: each key has its own order of the nodes of one distance. */
+  /** Determines the order of nodes at the same distance, so that callers with different keys spread over them. */
   readonly spreadKey: string
 }
 
@@ -19,9 +19,9 @@
 const DISTANCES: readonly Distance[] = [Distance.FailureDomain, Distance.Region, Distance.Elsewhere]
 
 /**
- * The nodes that a caller should use, best first: its failure domain, then its region, then the rest. Within one
- * distance each caller has its own order, so that callers spread evenly, and a node that goes moves only the
- * callers that had it. Suspected nodes come last of their distance; leaving and dead ones are out at once.
+ * The nodes that a caller should use, best first: those in its failure domain, then in its region, then the rest. Nodes
+ * at the same distance are in rendezvous order of the caller's key, so that callers spread evenly and removing a node
+ * moves only its own callers. Suspected nodes come last within their distance; leaving and dead nodes are omitted.
  */
 export function orderEntries (members: readonly NodeMember[], place: CallerLocation): NodeMember[] {
   return DISTANCES.flatMap((distance) => {
--- a/packages/dotterelspur/src/request/lifecycle/outcomes.ts
+++ b/packages/dotterelspur/src/request/lifecycle/outcomes.ts
@@ -1,6 +1,6 @@
 import { OutcomeKind, OutcomeReason, type Outcome } from '../Outcome.js'
 
-/** Default time after which a caller may come back when nothing better is known. */
+/** Default Retry-After where no better estimate exists. */
 export const DEFAULT_RETRY_AFTER_MS = 1_000
 
 function build (kind: OutcomeKind, reason: OutcomeReason, message: string, retryAfterMs: number | null): Outcome {
@@ -11,7 +11,7 @@
   return build(OutcomeKind.Answered, OutcomeReason.Completed, 'answered', null)
 }
 
-/** Use it only where no attempt of the whole request id reached an endpoint, and none can any more. */
+/** Use it only if no attempt of the request id, by any submission, has reached an endpoint or still can. */
 export function notRun (reason: OutcomeReason, message: string, retryAfterMs: number | null = DEFAULT_RETRY_AFTER_MS): Outcome {
   return build(OutcomeKind.NotRun, reason, message, retryAfterMs)
 }
@@ -24,7 +24,7 @@
   return build(OutcomeKind.Unknown, reason, message, retryAfterMs)
 }
 
-/** Weakens a not-run to unknown where it holds of one submission only, not of the whole request id. */
+/** Changes not-run to unknown where not-run is proven for one submission only and not for the whole request id. */
 export function withoutProof (outcome: Outcome): Outcome {
   return outcome.kind === OutcomeKind.NotRun ? { ...outcome, kind: OutcomeKind.Unknown } : outcome
 }
--- a/packages/dotterelspur/src/request/lifecycle/resolveClaim.ts
+++ b/packages/dotterelspur/src/request/lifecycle/resolveClaim.ts
@@ -5,7 +5,10 @@
 import type { Result } from '../../process/Result.js'
 import type { Written } from '../../version/PlatformObjects.js'
 
-/** `claims/<bucket>/<hash of team and key>`: which request id, and so which home, a caller's own key stands for. */
+/**
+ * Stored at `claims/<bucket>/<hash of team and key>`: the request id, and so the home, that a caller's idempotency key
+ * maps to.
+ */
 export interface ClaimObject extends Written {
   readonly team: TeamId
   readonly key: string
@@ -34,11 +37,11 @@
 export type ClaimEffects = CreateClaimEffect | GetClaimEffect | ClaimWaitEffect
 
 export enum ClaimStateKind {
-  /** The key stands for this request id. */
+  /** The key maps to this request id. */
   Settled = 'settled',
-  /** Nothing was written and nothing can be any more. */
+  /** No claim was written, and none by this call can still be written. */
   NotWritten = 'not-written',
-  /** The claim may have been written or may yet be. */
+  /** The claim may have been written, or may still be. */
   Unsettled = 'unsettled'
 }
 
@@ -49,12 +52,12 @@
 const MAX_ATTEMPTS = 3
 
 /**
- * Finds out which request id a caller's key stands for, claiming it when it is free.
+ * Returns the request id that a caller's idempotency key maps to, and claims the key if it is free.
  *
- * The reply of a create can be lost after the claim was written. Taking that for a failure would let the key be
- * claimed a second time by another node's word; taking it for a success would let two ids run. The same body is
- * created again and read back: whichever write landed first, the stored request id is the one that counts. A
- * conflict whose claim can't be read yet, because the read came from the past, stays unsettled.
+ * The response to a create can be lost after the claim was written. Treating that as a failure would let another node
+ * claim the key a second time; treating it as a success would let two ids run. So the same body is created again and
+ * read back: the stored request id, of whichever write came first, is the valid one. After a conflict whose claim can't
+ * be read yet, because the read returned stale data, the result is Unsettled.
  */
 export function * resolveClaim (): Procedure<ClaimEffects, ClaimState> {
   let mayBeWritten = false
--- a/packages/dotterelspur/src/request/lifecycle/runModelRequest.ts
+++ b/packages/dotterelspur/src/request/lifecycle/runModelRequest.ts
@@ -15,27 +15,27 @@
 export interface ModelPlan {
   readonly requestId: RequestId
   readonly safety: RequestSafety
-  /** Sends over the life of the request. */
+  /** Maximum number of sends per request. */
   readonly maxAttempts: number
-  /** Looks at the endpoint after an ambiguous send of a non-idempotent request. */
+  /** Maximum number of stream lookups at the endpoint after an ambiguous send of a non-idempotent request. */
   readonly maxLookups: number
-  /** Between two looks, and between two choices while no group can go on with the answer. */
+  /** Delay between two lookups, and between two selections while no group can continue the answer. */
   readonly retryDelayMs: number
-  /** Choices that found no group, after an attempt, before the request is given up. */
+  /** Selections without a group, after the first attempt, before the request is given up. */
   readonly maxFailedSelections: number
 }
 
 enum AttemptResultKind {
   Completed = 'whole',
-  /** The endpoint ran nothing and will not. */
+  /** The endpoint did not run the request and will not. */
   Refused = 'refused',
-  /** It may have run; it may run still. */
+  /** The request may have run, or may still be running. */
   Lost = 'lost',
-  /** The endpoint ran it and says that it failed. */
+  /** The endpoint reported that the request failed. */
   Failed = 'failed',
-  /** The caller or the deadline ended it. */
+  /** Ended by the caller's disconnect or by the deadline. */
   Interrupted = 'stopped',
-  /** The engine's text differs from what the caller has. */
+  /** The engine's text differs from the text that the caller has. */
   Diverged = 'differs'
 }
 
@@ -53,21 +53,22 @@
   attempt: number
   failedSelections: number
   excluded: string[]
-  /** Some attempt may have reached an endpoint, so not-run can no longer be said. */
+  /** An attempt may have run at an endpoint, so not-run is no longer a valid outcome. */
   mayHaveRun: boolean
 }
 
 type StepResult = ModelResult | null
 
-/** Most choices that turned out stale right before the send; each was cheap and sent nothing. */
+/** Maximum number of selections found stale right before the send. They are cheap, since nothing was sent. */
 const MAX_STALE_SELECTIONS = 8
 
 /**
- * One model request from its first choice to its outcome.
+ * Runs one model request from the first selection of a group to its outcome.
  *
- * Idempotent: an attempt that ends badly goes on elsewhere, from the offset that the caller has. Non-idempotent:
- * it goes elsewhere only after a refusal that proves that nothing ran; after anything else it looks at the
- * endpoint for its stream and follows that, and never sends again.
+ * After an unsuccessful attempt, unless the endpoint reports a client error, an idempotent request is continued at
+ * another group from the start of the last chunk handed to the caller. A non-idempotent request is sent to another group
+ * only after a refusal, which proves that it did not run. After a lost connection it is never sent again; its stream is
+ * looked up at the endpoint and followed instead.
  */
 export function * runModelRequest (plan: ModelPlan): Procedure<ModelEffects, ModelResult> {
   const run: ModelRun = { plan, progress: EMPTY_PROGRESS, attempt: 0, failedSelections: 0, excluded: [], mayHaveRun: false }
@@ -83,7 +84,7 @@
     const sent = yield * send(run, group)
     if (!sent) {
       staleSelections += 1
-      if (staleSelections >= MAX_STALE_SELECTIONS) return finish(run, notRunOrUnknown(run, OutcomeReason.NoReplica, 'no group stayed whole until the send'))
+      if (staleSelections >= MAX_STALE_SELECTIONS) return finish(run, notRunOrUnknown(run, OutcomeReason.NoReplica, 'no group remained complete until the request could be sent'))
       continue
     }
     const result = yield * followStream(run, group)
@@ -104,7 +105,7 @@
   let expected = run.progress.lastChunkText
   for (;;) {
     const event = yield * perform<NextEventEffect>({ kind: LifecycleEffectKind.NextEvent })
-    if (event === null) return lost('the stream ended without its end mark')
+    if (event === null) return lost('the stream ended without an end chunk')
     if (isInterrupt(event)) return event.kind === InterruptKind.Stalled ? lost('the stream stalled') : { kind: AttemptResultKind.Interrupted, interrupt: event.kind }
     if (event.kind === StreamEventKind.Error) return resultOfError(event.error)
     const verdict = checkChunk(cursor, event.chunk)
@@ -123,10 +124,10 @@
 
 function resultOfVerdict (run: ModelRun, verdict: ChunkVerdict, chunk: GenerateChunk): AttemptResult {
   if (verdict.kind === ChunkVerdictKind.Completed) {
-    if (verdict.cursor.offset < run.progress.offset) return lost(`end at ${verdict.cursor.offset}, but the caller has ${run.progress.offset}`)
+    if (verdict.cursor.offset < run.progress.offset) return lost(`end at offset ${verdict.cursor.offset}, but the caller has ${run.progress.offset} tokens`)
     return { kind: AttemptResultKind.Completed, finishReason: verdict.finishReason, promptTokens: verdict.promptTokens }
   }
-  if (verdict.kind === ChunkVerdictKind.Cancelled) return { kind: AttemptResultKind.Failed, reason: 'the engine cancelled it', status: 0 }
+  if (verdict.kind === ChunkVerdictKind.Cancelled) return { kind: AttemptResultKind.Failed, reason: 'the engine cancelled the request', status: 0 }
   return lost(verdict.kind === ChunkVerdictKind.Broken ? verdict.reason : `unexpected chunk of attempt ${chunk.attempt}`)
 }
 
@@ -187,7 +188,7 @@
     run.mayHaveRun = true
     yield * closeStream(true)
     const restarted = yield * restartAnswer(run)
-    const outcome = unknownOutcome(OutcomeReason.StreamBroken, 'the answer could not be continued: the engines disagree about it')
+    const outcome = unknownOutcome(OutcomeReason.StreamBroken, 'the answer could not be continued: the engine produced different text')
     return restarted ? yield * retryElsewhere(run, group, outcome) : finish(run, outcome)
   }
 }
@@ -201,7 +202,7 @@
   yield * perform<CloseStreamEffect>({ kind: LifecycleEffectKind.CloseStream, cancel })
 }
 
-/** Drops what was collected, where the caller has seen none of it; then any version will do. */
+/** Discards the answer so far if the caller has received none of it. The next attempt may then use any version. */
 function * restartAnswer (run: ModelRun): Procedure<ModelEffects, boolean> {
   if (run.progress.offset === 0) return true
   const allowed = yield * perform<RestartAnswerEffect>({ kind: LifecycleEffectKind.RestartAnswer })
@@ -216,12 +217,13 @@
   if (!isAllowedByPoisonCheck) return finish(run, fallback)
   const hasRetryBudget = yield * perform<SpendRetryEffect>({ kind: LifecycleEffectKind.SpendRetry })
   if (hasRetryBudget) return null
-  return finish(run, { ...fallback, reason: OutcomeReason.RetryBudgetExhausted, message: `${fallback.message}; the retry budget is spent` })
+  return finish(run, { ...fallback, reason: OutcomeReason.RetryBudgetExhausted, message: `${fallback.message}; the retry budget is exhausted` })
 }
 
 /**
- * No group could be chosen. A request that was never sent is refused at once. One that began waits for a while:
- * first the groups it had left are allowed again, then another version where the caller has seen nothing.
+ * Handles a selection without a group. A request that was never sent is refused at once. After an attempt, the request
+ * waits and selects again with no group excluded; after half of `maxFailedSelections` the selection may also use
+ * other versions, if the caller has received nothing.
  */
 function * afterFailedSelection (run: ModelRun, refusal: Outcome): Procedure<ModelEffects, StepResult> {
   if (run.attempt === 0) return finish(run, refusal)
@@ -233,12 +235,15 @@
   return interrupt === null ? null : finish(run, interruptedOutcome(run, interrupt.kind))
 }
 
-/** Follows the stream of a non-idempotent request whose connection was lost. The request is never sent again. */
+/**
+ * Looks up and follows the stream of a non-idempotent request after its connection was lost. The request is not sent
+ * again.
+ */
 function * recoverStream (run: ModelRun, group: GroupView, cause: string): Procedure<ModelEffects, StepResult> {
   for (let lookups = 0; lookups < run.plan.maxLookups; lookups += 1) {
     const status = yield * perform<LookupEffect>({ kind: LifecycleEffectKind.Lookup, group })
     const state = status.ok ? status.value.state : StreamState.Absent
-    if (state === StreamState.Cancelled) return finish(run, failedByEndpoint(OutcomeReason.StreamBroken, 'the engine stopped it before its end'))
+    if (state === StreamState.Cancelled) return finish(run, failedByEndpoint(OutcomeReason.StreamBroken, 'the engine cancelled the request before it completed'))
     if (state === StreamState.Running || state === StreamState.Whole) {
       yield * perform<ResumeEffect>({ kind: LifecycleEffectKind.Resume, group, attempt: run.attempt, offset: run.progress.baseOffset })
       const result = yield * followStream(run, group)
@@ -258,7 +263,7 @@
 }
 
 function interruptedOutcome (run: ModelRun, interrupt: InterruptKind): Outcome {
-  return notRunOrUnknown(run, INTERRUPT_REASON[interrupt], interrupt === InterruptKind.Deadline ? 'the deadline passed' : 'the caller went away', null)
+  return notRunOrUnknown(run, INTERRUPT_REASON[interrupt], interrupt === InterruptKind.Deadline ? 'the deadline passed' : 'the caller disconnected', null)
 }
 
 function notRunOrUnknown (run: ModelRun, reason: OutcomeReason, message: string, retryAfterMs: number | null = null): Outcome {
--- a/packages/dotterelspur/src/request/lifecycle/runServiceRequest.ts
+++ b/packages/dotterelspur/src/request/lifecycle/runServiceRequest.ts
@@ -19,7 +19,7 @@
   readonly excluded: string[]
 }
 
-/** What an error of a call proves. */
+/** Whether an error proves that the call did not run. */
 const PROVES_NOT_RUN: { readonly [Kind in EndpointErrorKind]: boolean } = {
   [EndpointErrorKind.NotRun]: true,
   [EndpointErrorKind.WrongFormation]: true,
@@ -34,9 +34,8 @@
 const MAX_STALE_SELECTIONS = 8
 
 /**
- * One call to a plain service. What the service answers is passed on as it is, whatever its status. An
- * idempotent call is sent elsewhere after any failure; a non-idempotent one only where the last send proves that
- * nothing ran.
+ * Runs one call to a plain service. The service's response is passed on unchanged, whatever its status. An idempotent
+ * call is retried at another worker after any error, a non-idempotent one only if the error proves that it did not run.
  */
 export function * runServiceRequest (plan: ServicePlan): Procedure<ServiceEffects, ServiceResult> {
   const run: ServiceRun = { plan, attempt: 0, mayHaveRun: false, excluded: [] }
@@ -53,12 +52,12 @@
     const ended = 'ok' in reply ? yield * afterError(run, selection.value, reply.error) : interruptedResult(run, reply)
     if (ended !== null) return ended
   }
-  return finish(run, weaken(run, notRun(OutcomeReason.NoReplica, 'no worker stayed present until the send')))
+  return finish(run, weaken(run, notRun(OutcomeReason.NoReplica, 'no worker remained present until the call could be sent')))
 }
 
 function interruptedResult (run: ServiceRun, interrupt: Interrupt): ServiceResult {
   const reason = interrupt.kind === InterruptKind.Deadline ? OutcomeReason.DeadlineExceeded : OutcomeReason.Cancelled
-  return finish(run, unknownOutcome(reason, 'the call was given up while it was under way'))
+  return finish(run, unknownOutcome(reason, 'the call was abandoned while it was in progress'))
 }
 
 function * afterError (run: ServiceRun, worker: ServiceWorker, error: EndpointError): Procedure<ServiceEffects, ServiceResult | null> {
--- a/packages/dotterelspur/src/request/routing/HashRing.ts
+++ b/packages/dotterelspur/src/request/routing/HashRing.ts
@@ -23,7 +23,9 @@
       .sort((left, right) => left.position - right.position)
   }
 
-  /** Walks the ring from the key's position and returns the first target that `accepts`; undefined if none is accepted. */
+  /**
+   * Walks the ring from the key's position and returns the first target that `accepts`; undefined if none is accepted.
+   */
   find (key: number, accepts: (record: TargetRecord) => boolean): TargetRecord | undefined {
     const start = this.lowerBound(key)
     const rejected = new Set<TargetRecord>()
--- a/packages/dotterelspur/src/request/routing/RouteTarget.ts
+++ b/packages/dotterelspur/src/request/routing/RouteTarget.ts
@@ -44,7 +44,10 @@
 
 export type RouteTarget = GroupTarget | ServiceTarget
 
-/** A group at a new formation is a new target: counts, health and cached prefixes of the old formation don't apply to it. */
+/**
+ * A group at a new formation is a new target: counts, health and cached prefixes of the old formation don't apply to
+ * it.
+ */
 export function groupTargetId (group: GroupId, formation: number): TargetId {
   return `${group}@${formation}`
 }
--- a/packages/dotterelspur/src/request/routing/Router.ts
+++ b/packages/dotterelspur/src/request/routing/Router.ts
@@ -122,7 +122,10 @@
     return record
   }
 
-  /** Keeps a lane, with its hash ring, if its set of targets is unchanged, so that a load update doesn't rebuild the ring. */
+  /**
+   * Keeps a lane, with its hash ring, if its set of targets is unchanged, so that a load update doesn't rebuild the
+   * ring.
+   */
   private rebuildLanes (members: ReadonlyMap<string, readonly TargetRecord[]>): void {
     for (const key of this.lanes.keys()) {
       if (!members.has(key)) this.lanes.delete(key)
@@ -144,7 +147,9 @@
   return of.kind === TargetKind.Group ? `model/${of.model}` : `service/${of.service}`
 }
 
-/** Milliseconds per token after the first, or per response of a service; null if the attempt is too short to measure it. */
+/**
+ * Milliseconds per token after the first, or per response of a service; null if the attempt is too short to measure it.
+ */
 function paceOf (attempt: RouteAttempt, target: RouteTarget, nowMs: number, tokens: number): number | null {
   if (attempt.firstTokenAtMs === null) return null
   if (target.kind === TargetKind.Service) return attempt.firstTokenAtMs - attempt.startedAtMs
--- a/packages/dotterelspur/src/request/routing/RoutingOptions.ts
+++ b/packages/dotterelspur/src/request/routing/RoutingOptions.ts
@@ -24,7 +24,10 @@
   readonly prefixBlockTokens: number
   /** Leading blocks used as the hash ring key at most, so that a conversation keeps its target as it grows. */
   readonly maxAffinityBlocks: number
-  /** The hash ring skips targets whose utilisation exceeds this multiple of the mean (consistent hashing with bounded loads). */
+  /**
+   * The hash ring skips targets whose utilisation exceeds this multiple of the mean (consistent hashing with bounded
+   * loads).
+   */
   readonly loadBound: number
   /** Additional cost per unit of utilisation above 1, where requests wait at the target. */
   readonly overflowCost: number
--- a/packages/dotterelspur/src/request/routing/TargetHealth.ts
+++ b/packages/dotterelspur/src/request/routing/TargetHealth.ts
@@ -66,7 +66,10 @@
     return nowMs < this.ejectedUntilMs
   }
 
-  /** Share of its normal traffic that the target may take: rises from `rampStartShare` to 1 after it was added or ejected. */
+  /**
+   * Share of its normal traffic that the target may take: rises from `rampStartShare` to 1 after it was added or
+   * ejected.
+   */
   trafficShare (nowMs: number): number {
     const { rampMs, rampStartShare } = this.options
     const passedMs = nowMs - this.rampFromMs
--- a/packages/dotterelspur/src/request/routing/choose.ts
+++ b/packages/dotterelspur/src/request/routing/choose.ts
@@ -37,7 +37,9 @@
   return [...holders, ...drawn]
 }
 
-/** Draws a target at random. A target that is ramping up is replaced by a second draw with probability 1 - trafficShare. */
+/**
+ * Draws a target at random. A target that is ramping up is replaced by a second draw with probability 1 - trafficShare.
+ */
 function drawRamped (records: readonly TargetRecord[], { random, nowMs }: ChoiceContext): TargetRecord {
   const first = pick(random, records)!
   if (random.next() < first.health.trafficShare(nowMs)) return first
