--- a/packages/dotterelspur/src/__tests__/unit/Router.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Router.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { AttemptEnd, RouteRefusalKind, Router, TargetKind, createRandom, createRoutingOptions, groupTargetId, type GroupQuery, type GroupTarget } from '../../index.js'
+import { AttemptResult, RouteRefusalKind, Router, TargetKind, createRandom, createRoutingOptions, groupTargetId, type GroupQuery, type GroupTarget } from '../../index.js'
 import { createQuery } from './routingFixture.js'
 
 function createTarget (group: string, overrides: Partial<GroupTarget> = {}): GroupTarget {
@@ -17,7 +17,7 @@
     evidenceExpiresAtMs: 2_500,
     leaving: false,
     load: { running: 0, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 },
-    loadAskedAtMs: 0,
+    loadRequestedAtMs: 0,
     ...overrides
   }
 }
@@ -34,7 +34,7 @@
     { name: 'another model only', targets: [createTarget('a', { model: 'draft' })], kind: RouteRefusalKind.NoReplica },
     { name: 'adapter not loaded', targets: [createTarget('a')], query: { adapter: 'tax' }, kind: RouteRefusalKind.NoReplica },
     { name: 'pinned version not served', targets: [createTarget('a', { version: 'v2' })], query: { versionPinned: true }, kind: RouteRefusalKind.NoReplica },
-    { name: 'evidence expires at this very moment', targets: [createTarget('a')], nowMs: 2_500, kind: RouteRefusalKind.NoFreshEvidence },
+    { name: 'evidence expires exactly now', targets: [createTarget('a')], nowMs: 2_500, kind: RouteRefusalKind.NoFreshEvidence },
     { name: 'all leaving', targets: [createTarget('a', { leaving: true })], kind: RouteRefusalKind.AllLeaving },
     { name: 'all tried', targets: [createTarget('a')], query: { excluded: new Set([groupTargetId('a', 1)]) }, kind: RouteRefusalKind.AllTried }
   ]
@@ -49,7 +49,7 @@
 })
 
 describe('Router', () => {
-  it('counts its own attempts as load at once', () => {
+  it('counts its own attempts as load immediately', () => {
     const { router, random } = createFixture([createTarget('a'), createTarget('b')])
     const busy = createTarget('a')
     for (let index = 0; index < 20; index++) router.begin(busy, 0)
@@ -61,26 +61,26 @@
     expect(toBusy).to.be.lessThan(40)
   })
 
-  it('sends nothing to a target before the time that its refusal named, and one attempt then', () => {
+  it('sends no request to a target until its back-off has passed, and then a single probe request', () => {
     const { router, random } = createFixture([createTarget('a', { evidenceExpiresAtMs: 10_000 })])
     const refused = router.begin(createTarget('a'), 0)
-    router.noteRest(refused, 3_000, 0)
-    router.end(refused, AttemptEnd.Refused, 0)
+    router.recordBackoff(refused, 3_000, 0)
+    router.end(refused, AttemptResult.Refused, 0)
     const early = router.decide(createQuery(), 1_000, random)
     expect(early).to.deep.include({ ok: false })
-    expect(early.ok ? null : early.error).to.deep.include({ kind: RouteRefusalKind.AllResting, retryAfterMs: 2_000 })
+    expect(early.ok ? null : early.error).to.deep.include({ kind: RouteRefusalKind.AllBackingOff, retryAfterMs: 2_000 })
     expect(router.decide(createQuery(), 3_000, random).ok).to.equal(true)
-    const trial = router.begin(createTarget('a'), 3_000)
+    const probe = router.begin(createTarget('a'), 3_000)
     expect(router.decide(createQuery(), 3_001, random).ok).to.equal(false)
-    router.firstToken(trial, 3_002)
+    router.recordFirstToken(probe, 3_002)
     expect(router.decide(createQuery(), 3_002, random).ok).to.equal(true)
   })
 
-  it('forgets an attempt when it ends', () => {
+  it('no longer counts an attempt after it has ended', () => {
     const { router } = createFixture([createTarget('a')])
     const attempt = router.begin(createTarget('a'), 0)
     expect(router.inFlightAt(attempt.targetId)).to.equal(1)
-    router.end(attempt, AttemptEnd.Whole, 10)
+    router.end(attempt, AttemptResult.Completed, 10)
     expect(router.inFlightAt(attempt.targetId)).to.equal(0)
   })
 })
--- a/packages/dotterelspur/src/__tests__/unit/RouterProperties.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/RouterProperties.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { AttemptEnd, CacheEventKind, PriorityClass, RouteCause, Router, TargetKind, createRandom, createRoutingOptions, groupTargetId, serviceTargetId, type GroupQuery, type GroupTarget, type RouteAttempt, type RoutingOptions, type ServiceTarget } from '../../index.js'
+import { AttemptResult, CacheEventKind, PriorityClass, RouteCause, Router, TargetKind, createRandom, createRoutingOptions, groupTargetId, serviceTargetId, type GroupQuery, type GroupTarget, type RouteAttempt, type RoutingOptions, type ServiceTarget } from '../../index.js'
 import { createQuery } from './routingFixture.js'
 
 const SEED = 20_261_202
-const FOREVER_MS = 1e9
+const NEVER_EXPIRES_MS = 1e9
 
 function createTarget (group: string, overrides: Partial<GroupTarget> = {}): GroupTarget {
   const formation = overrides.formation ?? 1
@@ -19,10 +19,10 @@
     address: `http://10.0.0.1/${group}`,
     region: 'perth',
     failureDomain: 'perth-1',
-    evidenceExpiresAtMs: FOREVER_MS,
+    evidenceExpiresAtMs: NEVER_EXPIRES_MS,
     leaving: false,
     load: { running: 0, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 },
-    loadAskedAtMs: 0,
+    loadRequestedAtMs: 0,
     ...overrides
   }
 }
@@ -48,10 +48,10 @@
     }
     return counts
   }
-  const breakOff = (target: GroupTarget, times: number, nowMs: number): void => {
-    for (let turn = 0; turn < times; turn++) router.end(router.begin(target, nowMs), AttemptEnd.Broken, nowMs)
+  const failAttempts = (target: GroupTarget, times: number, nowMs: number): void => {
+    for (let turn = 0; turn < times; turn++) router.end(router.begin(target, nowMs), AttemptResult.Broken, nowMs)
   }
-  return { router, random, choose, countChoices, breakOff }
+  return { router, random, choose, countChoices, failAttempts }
 }
 
 const GROUPS = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i', 'j']
@@ -71,11 +71,11 @@
     excluded: fc.subarray(GROUPS),
     pinned: fc.boolean(),
     prefixHashes: fc.array(fc.nat(5), { maxLength: 3 }),
-    end: fc.constantFrom(null, ...Object.values(AttemptEnd)),
+    end: fc.constantFrom(null, ...Object.values(AttemptResult)),
     waitMs: fc.nat(900)
   })
 
-  it('never chooses a target that has expired, leaves, was tried or does not fit, and refuses only when there is none', () => {
+  it('never chooses a target that is expired, leaving, already tried or unsuitable, and refuses only when no other exists', () => {
     fc.assert(fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       const { router, random } = createFixture([])
       const attempts: RouteAttempt[] = []
@@ -85,7 +85,7 @@
         nowMs += waitMs
         if (replaced !== null) {
           targets = replaced.map(({ running, evidenceExpiresAtMs, ...rest }) => createTarget(rest.group, {
-            ...rest, evidenceExpiresAtMs: nowMs + evidenceExpiresAtMs - 1_000, load: { running, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 }, loadAskedAtMs: nowMs
+            ...rest, evidenceExpiresAtMs: nowMs + evidenceExpiresAtMs - 1_000, load: { running, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 }, loadRequestedAtMs: nowMs
           }))
           router.replaceTargets(targets, nowMs)
         }
@@ -105,40 +105,39 @@
   })
 })
 
-describe('Router and bad targets', () => {
-  it('ejects what breaks again and again, lets it back by a ramp, and no further than its share', () => {
-    // Symptom: a group that is present by its probes breaks every stream.
-    // Sequence: three broken attempts, then choices over time.
-    // Cause: probes and streams can fail apart; only the attempts show it.
+describe('Router and unhealthy targets', () => {
+  it('ejects a target after consecutive broken attempts and ramps its traffic up afterwards', () => {
+    // Failure: a group whose probes succeed breaks every stream and keeps receiving requests. Probes and streams
+    // can fail independently, so only the attempts show it.
     const targets = GROUPS.map((group) => createTarget(group))
-    const { router, countChoices, breakOff } = createFixture(targets)
-    breakOff(targets[0]!, 3, 0)
+    const { router, countChoices, failAttempts } = createFixture(targets)
+    failAttempts(targets[0]!, 3, 0)
     expect(router.ejectedTargets(0)).to.deep.equal([targets[0]!.id])
     expect(countChoices(500, 100).get('a') ?? 0).to.equal(0)
     const atReturn = countChoices(2_000, 5_100).get('a') ?? 0
     expect(atReturn).to.be.lessThan(100)
   })
 
-  it('never ejects more than a share: when most break, the cause is likely elsewhere', () => {
+  it('ejects at most the maximum share of the targets when most of them break', () => {
     const targets = GROUPS.map((group) => createTarget(group))
-    const { router, breakOff, countChoices } = createFixture(targets)
-    for (const target of targets) breakOff(target, 5, 0)
+    const { router, failAttempts, countChoices } = createFixture(targets)
+    for (const target of targets) failAttempts(target, 5, 0)
     expect(router.ejectedTargets(0)).to.have.length(3)
     expect(countChoices(200, 1).get(null)).to.equal(undefined)
   })
 
-  it('sends a straggler less, by its pace', () => {
+  it('sends fewer requests to a straggler', () => {
     const targets = GROUPS.slice(0, 4).map((group) => createTarget(group, { load: { running: 4, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 } }))
     const { router, countChoices } = createFixture(targets)
     for (const target of targets) {
       const attempt = router.begin(target, 0)
-      router.firstToken(attempt, 0)
-      router.end(attempt, AttemptEnd.Whole, target.group === 'a' ? 6_000 : 2_000, 100)
+      router.recordFirstToken(attempt, 0)
+      router.end(attempt, AttemptResult.Completed, target.group === 'a' ? 6_000 : 2_000, 100)
     }
     expect(countChoices(400, 6_100).get('a') ?? 0).to.be.lessThan(40)
   })
 
-  it('gives a group that joins later only part of its share at first', () => {
+  it('ramps up the traffic of a group that joins later', () => {
     const targets = GROUPS.slice(0, 3).map((group) => createTarget(group, { load: { running: 5, waiting: 0, capacity: 10, cacheUsed: 0, ageMs: 0 } }))
     const { router, countChoices } = createFixture(targets)
     router.replaceTargets([...targets, createTarget('new')], 1_000)
@@ -148,7 +147,7 @@
 })
 
 describe('Router and prefixes, versions, regions, services', () => {
-  it('sends equal prefixes to one group, from every node, as long as it has room', () => {
+  it('sends equal prefixes from every node to the same group while that has capacity', () => {
     const targets = GROUPS.map((group) => createTarget(group))
     const chosen = [1, 2, 3].map(() => createFixture(targets).choose(0, { prefixHashes: [11, 12, 13], promptTokens: 800 }))
     expect(new Set(chosen).size).to.equal(1)
@@ -156,10 +155,10 @@
     expect(createFixture(full).choose(0, { prefixHashes: [11, 12, 13], promptTokens: 800 })).to.not.equal(chosen[0])
   })
 
-  it('draws no prefix to a group that was reported full, however old the report', () => {
-    // Symptom: a few groups keep a queue while the others have room; worse with more nodes.
-    // Sequence: prefixes in demand, reports too old to be trusted, every node sends them to their holder.
-    // Cause: the estimate fades to the mean and hides what lasts.
+  it('gives no prefix affinity to a group that was reported full, however old the report', () => {
+    // Failure: a few groups keep a queue while others have capacity; worse with more nodes. It happens with
+    // frequently requested prefixes and old load reports: the estimate moves towards the mean as a report ages, so
+    // every node keeps sending those prefixes to the group that has them cached.
     const targets = GROUPS.map((group) => createTarget(group))
     const query = { prefixHashes: [31, 32], promptTokens: 512 }
     const { router, choose, countChoices } = createFixture(targets)
@@ -169,15 +168,15 @@
     expect(countChoices(200, 0, query).get(home) ?? 0).to.be.lessThan(60)
   })
 
-  it('follows cache events through gaps and repeats', () => {
+  it('applies cache events despite gaps and duplicates', () => {
     const targets = GROUPS.map((group) => createTarget(group))
     const { router, random } = createFixture(targets)
     const query = createQuery({ prefixHashes: [21, 22], promptTokens: 512 })
     const home = router.decide(query, 0, random)
     const other = targets.find((target) => !home.ok || target.id !== home.value.target.id)!
     const stored = { sequence: 9, kind: CacheEventKind.Stored, prefixHash: 22 }
-    router.noteCacheEvents(other.id, { events: [stored, stored], nextSequence: 10 }, 0)
-    router.noteCacheEvents(home.ok ? home.value.target.id : '', { events: [21, 22].map((prefixHash, sequence) => ({ sequence, kind: CacheEventKind.Evicted, prefixHash })), nextSequence: 2 }, 0)
+    router.applyCacheEvents(other.id, { events: [stored, stored], nextSequence: 10 }, 0)
+    router.applyCacheEvents(home.ok ? home.value.target.id : '', { events: [21, 22].map((prefixHash, sequence) => ({ sequence, kind: CacheEventKind.Evicted, prefixHash })), nextSequence: 2 }, 0)
     const decision = router.decide(query, 0, random)
     expect(decision.ok && decision.value.target.id).to.equal(other.id)
     expect(decision.ok && decision.value.cause).to.equal(RouteCause.PrefixAffinity)
@@ -195,7 +194,7 @@
     expect(seen).to.not.include(null)
   })
 
-  it('stays in its region until that is overloaded or empty', () => {
+  it('stays in its region until that is overloaded or has no target', () => {
     const near = createTarget('near')
     const far = createTarget('far', { region: 'atlanta', failureDomain: 'atlanta-1' })
     expect(createFixture([near, far]).countChoices(100, 0).get('far')).to.equal(undefined)
@@ -203,7 +202,7 @@
     expect(createFixture([{ ...near, leaving: true }, far]).choose(0)).to.equal('far')
   })
 
-  it('prefers its failure domain where loads are equal, and not where they differ', () => {
+  it('prefers its failure domain at equal load, but not over a less loaded target', () => {
     const near = createTarget('near')
     const far = createTarget('far', { failureDomain: 'perth-2' })
     const equal = createFixture([near, far]).countChoices(400, 0)
@@ -212,7 +211,7 @@
     expect(busy.get('far')).to.be.greaterThan(busy.get('near')!)
   })
 
-  it('spreads a service over its workers by its own requests', () => {
+  it('balances a service over its workers by the node\'s own requests', () => {
     const workers = ['w1', 'w2', 'w3'].map(createWorker)
     const router = new Router(createRoutingOptions({ region: 'perth', failureDomain: 'perth-1' }))
     const random = createRandom(SEED)
--- a/packages/dotterelspur/src/request/admission/AdmissionLane.ts
+++ b/packages/dotterelspur/src/request/admission/AdmissionLane.ts
@@ -2,42 +2,45 @@
 import type { TeamId } from '../../process/ids.js'
 import { AdaptiveLimit } from './AdaptiveLimit.js'
 import type { AdmissionOptions } from './AdmissionOptions.js'
-import { ClassQueue, type Waiting } from './ClassQueue.js'
+import { ClassQueue, type QueuedRequest } from './ClassQueue.js'
 import { FairShare } from './FairShare.js'
-import { ReturnPacer } from './ReturnPacer.js'
+import { RetryAfterPacer } from './RetryAfterPacer.js'
 
 export const PRIORITY_CLASSES: readonly PriorityClass[] = [PriorityClass.Interactive, PriorityClass.Standard, PriorityClass.Bulk]
 
-const RUN_TIME_WEIGHT = 0.05
-const LEAST_RETURN_MS = 500
-const UNKNOWN_INTERVAL_MS = 100
+const RUN_TIME_SMOOTHING = 0.05
+const MIN_RETRY_AFTER_MS = 500
+const DEFAULT_INTERVAL_MS = 100
 
-/** Queues and limit of one lane at this node. */
+/** The queues and the concurrency limit of one lane at this node. */
 export class AdmissionLane {
   readonly limit: AdaptiveLimit
   readonly queues: Readonly<Record<PriorityClass, ClassQueue>>
   private readonly running: Record<PriorityClass, number>
-  private readonly pacers: Readonly<Record<PriorityClass, ReturnPacer>>
+  private readonly retryPacers: Readonly<Record<PriorityClass, RetryAfterPacer>>
   private readonly share = new FairShare<PriorityClass>()
   private meanRunMs: number | null = null
-  /** Share of the limit that backpressure leaves, 0 to 1. */
-  room = 1
+  /** Factor on the limit, 0 to 1, lowered while slow callers fill the buffers; see AdmissionController.setBufferUsage. */
+  limitFactor = 1
 
   constructor (private readonly options: AdmissionOptions) {
     this.limit = new AdaptiveLimit(options.limit, options.initialConcurrency)
     this.queues = byClass(() => new ClassQueue())
     this.running = byClass(() => 0)
-    this.pacers = byClass(() => new ReturnPacer())
+    this.retryPacers = byClass(() => new RetryAfterPacer())
   }
 
   get runningCount (): number {
     return PRIORITY_CLASSES.reduce((sum, priority) => sum + this.running[priority], 0)
   }
 
-  /** Takes the next request that may be dispatched: fair between classes, then between teams. */
-  next (mayRun: (team: TeamId) => boolean): Waiting | undefined {
+  /**
+   * Removes and returns the next request that may be dispatched: weighted fair between classes, then fair between
+   * teams.
+   */
+  next (mayRun: (team: TeamId) => boolean): QueuedRequest | undefined {
     if (this.runningCount >= this.effectiveLimit()) return undefined
-    const ready = PRIORITY_CLASSES.filter((priority) => this.queues[priority].length > 0 && this.hasRoom(priority) && this.queues[priority].hasEligible(mayRun))
+    const ready = PRIORITY_CLASSES.filter((priority) => this.queues[priority].length > 0 && this.hasCapacity(priority) && this.queues[priority].hasRunnable(mayRun))
     const priority = this.share.next(ready)
     if (priority === undefined) return undefined
     this.share.charge(priority, 1, this.options.classWeight[priority])
@@ -45,30 +48,30 @@
     return this.queues[priority].pop(mayRun)
   }
 
-  noteFinished (priority: PriorityClass, runMs: number): void {
+  recordFinished (priority: PriorityClass, runMs: number): void {
     this.running[priority]--
-    this.meanRunMs = this.meanRunMs === null ? runMs : this.meanRunMs + RUN_TIME_WEIGHT * (runMs - this.meanRunMs)
+    this.meanRunMs = this.meanRunMs === null ? runMs : this.meanRunMs + RUN_TIME_SMOOTHING * (runMs - this.meanRunMs)
   }
 
   /**
-   * How long a request that is queued now is likely to wait: what stands before it at the pace of the lane. Null
-   * until a request has finished.
+   * Expected wait of a request queued now: the requests of its class queued before it times the interval between
+   * dispatches. Null until a request has finished.
    */
   expectedWaitMs (priority: PriorityClass): number | null {
     const intervalMs = this.intervalMs(priority)
     if (intervalMs === null) return null
-    const ahead = this.queues[priority].length
-    return ahead === 0 && this.runningCount < this.effectiveLimit() ? 0 : ahead * intervalMs
+    const queuedAhead = this.queues[priority].length
+    return queuedAhead === 0 && this.runningCount < this.effectiveLimit() ? 0 : queuedAhead * intervalMs
   }
 
-  /** When a shed caller should come back. */
-  returnMs (priority: PriorityClass, nowMs: number): number {
-    const intervalMs = this.intervalMs(priority) ?? UNKNOWN_INTERVAL_MS
-    const waitMs = Math.max(LEAST_RETURN_MS, this.queues[priority].length * intervalMs)
-    return this.pacers[priority].nextReturnMs(waitMs, intervalMs, nowMs)
+  /** Retry-After for the next shed caller of the class. */
+  nextRetryAfterMs (priority: PriorityClass, nowMs: number): number {
+    const intervalMs = this.intervalMs(priority) ?? DEFAULT_INTERVAL_MS
+    const waitMs = Math.max(MIN_RETRY_AFTER_MS, this.queues[priority].length * intervalMs)
+    return this.retryPacers[priority].nextDelayMs(waitMs, intervalMs, nowMs)
   }
 
-  /** Between two dispatches of the class while all that wait now go on waiting. */
+  /** Expected interval between two dispatches of the class while the classes that have queued requests now keep them. */
   private intervalMs (priority: PriorityClass): number | null {
     if (this.meanRunMs === null) return null
     const { classWeight } = this.options
@@ -78,10 +81,11 @@
   }
 
   /**
-   * A lower class leaves room for what comes with a higher one, counted over all that runs: a share of its own
-   * would not help, since the limit adapts and the class would fill it up again. Its floor keeps it going.
+   * Whether the class may dispatch. A lower class leaves part of the limit free for requests of higher classes, counted
+   * over all running requests: a separate share per class would not keep it free, since the limit adapts and the class
+   * would fill it again. The floor of the class prevents its starvation.
    */
-  private hasRoom (priority: PriorityClass): boolean {
+  private hasCapacity (priority: PriorityClass): boolean {
     const { classShare, classFloor } = this.options
     const limit = this.effectiveLimit()
     return this.runningCount < Math.max(1, Math.floor(limit * classShare[priority])) ||
@@ -89,7 +93,7 @@
   }
 
   private effectiveLimit (): number {
-    return Math.max(1, Math.floor(this.limit.value * this.room))
+    return Math.max(1, Math.floor(this.limit.value * this.limitFactor))
   }
 }
 
--- a/packages/dotterelspur/src/request/admission/AllowanceHolder.ts
+++ b/packages/dotterelspur/src/request/admission/AllowanceHolder.ts
@@ -2,71 +2,71 @@
 import type { TeamLimits } from '../../version/TeamSettings.js'
 import { TokenBucket } from './TokenBucket.js'
 
-/** A node's ask for more of a team's limit. Both in units: requests, and tokens. */
-export interface AllowanceAsk {
+/** A node's request for more of a team's limit: number of requests and number of tokens. */
+export interface AllowanceRequest {
   readonly team: TeamId
   readonly requests: number
   readonly tokens: number
-  /** Which of the team's holders to ask, by rendezvous order of the team over the living nodes. */
+  /** Rank of the holder to send it to, in the rendezvous order of the team over the alive nodes. */
   readonly holderRank: number
 }
 
-/** The answer; what it grants is spent at the holder, whether or not the answer arrives. */
+/** A holder's response. What it grants is deducted at the holder, whether or not the response arrives. */
 export interface AllowanceGrant {
   readonly team: TeamId
   readonly requests: number
   readonly tokens: number
 }
 
-/** Holders of each team's limit. */
+/** Maximum number of holders per team. */
 export const ALLOWANCE_HOLDERS = 8
 
 const BURST_SECONDS = 1
 
 /**
- * This node's part of each team's limit, which it grants to the nodes that ask. The first holders of a team by
- * rendezvous order each have an even part: nothing is agreed and nothing is kept, and a holder that is lost takes
- * a part of the limit along until the next one has its place. A lost answer loses what it granted; nothing is
- * granted twice.
+ * This node's share of each team's limit, which it grants to nodes on request. The first `ALLOWANCE_HOLDERS` nodes of a
+ * team's rendezvous order have an even share each. Holders need no agreement and store nothing: when one fails, its
+ * share of the limit is unavailable until the next node in the order takes its rank. A lost response loses the amount
+ * that it granted; nothing is granted twice.
  */
 export class AllowanceHolder {
-  private readonly parts = new Map<TeamId, { readonly requests: TokenBucket, readonly tokens: TokenBucket }>()
+  private readonly shares = new Map<TeamId, { readonly requests: TokenBucket, readonly tokens: TokenBucket }>()
   private limits: ReadonlyMap<TeamId, TeamLimits> = new Map()
   private holders = 1
 
   configure (limits: ReadonlyMap<TeamId, TeamLimits>, nodes: number, nowMs: number): void {
     this.limits = limits
     this.holders = Math.max(1, Math.min(ALLOWANCE_HOLDERS, nodes))
-    for (const [team, part] of this.parts) {
+    for (const [team, share] of this.shares) {
       const teamLimits = limits.get(team)
-      if (teamLimits === undefined) this.parts.delete(team)
-      else this.configurePart(part, teamLimits, nowMs)
+      if (teamLimits === undefined) this.shares.delete(team)
+      else this.configureShare(share, teamLimits, nowMs)
     }
   }
 
-  answer (ask: AllowanceAsk, nowMs: number): AllowanceGrant {
-    const part = this.part(ask.team, nowMs)
-    if (part === undefined) return { team: ask.team, requests: 0, tokens: 0 }
-    return { team: ask.team, requests: part.requests.takeUpTo(ask.requests, nowMs), tokens: part.tokens.takeUpTo(ask.tokens, nowMs) }
+  grant (request: AllowanceRequest, nowMs: number): AllowanceGrant {
+    const share = this.shareOf(request.team, nowMs)
+    if (share === undefined) return { team: request.team, requests: 0, tokens: 0 }
+    return { team: request.team, requests: share.requests.takeUpTo(request.requests, nowMs), tokens: share.tokens.takeUpTo(request.tokens, nowMs) }
   }
 
-  /** Starts empty: a new holder can't know what its predecessor has granted in the last second. */
-  private part (team: TeamId, nowMs: number) {
+  /** A new share starts empty, since this holder can't know what its predecessor has granted in the last second. */
+  private shareOf (team: TeamId, nowMs: number) {
     const limits = this.limits.get(team)
     if (limits === undefined) return undefined
-    let part = this.parts.get(team)
-    if (part === undefined) {
-      part = { requests: new TokenBucket(0, 0, nowMs), tokens: new TokenBucket(0, 0, nowMs) }
-      this.configurePart(part, limits, nowMs)
-      this.parts.set(team, part)
+    let share = this.shares.get(team)
+    if (share === undefined) {
+      share = { requests: new TokenBucket(0, 0, nowMs), tokens: new TokenBucket(0, 0, nowMs) }
+      this.configureShare(share, limits, nowMs)
+      this.shares.set(team, share)
     }
-    return part
+    return share
   }
 
-  private configurePart (part: { readonly requests: TokenBucket, readonly tokens: TokenBucket }, limits: TeamLimits, nowMs: number): void {
+  private configureShare (share: { readonly requests: TokenBucket, readonly tokens: TokenBucket }, limits: TeamLimits, nowMs: number): void {
     const requestsPerSecond = limits.requestsPerSecond / this.holders
     const tokensPerSecond = limits.tokensPerSecond / this.holders
-    part.requests.configure(requestsPerSecond, requestsPerSecond * BURST_SECONDS, nowMs)
-    part.tokens.configure(tokensPerSecond, tokensPerSecond * BURST_SECONDS, nowMs)
+    share.requests.configure(requestsPerSecond, requestsPerSecond * BURST_SECONDS, nowMs)
+    share.tokens.configure(tokensPerSecond, tokensPerSecond * BURST_SECONDS, nowMs)
   }
 }
--- a/packages/dotterelspur/src/request/admission/FairShare.ts
+++ b/packages/dotterelspur/src/request/admission/FairShare.ts
@@ -1,37 +1,38 @@
 /**
- * Start-time fair queueing over keys: whoever has been served least, in proportion to its weight, goes next. A key
- * that was idle starts at the present and can't claim what it did not use, so no key is starved and none saves up.
+ * Start-time fair queueing over keys: the key with the earliest start time, i.e. the least service in proportion to its
+ * weight, is served next. A key that was idle starts at the current virtual time, so it gets no credit for unused
+ * service, and no key is starved.
  */
 export class FairShare<Key extends string> {
-  private readonly served = new Map<Key, number>()
-  private present = 0
+  private readonly finishTimes = new Map<Key, number>()
+  private virtualTime = 0
 
-  /** The key to serve next among those that wait; undefined when none does. */
+  /** The key to serve next among the waiting ones; undefined if there is none. */
   next (waiting: Iterable<Key>): Key | undefined {
     let best: Key | undefined
-    let least = Infinity
+    let earliest = Infinity
     for (const key of waiting) {
-      const served = this.servedBy(key)
-      if (served >= least) continue
+      const startTime = this.startTimeOf(key)
+      if (startTime >= earliest) continue
       best = key
-      least = served
+      earliest = startTime
     }
     return best
   }
 
-  /** Records that the key was served work of this size. */
+  /** Records service of this size for the key. */
   charge (key: Key, size: number, weight = 1): void {
-    const start = this.servedBy(key)
-    this.present = Math.max(this.present, start)
-    this.served.set(key, start + size / weight)
+    const start = this.startTimeOf(key)
+    this.virtualTime = Math.max(this.virtualTime, start)
+    this.finishTimes.set(key, start + size / weight)
   }
 
-  /** Forgets a key that no longer waits, so that the state is bounded by who waits. */
+  /** Removes a key that no longer waits, unless it is ahead of the virtual time, so that the state stays small. */
   retire (key: Key): void {
-    if ((this.served.get(key) ?? 0) <= this.present) this.served.delete(key)
+    if ((this.finishTimes.get(key) ?? 0) <= this.virtualTime) this.finishTimes.delete(key)
   }
 
-  private servedBy (key: Key): number {
-    return Math.max(this.present, this.served.get(key) ?? 0)
+  private startTimeOf (key: Key): number {
+    return Math.max(this.virtualTime, this.finishTimes.get(key) ?? 0)
   }
 }
--- a/packages/dotterelspur/src/request/lifecycle/__tests__/unit/GroupTable.test.ts
+++ b/packages/dotterelspur/src/request/lifecycle/__tests__/unit/dispatchChecks.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { GroupState, NotDispatchable, judgeDispatch, type AssignedGroup, type AssignmentObject, type GroupPresence } from '../../../../index.js'
+import { GroupState, NotDispatchable, checkDispatch, type AssignedGroup, type AssignmentObject, type GroupPresence } from '../../../../index.js'
 
 const EVIDENCE_TTL_MS = 2_500
 
@@ -23,13 +23,13 @@
 
 const rows: readonly Row[] = [
   { fault: 'none', obstacle: null },
-  { fault: 'it has just been formed', assigned: { state: GroupState.Forming }, obstacle: null },
-  { fault: 'it lost a member', assigned: { state: GroupState.Broken }, obstacle: NotDispatchable.WrongState },
-  { fault: 'it finishes what it has', assigned: { state: GroupState.Draining }, obstacle: NotDispatchable.WrongState },
-  { fault: 'it has no members', assigned: { members: [] }, obstacle: NotDispatchable.NoMembers },
-  { fault: 'nothing was heard of it', presence: null, obstacle: NotDispatchable.NoEvidence },
-  { fault: 'the evidence is of the formation before', presence: { formation: 2 }, obstacle: NotDispatchable.OtherFormation },
-  { fault: 'the evidence is of a formation not heard of yet', presence: { formation: 4 }, obstacle: NotDispatchable.OtherFormation },
+  { fault: 'the group has just been formed', assigned: { state: GroupState.Forming }, obstacle: null },
+  { fault: 'the group has lost a member', assigned: { state: GroupState.Broken }, obstacle: NotDispatchable.WrongState },
+  { fault: 'the group is draining', assigned: { state: GroupState.Draining }, obstacle: NotDispatchable.WrongState },
+  { fault: 'the group has no members', assigned: { members: [] }, obstacle: NotDispatchable.NoMembers },
+  { fault: 'there is no evidence of the group', presence: null, obstacle: NotDispatchable.NoEvidence },
+  { fault: 'the evidence is of the previous formation', presence: { formation: 2 }, obstacle: NotDispatchable.OtherFormation },
+  { fault: 'the evidence is of a later formation', presence: { formation: 4 }, obstacle: NotDispatchable.OtherFormation },
   { fault: 'a member did not answer', presence: { complete: false }, obstacle: NotDispatchable.Incomplete },
   { fault: 'a member is leaving', presence: { leaving: true }, obstacle: NotDispatchable.Leaving },
   { fault: 'the evidence has just expired', presence: { ageMs: EVIDENCE_TTL_MS }, obstacle: NotDispatchable.Expired },
@@ -39,14 +39,14 @@
   { fault: 'another VM is drained', drained: ['vm-3'], obstacle: null }
 ]
 
-describe('judgeDispatch', () => {
+describe('checkDispatch', () => {
   for (const { fault, assigned, presence, drained = [], obstacle } of rows) {
     it(`${fault} -> ${obstacle ?? 'may be dispatched to'}`, () => {
       const group = assignedGroup(assigned)
       const assignment: AssignmentObject = { fabricDomain: 'fabric-1', failureDomain: 'fd-1', region: 'perth', fencing: 1, writeToken: 'w', groups: [group] }
       const evidence = presence === null ? undefined : presenceOf(presence)
-      const judged = judgeDispatch(assignment, group, evidence, { drained: new Set(drained), evidenceTtlMs: EVIDENCE_TTL_MS })
-      expect({ obstacle: judged.obstacle, dispatchable: judged.view !== null }).to.deep.equal({ obstacle, dispatchable: obstacle === null })
+      const check = checkDispatch(assignment, group, evidence, { drained: new Set(drained), evidenceTtlMs: EVIDENCE_TTL_MS })
+      expect({ obstacle: check.obstacle, dispatchable: check.view !== null }).to.deep.equal({ obstacle, dispatchable: obstacle === null })
     })
   }
 })
--- a/packages/dotterelspur/src/request/lifecycle/settleClaim.ts
+++ b/packages/dotterelspur/src/request/lifecycle/resolveClaim.ts
@@ -5,7 +5,10 @@
 import type { Result } from '../../process/Result.js'
 import type { WithWriteToken } from '../../version/PlatformObjects.js'
 
-/** `claims/<bucket>/<hash of team and key>`: which request id, and so which home, a caller's own key stands for. */
+/**
+ * Stored at `claims/<bucket>/<hash of team and key>`: the request id, and so the home, that a caller's idempotency key
+ * maps to.
+ */
 export interface ClaimObject extends WithWriteToken {
   readonly team: TeamId
   readonly key: string
@@ -33,47 +36,47 @@
 
 export type ClaimEffects = CreateClaimEffect | GetClaimEffect | ClaimWaitEffect
 
-export enum ClaimStandKind {
-  /** The key stands for this request id. */
+export enum ClaimStateKind {
+  /** The key maps to this request id. */
   Settled = 'settled',
-  /** Nothing was written and nothing can be any more. */
+  /** No claim was written, and none by this call can still be written. */
   NotWritten = 'not-written',
-  /** The claim may have been written or may yet be. */
+  /** The claim may have been written, or may still be. */
   Unsettled = 'unsettled'
 }
 
-export type ClaimStand =
-  | { readonly kind: ClaimStandKind.Settled, readonly requestId: RequestId }
-  | { readonly kind: ClaimStandKind.NotWritten | ClaimStandKind.Unsettled, readonly reason: string }
+export type ClaimState =
+  | { readonly kind: ClaimStateKind.Settled, readonly requestId: RequestId }
+  | { readonly kind: ClaimStateKind.NotWritten | ClaimStateKind.Unsettled, readonly reason: string }
 
-const MAX_TRIES = 3
+const MAX_ATTEMPTS = 3
 
 /**
- * Finds out which request id a caller's key stands for, claiming it when it is free.
+ * Returns the request id that a caller's idempotency key maps to, and claims the key if it is free.
  *
- * The reply of a create can be lost after the claim was written. Taking that for a failure would let the key be
- * claimed a second time by another node's word; taking it for a success would let two ids run. The same body is
- * created again and read back: whichever write landed first, the stored request id is the one that counts. A
- * conflict whose claim can't be read yet, because the read came from the past, stays unsettled.
+ * The response to a create can be lost after the claim was written. Treating that as a failure would let another node
+ * claim the key a second time; treating it as a success would let two ids run. So the same body is created again and
+ * read back: the stored request id, of whichever write came first, is the valid one. After a conflict whose claim can't
+ * be read yet, because the read returned stale data, the result is Unsettled.
  */
-export function * settleClaim (): Procedure<ClaimEffects, ClaimStand> {
-  let mayBeClaimed = false
+export function * resolveClaim (): Procedure<ClaimEffects, ClaimState> {
+  let mayBeWritten = false
   let reason = ''
-  for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+  for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
     const created = yield * perform<CreateClaimEffect>({ kind: ClaimEffectKind.Create })
     if (created.ok) return settled(created.value)
-    if (created.error.kind === StoreErrorKind.Unknown || created.error.kind === StoreErrorKind.Conflict) mayBeClaimed = true
+    if (created.error.kind === StoreErrorKind.Unknown || created.error.kind === StoreErrorKind.Conflict) mayBeWritten = true
     const read = yield * perform<GetClaimEffect>({ kind: ClaimEffectKind.Get })
     if (read.ok && !read.value.deleted) return settled(read.value)
     reason = describe(created.error)
-    if (!mayBeClaimed) break
+    if (!mayBeWritten) break
     yield * perform<ClaimWaitEffect>({ kind: ClaimEffectKind.Wait })
   }
-  return { kind: mayBeClaimed ? ClaimStandKind.Unsettled : ClaimStandKind.NotWritten, reason }
+  return { kind: mayBeWritten ? ClaimStateKind.Unsettled : ClaimStateKind.NotWritten, reason }
 }
 
-function settled (object: StoredObject<ClaimObject>): ClaimStand {
-  return { kind: ClaimStandKind.Settled, requestId: object.body.requestId }
+function settled (object: StoredObject<ClaimObject>): ClaimState {
+  return { kind: ClaimStateKind.Settled, requestId: object.body.requestId }
 }
 
 function describe (error: StoreError): string {
--- a/packages/dotterelspur/src/request/routing/InFlightHistory.ts
+++ b/packages/dotterelspur/src/request/routing/InFlightHistory.ts
@@ -4,11 +4,12 @@
 }
 
 const BUCKET_MS = 250
-const KEPT_MS = 10_000
+const RETENTION_MS = 10_000
 
 /**
- * How many attempts of this node were under way at a target, now and a while ago. A load report includes this
- * node's own requests of the time of its reading; they are taken out of it, since the exact count is known here.
+ * Number of this node's attempts in flight at a target, now and over the last 10 s. A load report of the target
+ * includes this node's own requests at the time it was measured; TargetRecord subtracts them, because this node
+ * counts its own requests exactly.
  */
 export class InFlightHistory {
   private samples: Sample[] = []
@@ -17,7 +18,7 @@
     return this.samples.at(-1)?.count ?? 0
   }
 
-  change (difference: number, nowMs: number): void {
+  adjust (difference: number, nowMs: number): void {
     const count = Math.max(0, this.count + difference)
     const last = this.samples.at(-1)
     if (last !== undefined && nowMs - last.sinceMs < BUCKET_MS) {
@@ -28,7 +29,7 @@
     this.prune(nowMs)
   }
 
-  /** The count at a time in the past, exact to a quarter of a second. */
+  /** The count at a time in the past, with a resolution of `BUCKET_MS`. */
   countAt (atMs: number): number {
     for (let index = this.samples.length - 1; index >= 0; index--) {
       const sample = this.samples[index]!
@@ -38,8 +39,8 @@
   }
 
   private prune (nowMs: number): void {
-    let kept = 0
-    while (kept < this.samples.length - 1 && this.samples[kept + 1]!.sinceMs < nowMs - KEPT_MS) kept++
-    if (kept > 0) this.samples = this.samples.slice(kept)
+    let expired = 0
+    while (expired < this.samples.length - 1 && this.samples[expired + 1]!.sinceMs < nowMs - RETENTION_MS) expired++
+    if (expired > 0) this.samples = this.samples.slice(expired)
   }
 }
--- a/packages/dotterelspur/src/request/routing/Router.ts
+++ b/packages/dotterelspur/src/request/routing/Router.ts
@@ -3,7 +3,7 @@
 import type { Random } from '../../process/Random.js'
 import { failed, success, type Result } from '../../process/Result.js'
 import { EndpointBackoffs } from '../backpressure/EndpointBackoffs.js'
-import { AttemptEnd, type RouteAttempt } from './Attempt.js'
+import { AttemptResult, type RouteAttempt } from './Attempt.js'
 import { selectCandidates } from './candidates.js'
 import { chooseTarget } from './choose.js'
 import { Lane } from './Lane.js'
@@ -12,40 +12,40 @@
 import type { RoutingOptions } from './RoutingOptions.js'
 import { TargetRecord } from './TargetRecord.js'
 
-/** Tokens below which a finished stream says nothing about the target's pace. */
-const PACE_TOKENS = 8
+/** Streams with fewer tokens are too short to measure the target's pace. */
+const MIN_PACE_TOKENS = 8
 
 /**
- * Chooses where a request runs. One per process.
+ * Chooses the target of each request. One instance per process.
  *
- * The decisions are deterministic functions of what was told to it, the time and the random source given to each
- * call. The state changes in place: a copy per request would cost more than the decision at the rates of a node.
- * What is handed out (targets, decisions) is never changed afterwards.
+ * Decisions are deterministic: they depend only on the calls made so far and on the time and the random source
+ * passed to each call. State is updated in place, since copying it per request would cost more than the decision
+ * itself. Returned targets and decisions are never modified.
  */
 export class Router {
   private readonly records = new Map<TargetId, TargetRecord>()
   private readonly lanes = new Map<string, Lane>()
-  private readonly rests = new EndpointBackoffs()
-  private started = false
+  private readonly backoffs = new EndpointBackoffs()
+  private hasHadTargets = false
 
   constructor (private readonly options: RoutingOptions) {}
 
-  /** Replaces what is known of all targets. Call it whenever presence, assignments or drains change. */
+  /** Replaces the set of targets. Call it whenever presence, assignments or drains change. */
   replaceTargets (targets: readonly RouteTarget[], nowMs: number): void {
     const known = new Set(targets.map((target) => target.id))
     for (const id of this.records.keys()) {
       if (!known.has(id)) this.records.delete(id)
     }
-    this.rests.retain(known, nowMs)
+    this.backoffs.retain(known, nowMs)
     const members = new Map<string, TargetRecord[]>()
     for (const target of [...targets].sort(byId)) {
       const key = laneKey(target)
       const lane = members.get(key) ?? []
-      lane.push(this.takeIn(target, nowMs))
+      lane.push(this.upsert(target, nowMs))
       members.set(key, lane)
     }
     this.rebuildLanes(members)
-    this.started ||= targets.length > 0
+    this.hasHadTargets ||= targets.length > 0
   }
 
   decide (query: GroupQuery, nowMs: number, random: Random): Result<GroupDecision, RouteRefusal>
@@ -56,73 +56,76 @@
     if (lane === undefined) {
       return failed({ kind: RouteRefusalKind.NoReplica, message: 'no replica that fits', retryAfterMs: options.retryAfterMs })
     }
-    const selection = selectCandidates(lane.records, query, nowMs, options, this.rests)
+    const selection = selectCandidates(lane.records, query, nowMs, options, this.backoffs)
     if (!selection.ok) return failed(selection.error)
     const { local, remote } = selection.value
     const { record, cause } = chooseTarget(selection.value, { lane, query, options, nowMs, random })
-    if (query.kind === TargetKind.Group) record.prefixes.noteSent(query.prefixHashes, nowMs)
+    if (query.kind === TargetKind.Group) record.prefixes.recordRequest(query.prefixHashes, nowMs)
     return success({ target: record.target, cause, candidates: local.length + remote.length })
   }
 
-  /** The attempt counts as load on the target until `end`; call it right before the send. */
+  /** Starts an attempt, which counts as load on the target until `end`. Call it right before the send. */
   begin (target: RouteTarget, nowMs: number): RouteAttempt {
-    this.records.get(target.id)?.inFlight.change(1, nowMs)
-    this.rests.noteSent(target.id, nowMs)
+    this.records.get(target.id)?.inFlight.adjust(1, nowMs)
+    this.backoffs.noteSent(target.id, nowMs)
     return { targetId: target.id, startedAtMs: nowMs, firstTokenAtMs: null, ended: false }
   }
 
-  /** The first token, or a service's response, has arrived. */
-  firstToken (attempt: RouteAttempt, nowMs: number): void {
+  /** Records that the first token, or a service's response, has arrived; this also ends the target's back-off. */
+  recordFirstToken (attempt: RouteAttempt, nowMs: number): void {
     attempt.firstTokenAtMs ??= nowMs
-    this.rests.note(attempt.targetId, null, nowMs)
+    this.backoffs.note(attempt.targetId, null, nowMs)
   }
 
-  /** The target has refused an attempt and said after how long it is worth coming back. */
-  noteRest (attempt: RouteAttempt, restMs: number, nowMs: number): void {
-    this.rests.note(attempt.targetId, restMs, nowMs)
+  /** Records the back-off that the target requested when it refused an attempt. */
+  recordBackoff (attempt: RouteAttempt, backoffMs: number, nowMs: number): void {
+    this.backoffs.note(attempt.targetId, backoffMs, nowMs)
   }
 
-  /** Exactly once per attempt. `tokens` is the number of tokens that arrived, 0 for services. */
-  end (attempt: RouteAttempt, end: AttemptEnd, nowMs: number, tokens = 0): void {
+  /** Ends an attempt; must be called exactly once for each. `tokens` is the number of tokens received, 0 for services. */
+  end (attempt: RouteAttempt, result: AttemptResult, nowMs: number, tokens = 0): void {
     invariant(!attempt.ended, 'an attempt ends once')
     attempt.ended = true
     const record = this.records.get(attempt.targetId)
     if (record === undefined) return
-    record.inFlight.change(-1, nowMs)
+    record.inFlight.adjust(-1, nowMs)
     const lane = this.lanes.get(laneKey(record.target))
-    if (end === AttemptEnd.Whole) lane?.estimator.noteLife(nowMs - attempt.startedAtMs)
+    if (result === AttemptResult.Completed) lane?.estimator.recordDuration(nowMs - attempt.startedAtMs)
     const paceMs = paceOf(attempt, record.target, nowMs, tokens)
-    if (paceMs !== null) record.health.notePace(paceMs)
-    if (record.health.noteEnd(end)) lane?.ejectIfAllowed(record, nowMs)
+    if (paceMs !== null) record.health.recordPace(paceMs)
+    if (record.health.recordResult(result)) lane?.ejectIfAllowed(record, nowMs)
   }
 
-  /** Takes in a page of a group's cache events, which are late and may have gaps. */
-  noteCacheEvents (targetId: TargetId, page: CacheEventPage, nowMs: number): void {
-    this.records.get(targetId)?.prefixes.noteEvents(page, nowMs)
+  /** Applies a page of a group's cache events, which may be late and have gaps. */
+  applyCacheEvents (targetId: TargetId, page: CacheEventPage, nowMs: number): void {
+    this.records.get(targetId)?.prefixes.applyEvents(page, nowMs)
   }
 
-  /** Attempts of this node under way at a target. */
+  /** Number of this node's attempts in flight at a target. */
   inFlightAt (targetId: TargetId): number {
     return this.records.get(targetId)?.inFlight.count ?? 0
   }
 
-  /** Ids of the targets that this node's own attempts have put out for a while; for the operators' view. */
+  /** Ids of the targets that are ejected because of this node's failed attempts; shown to operators. */
   ejectedTargets (nowMs: number): readonly TargetId[] {
     return [...this.records.values()].filter((record) => record.health.isEjected(nowMs)).map((record) => record.target.id)
   }
 
-  private takeIn (target: RouteTarget, nowMs: number): TargetRecord {
+  private upsert (target: RouteTarget, nowMs: number): TargetRecord {
     const known = this.records.get(target.id)
     if (known !== undefined) {
       known.target = target
       return known
     }
-    const record = new TargetRecord(target, this.options, nowMs, this.started)
+    const record = new TargetRecord(target, this.options, nowMs, this.hasHadTargets)
     this.records.set(target.id, record)
     return record
   }
 
-  /** A lane whose targets are the same keeps its ring: refreshed load alone must not cost a rebuild. */
+  /**
+   * Keeps a lane, with its hash ring, if its set of targets is unchanged, so that a load update doesn't rebuild the
+   * ring.
+   */
   private rebuildLanes (members: ReadonlyMap<string, readonly TargetRecord[]>): void {
     for (const key of this.lanes.keys()) {
       if (!members.has(key)) this.lanes.delete(key)
@@ -135,7 +138,7 @@
   }
 }
 
-/** Whatever order targets are told in, equal sets give equal lanes. */
+/** Makes the order of records in a lane independent of the order in which the targets were passed. */
 function byId (left: RouteTarget, right: RouteTarget): number {
   return left.id < right.id ? -1 : 1
 }
@@ -144,10 +147,12 @@
   return of.kind === TargetKind.Group ? `model/${of.model}` : `service/${of.service}`
 }
 
-/** Milliseconds per token after the first, or per response of a service; null when the attempt shows neither. */
+/**
+ * Milliseconds per token after the first, or per response of a service; null if the attempt is too short to measure it.
+ */
 function paceOf (attempt: RouteAttempt, target: RouteTarget, nowMs: number, tokens: number): number | null {
   if (attempt.firstTokenAtMs === null) return null
   if (target.kind === TargetKind.Service) return attempt.firstTokenAtMs - attempt.startedAtMs
-  if (tokens < PACE_TOKENS) return null
+  if (tokens < MIN_PACE_TOKENS) return null
   return (nowMs - attempt.firstTokenAtMs) / (tokens - 1)
 }
--- a/packages/dotterelspur/src/request/routing/TargetRecord.ts
+++ b/packages/dotterelspur/src/request/routing/TargetRecord.ts
@@ -4,29 +4,29 @@
 import type { RoutingOptions } from './RoutingOptions.js'
 import { TargetHealth } from './TargetHealth.js'
 
-/** One target with what this node itself knows of it. Lives as long as the target's id is known. */
+/** A target with this node's own measurements of it. Kept as long as the id is in the router's set of targets. */
 export class TargetRecord {
   readonly inFlight = new InFlightHistory()
   readonly health: TargetHealth
   readonly prefixes: PrefixIndex
 
-  constructor (public target: RouteTarget, options: RoutingOptions, nowMs: number, ramps: boolean) {
-    this.health = new TargetHealth(options, nowMs, ramps)
+  constructor (public target: RouteTarget, options: RoutingOptions, nowMs: number, startsWithRamp: boolean) {
+    this.health = new TargetHealth(options, nowMs, startsWithRamp)
     this.prefixes = new PrefixIndex(options)
   }
 
   /**
-   * Requests of other nodes at the target when its load was read, as far as the report tells: what it reported
-   * less what this node had there at the time.
+   * Requests of other nodes at the target when its load was measured: the reported number minus this node's own
+   * requests in flight at that time.
    */
-  othersReported (): number {
+  reportedOtherRequests (): number {
     const { running, waiting } = this.target.load
-    return Math.max(0, running + waiting - this.inFlight.countAt(this.readAtMs()))
+    return Math.max(0, running + waiting - this.inFlight.countAt(this.loadReadAtMs()))
   }
 
-  /** When the load was read, on this node's clock. */
-  readAtMs (): number {
-    return this.target.loadAskedAtMs - this.target.load.ageMs
+  /** When the load was measured, on this node's clock. */
+  loadReadAtMs (): number {
+    return this.target.loadRequestedAtMs - this.target.load.ageMs
   }
 
   capacity (): number {
--- a/packages/dotterelspur/src/request/routing/candidates.ts
+++ b/packages/dotterelspur/src/request/routing/candidates.ts
@@ -5,36 +5,36 @@
 import type { RoutingOptions } from './RoutingOptions.js'
 import type { TargetRecord } from './TargetRecord.js'
 
-/** The targets that may take a request now. */
+/** The targets that may take a request, by region. */
 export interface Candidates {
-  /** In the own region; empty when none is left there. */
+  /** In this node's region; may be empty. */
   readonly local: readonly TargetRecord[]
   readonly remote: readonly TargetRecord[]
 }
 
 /**
- * Picks out the targets that may take a request now, or tells the most telling reason why there is none. Nothing
- * after this step adds a target, so that no choice can fall on one whose evidence has expired or that leaves.
+ * Selects the targets that may take a request now, or returns why there is none: the filter that removed the last
+ * target. Later steps never add a target, so a target whose evidence has expired or that is leaving can't be chosen.
  */
 export function selectCandidates (
   records: readonly TargetRecord[],
   query: RouteQuery,
   nowMs: number,
   options: RoutingOptions,
-  rests: EndpointBackoffs
+  backoffs: EndpointBackoffs
 ): Result<Candidates, RouteRefusal> {
-  const able = records.filter((record) => canServe(record.target, query))
-  if (able.length === 0) return refuse(RouteRefusalKind.NoReplica, 'no replica that fits', options)
-  const fresh = able.filter((record) => record.target.evidenceExpiresAtMs > nowMs)
-  if (fresh.length === 0) return refuse(RouteRefusalKind.NoFreshEvidence, 'no replica is known to be complete', options)
+  const matching = records.filter((record) => canServe(record.target, query))
+  if (matching.length === 0) return refuse(RouteRefusalKind.NoReplica, 'no replica that fits', options)
+  const fresh = matching.filter((record) => record.target.evidenceExpiresAtMs > nowMs)
+  if (fresh.length === 0) return refuse(RouteRefusalKind.NoFreshEvidence, 'no matching replica has fresh evidence of being complete', options)
   const staying = fresh.filter((record) => !record.target.leaving)
   if (staying.length === 0) return refuse(RouteRefusalKind.AllLeaving, 'every replica is leaving', options)
   const untried = staying.filter((record) => !query.excluded.has(record.target.id))
-  if (untried.length === 0) return refuse(RouteRefusalKind.AllTried, 'every replica was tried', options)
-  const awake = untried.filter((record) => rests.waitMs(record.target.id, nowMs) === 0)
-  if (awake.length === 0) return failed({ kind: RouteRefusalKind.AllResting, message: 'every replica has asked for rest', retryAfterMs: Math.min(...untried.map((record) => rests.waitMs(record.target.id, nowMs))) })
-  const sound = awake.filter((record) => !record.health.isEjected(nowMs))
-  return success(byRegion(sound.length > 0 ? sound : awake, options))
+  if (untried.length === 0) return refuse(RouteRefusalKind.AllTried, 'every replica was already tried for this request', options)
+  const available = untried.filter((record) => backoffs.waitMs(record.target.id, nowMs) === 0)
+  if (available.length === 0) return failed({ kind: RouteRefusalKind.AllBackingOff, message: 'every replica is backing off', retryAfterMs: Math.min(...untried.map((record) => backoffs.waitMs(record.target.id, nowMs))) })
+  const healthy = available.filter((record) => !record.health.isEjected(nowMs))
+  return success(splitByRegion(healthy.length > 0 ? healthy : available, options))
 }
 
 function canServe (target: RouteTarget, query: RouteQuery): boolean {
@@ -44,7 +44,7 @@
   return query.adapter === null || target.adapters.includes(query.adapter)
 }
 
-function byRegion (records: readonly TargetRecord[], options: RoutingOptions): Candidates {
+function splitByRegion (records: readonly TargetRecord[], options: RoutingOptions): Candidates {
   const isLocal = (record: TargetRecord): boolean => record.target.region === options.region
   if (records.every(isLocal)) return { local: records, remote: [] }
   return { local: records.filter(isLocal), remote: records.filter((record) => !isLocal(record)) }
--- a/packages/dotterelspur/src/request/routing/choose.ts
+++ b/packages/dotterelspur/src/request/routing/choose.ts
@@ -11,36 +11,38 @@
   readonly cause: RouteCause
 }
 
-interface Option extends Choice {
+interface CostedChoice extends Choice {
   readonly cost: number
 }
 
 /**
- * Draws a few targets and takes the cheapest: two at random, the prompt's place on the hash ring, and one that
- * is expected to hold its prefix. The least loaded of all is not taken on purpose: every node sees the same late
- * reports, and all would take the same one until the next report.
+ * Returns the cheapest of a few targets: two drawn at random, the target of the prompt's prefix on the hash ring,
+ * and the cheapest one that is expected to have a prefix cached. It doesn't take the least loaded of all targets:
+ * every node has the same delayed load reports, so all nodes would choose the same target until the next report.
  */
 export function chooseTarget (candidates: Candidates, context: ChoiceContext): Choice {
   const { options } = context
-  if (candidates.local.length === 0) return cheapest(drawOptions(candidates.remote, context))
-  const local = cheapest(drawOptions(candidates.local, context))
-  if (local.cost <= options.spillCost || candidates.remote.length === 0) return local
-  return cheapest([local, ...drawOptions(candidates.remote, context)])
+  if (candidates.local.length === 0) return cheapest(drawChoices(candidates.remote, context))
+  const local = cheapest(drawChoices(candidates.local, context))
+  if (local.cost <= options.spilloverThreshold || candidates.remote.length === 0) return local
+  return cheapest([local, ...drawChoices(candidates.remote, context)])
 }
 
-function drawOptions (records: readonly TargetRecord[], context: ChoiceContext): Option[] {
-  if (records.length === 1) return [priced(records[0]!, RouteCause.OnlyCandidate, context)]
+function drawChoices (records: readonly TargetRecord[], context: ChoiceContext): CostedChoice[] {
+  if (records.length === 1) return [withCost(records[0]!, RouteCause.OnlyCandidate, context)]
   const drawn = [drawRamped(records, context), drawRamped(records, context)]
-    .map((record) => priced(record, RouteCause.LessLoaded, context))
+    .map((record) => withCost(record, RouteCause.LessLoaded, context))
   const holders = prefixHolders(records, context)
-    .map((record) => priced(record, RouteCause.PrefixAffinity, context))
+    .map((record) => withCost(record, RouteCause.PrefixAffinity, context))
   return [...holders, ...drawn]
 }
 
-/** One at random; a target that ramps up is passed over in proportion to what it may not take yet. */
+/**
+ * Draws a target at random. A target that is ramping up is replaced by a second draw with probability 1 - trafficShare.
+ */
 function drawRamped (records: readonly TargetRecord[], { random, nowMs }: ChoiceContext): TargetRecord {
   const first = pick(random, records)!
-  if (random.next() < first.health.ramp(nowMs)) return first
+  if (random.next() < first.health.trafficShare(nowMs)) return first
   return pick(random, records)!
 }
 
@@ -48,18 +50,18 @@
   const { query, lane, options, nowMs, random } = context
   if (query.kind !== TargetKind.Group || query.prefixHashes.length === 0) return []
   const boundUtilisation = options.loadBound * lane.estimator.meanUtilisation(nowMs) + 1 / records[0]!.capacity()
-  const roomy = records.filter((record) => !isReportedFull(record))
-  const attracting = roomy.length * 2 < records.length ? records : roomy
-  const eligible = new Set(attracting)
-  const key = query.prefixHashes[Math.min(query.prefixHashes.length, options.affinityBlocks) - 1]!
+  const notFull = records.filter((record) => !isReportedFull(record))
+  const affinityTargets = notFull.length * 2 < records.length ? records : notFull
+  const eligible = new Set(affinityTargets)
+  const key = query.prefixHashes[Math.min(query.prefixHashes.length, options.maxAffinityBlocks) - 1]!
   const onRing = lane.ring.find(key, (record) => eligible.has(record) &&
     lane.estimator.utilisation(record, nowMs) <= boundUtilisation &&
-    random.next() < record.health.ramp(nowMs))
-  const holder = bestHolder(attracting, query.prefixHashes, context)
+    random.next() < record.health.trafficShare(nowMs))
+  const holder = bestHolder(affinityTargets, query.prefixHashes, context)
   return [onRing, holder].filter((record) => record !== undefined)
 }
 
-/** The cheapest of the targets that are expected to hold the most of the prompt. */
+/** The cheapest of the targets that are expected to have a prefix of the prompt cached. */
 function bestHolder (records: readonly TargetRecord[], prefixHashes: readonly number[], context: ChoiceContext): TargetRecord | undefined {
   let best: TargetRecord | undefined
   let bestCost = Infinity
@@ -73,19 +75,20 @@
   return best
 }
 
-function priced (record: TargetRecord, cause: RouteCause, context: ChoiceContext): Option {
+function withCost (record: TargetRecord, cause: RouteCause, context: ChoiceContext): CostedChoice {
   return { record, cause, cost: targetCost(record, context) }
 }
 
-function cheapest (options: readonly Option[]): Option {
-  return options.reduce((best, option) => option.cost < best.cost ? option : best)
+function cheapest (choices: readonly CostedChoice[]): CostedChoice {
+  return choices.reduce((best, choice) => choice.cost < best.cost ? choice : best)
 }
 
 /**
- * A group whose prefixes are in demand stays fuller than the mean. The estimate hides that, since it fades to the
- * mean as reports age, and all nodes would go on sending those prefixes there: a queue that lasts at few groups while
- * the others have room. A report of a full group, however old, takes the attraction away and leaves chance;
- * not where most groups are full: then nothing is gained by it, and misses would cost capacity.
+ * Whether the last load report, of whatever age, shows the target as full; such targets lose prefix affinity and can
+ * only be drawn at random. A group with frequently requested prefixes stays above the mean load, but LoadEstimator
+ * moves towards the mean as reports age, so without this all nodes would keep sending those prefixes to it: a few
+ * groups would have lasting queues while others had capacity. Affinity is kept when more than half of the targets
+ * are full: there is little capacity to move to, and the cache misses would cost more of it.
  */
 function isReportedFull ({ target: { load } }: TargetRecord): boolean {
   return load.waiting > 0 || load.running >= load.capacity
