--- a/packages/dotterelspur-gateway/src/__tests__/unit/Dispatch.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/Dispatch.test.ts
@@ -1,25 +1,25 @@
 import { expect } from 'chai'
 import { createRandom, ManualClock } from 'dotterelspur'
 import { Dispatch } from '../../process/Dispatch.js'
-import { EndpointKeeper } from '../../process/EndpointKeeper.js'
-import type { CallerHead } from '../../process/GatewayPorts.js'
-import { ManifestKeeper } from '../../process/ManifestKeeper.js'
+import { EndpointRegistry } from '../../process/EndpointRegistry.js'
+import type { CallerHeaders } from '../../process/GatewayPorts.js'
+import { ManifestFollower } from '../../process/ManifestFollower.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
-import { createEngine, createLog, createManifest, createRoute } from '../fixtures/parts.js'
+import { createEngine, createLog, createManifest, createRoute } from '../fixtures/builders.js'
 
 const ENGINE = createEngine()
 
 const SENDERS = [{ node: 'n1', failureDomain: 'a' }]
 const ROUTE = createRoute('draft', { shares: [{ service: 'llm', weight: 1 }] })
 
-function createHead (deadlineMs: number): CallerHead {
-  return { requestId: 'r', deadlineMs, key: null, model: 'large', promptTokens: 800, answerTokens: 100, lastEventId: null }
+function createHead (deadlineMs: number): CallerHeaders {
+  return { requestId: 'r', deadlineMs, key: null, model: 'large', promptTokens: 800, maxAnswerTokens: 100, lastEventId: null }
 }
 
 function createDispatch (clock: ManualClock): Dispatch {
   const store = new MemoryStore()
   store.put('manifest/main', createManifest(1, { routes: [ROUTE], services: [{ service: 'llm', healthPath: '/health', maxConnections: 50, engine: ENGINE }] }))
-  const manifest = new ManifestKeeper(createLog(clock))
+  const manifest = new ManifestFollower(createLog(clock))
   manifest.follow(store)
   return new Dispatch({
     clock,
@@ -28,7 +28,7 @@
     node: 'n1',
     failureDomain: 'a',
     manifest,
-    endpoints: new EndpointKeeper(clock, createLog(clock)),
+    endpoints: new EndpointRegistry(clock, createLog(clock)),
     retries: { windowMs: 10_000, ratio: 0.2, extra: 100 },
     firstStart: true,
     senders: () => SENDERS,
@@ -44,7 +44,7 @@
     for (let count = 0; count < 50; count++) dispatch.noteRequest('llm', ROUTE, createHead(2_000))
     const demand = dispatch.demand().get('large')
     for (let count = 0; count < 50; count++) {
-      dispatch.noteSentAway(ROUTE)
+      dispatch.noteRejection(ROUTE)
       dispatch.noteRequest('llm', ROUTE, createHead(1_400))
     }
     expect(demand).to.be.greaterThan(0)
@@ -60,7 +60,7 @@
   // Guards against nodes that start after all were killed and serve those who lost them before those who can be on time.
   it('knows callers that come back from its first request on, by what the fleet remembers', () => {
     const dispatch = createDispatch(new ManualClock())
-    dispatch.knowledge.noteMemory({ deadlines: { usual: { draft: { usualSumMs: 4_000, nodes: 2 } }, leastShare: { sum: 1.8, nodes: 2 } }, firstEvents: {} })
+    dispatch.fleetView.mergeMemory({ deadlines: { usual: { draft: { usualSumMs: 4_000, nodes: 2 } }, leastShare: { sum: 1.8, nodes: 2 } }, firstEvents: {} })
     expect(dispatch.noteRequest('llm', ROUTE, createHead(1_000))).to.equal(1_000)
     expect(dispatch.noteRequest('llm', ROUTE, createHead(1_900))).to.equal(0)
   })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/EndpointCall.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/EndpointCall.test.ts
@@ -2,19 +2,19 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 import { ExchangeEnd } from 'dotterelspur'
 import { EndpointChannels } from '../../connection/EndpointChannels.js'
-import type { AnswerHead, WireFormat } from '../../process/GatewayPorts.js'
+import type { ResponseHeaders, WireFormat } from '../../process/GatewayPorts.js'
 import { EndpointCall, type HeldAnswer } from '../../request/EndpointCall.js'
 
 const REQUEST_ID = 'request-1'
 const OTHER_ID = 'request-0'
 
-const wire: Pick<WireFormat, 'readAnswer'> = {
-  readAnswer: (_status, headers): AnswerHead => ({
+const wire: Pick<WireFormat, 'readResponseHeaders'> = {
+  readResponseHeaders: (_status, headers): ResponseHeaders => ({
     requestId: typeof headers['x-id'] === 'string' ? headers['x-id'] : null,
     notExecuted: headers['x-not-executed'] !== undefined,
     load: null,
     lostMember: null,
-    need: null
+    backpressure: null
   })
 }
 
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FleetLease.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FleetLease.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { createRandom, ManualClock } from 'dotterelspur'
 import { FleetLease, FLEET_LEASE_TIMING } from '../../process/FleetLease.js'
-import { createLog } from '../fixtures/parts.js'
+import { createLog } from '../fixtures/builders.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
 
 describe('FleetLease', () => {
@@ -52,7 +52,7 @@
     const seen = new Map<string, unknown>()
     const createLease = (node: string, incarnation: number, learned: unknown): FleetLease => new FleetLease(store, { node, incarnation }, clock, createRandom(1), createLog(clock), () => {}, () => 1, {
       read: () => ({ learned }),
-      note: (memory) => { if (memory.learned !== undefined) seen.set(node, memory.learned) }
+      restore: (memory) => { if (memory.learned !== undefined) seen.set(node, memory.learned) }
     })
     await runSteps(clock, [createLease('n1', 1, 'much')], 600)
     await runSteps(clock, [createLease('n2', 2, undefined), createLease('n1', 2, undefined)], 100)
@@ -64,10 +64,10 @@
     const store = new MemoryStore()
     const clock = new ManualClock()
     let suspects: string[] = []
-    const lease = new FleetLease(store, { node: 'n1', incarnation: 1 }, clock, createRandom(1), createLog(clock), () => {}, () => 1, { read: () => ({ suspects }), note: () => {} })
+    const lease = new FleetLease(store, { node: 'n1', incarnation: 1 }, clock, createRandom(1), createLog(clock), () => {}, () => 1, { read: () => ({ suspects }), restore: () => {} })
     await runSteps(clock, [lease], 600)
     suspects = ['f1']
-    lease.renewSoon()
+    lease.requestRenewal()
     await runSteps(clock, [lease], 100)
     const written = await store.get<{ memory: { suspects: string[] } }>('leases/fleet')
     expect(written.ok && written.value.body.memory.suspects).to.deep.equal(['f1'])
@@ -93,15 +93,15 @@
     const [holder, other] = ['n1', 'n2'].map((node, index) => new FleetLease(store, { node, incarnation: 1 }, clock, createRandom(index), createLog(clock), () => {}))
     await runSteps(clock, [holder!], 600)
     await runSteps(clock, [holder!, other!], 600)
-    store.cut()
+    store.disconnect()
     await runSteps(clock, [holder!, other!], 2 * FLEET_LEASE_TIMING.ttlMs)
     expect([holder!, other!].map((lease) => lease.mayOrder())).to.deep.equal([false, false])
-    expect([holder!, other!].map((lease) => lease.coordinates())).to.deep.equal([true, false])
-    store.heal()
+    expect([holder!, other!].map((lease) => lease.isCoordinator())).to.deep.equal([true, false])
+    store.reconnect()
     await runSteps(clock, [other!], FLEET_LEASE_TIMING.ttlMs + 1_500)
     expect(other!.mayOrder()).to.equal(true)
-    holder!.noteWord(other!.heldLease!)
-    expect(holder!.coordinates()).to.equal(false)
+    holder!.noteLease(other!.heldLease!)
+    expect(holder!.isCoordinator()).to.equal(false)
   })
 
   it('is asked for by nodes in turn, and ever more rarely while the store is out', async () => {
@@ -112,13 +112,13 @@
     const nodes = Array.from({ length: 40 }, (_unused, index) => new FleetLease(store, { node: `n${index}`, incarnation: 1 }, clock, createRandom(index), createLog(clock), () => {}, () => 40))
     await runSteps(clock, nodes, 1_000)
     expect(nodes.filter((lease) => lease.mayOrder())).to.have.length(1)
-    store.cut()
+    store.disconnect()
     await runSteps(clock, nodes, FLEET_LEASE_TIMING.ttlMs + 1_000)
     const before = store.calls
     await runSteps(clock, nodes, 8_000)
     // Looks are one in 0.6 s a node; challenges stay below one a second.
     expect((store.calls - before) / (40 * 8)).to.be.below(3)
-    store.heal()
+    store.reconnect()
     await runSteps(clock, nodes, 2_500)
     expect(nodes.filter((lease) => lease.mayOrder())).to.have.length(1)
   })
@@ -132,16 +132,16 @@
     const [former, next, third] = ['n1', 'n2', 'n3'].map((node, index) => new FleetLease(store, { node, incarnation: 1 }, clock, createRandom(index), createLog(clock), () => {}))
     await runSteps(clock, [former!], 600)
     const formerFencing = former!.coordinationFencing!
-    expect(third!.laterThan(formerFencing)).to.equal(null)
+    expect(third!.leaseAfter(formerFencing)).to.equal(null)
     // The former one no longer runs its steps against the store: its lease lapses unseen by it.
     await runSteps(clock, [next!, third!], FLEET_LEASE_TIMING.ttlMs + 1_500)
     const successor = [next!, third!].find((lease) => lease.mayOrder())!
     const witness = successor === next ? third! : next!
-    witness.noteWord(successor.heldLease!)
-    const later = witness.laterThan(formerFencing)
+    witness.noteLease(successor.heldLease!)
+    const later = witness.leaseAfter(formerFencing)
     expect(later?.body.fencing).to.be.greaterThan(formerFencing)
-    expect(successor.laterThan(formerFencing)?.body.fencing).to.equal(later!.body.fencing)
-    expect(witness.laterThan(later!.body.fencing)).to.equal(null)
+    expect(successor.leaseAfter(formerFencing)?.body.fencing).to.equal(later!.body.fencing)
+    expect(witness.leaseAfter(later!.body.fencing)).to.equal(null)
   })
 
   it('orders nothing once the store has been out for its time to live', async () => {
@@ -149,7 +149,7 @@
     const clock = new ManualClock()
     const lease = new FleetLease(store, { node: 'n1', incarnation: 1 }, clock, createRandom(1), createLog(clock), () => {})
     await runSteps(clock, [lease], 1_000)
-    store.cut()
+    store.disconnect()
     await runSteps(clock, [lease], FLEET_LEASE_TIMING.ttlMs)
     expect(lease.mayOrder()).to.equal(false)
   })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FollowedStore.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FollowedStore.test.ts
@@ -2,21 +2,21 @@
 import pino from 'pino'
 import { createRandom, failed, ManualClock, QUARANTINE_PREFIX, StoreErrorKind, success, WatchEventKind, type Result, type StoreError } from 'dotterelspur'
 import { DecisionLog } from '../../process/DecisionLog.js'
-import { ENDPOINT_PREFIX } from '../../process/EndpointKeeper.js'
+import { ENDPOINT_PREFIX } from '../../process/EndpointRegistry.js'
 import { FLEET_LEASE_TIMING } from '../../process/FleetLease.js'
 import { FOLLOW_RULES, type ChangeBounds } from '../../process/FollowRules.js'
 import { FollowedStore } from '../../process/FollowedStore.js'
-import { MANIFEST_PREFIX } from '../../process/ManifestKeeper.js'
-import { NODE_PREFIX } from '../../process/NodeKeeper.js'
-import { WORD_VALID_MS, type FeedNews, type FeedWord } from '../../process/StoreFeed.js'
+import { MANIFEST_PREFIX } from '../../process/ManifestFollower.js'
+import { NODE_PREFIX } from '../../process/NodeRegistry.js'
+import { PROGRESS_VALID_MS, type FeedUpdate, type FeedProgress } from '../../process/StoreFeed.js'
 import type { ChangeBatch } from '../../process/VersionedStore.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
-import { createLog } from '../fixtures/parts.js'
+import { createLog } from '../fixtures/builders.js'
 
 const BOUNDS: ChangeBounds = { drainMs: 2_000, manifestMs: 3_000 }
 
 /** Longer than any rest after an answer, shorter than the validity of a word. */
-const REST_OVER_MS = 600
+const PAUSE_OVER_MS = 600
 
 /** The body of an endpoint that takes no requests any more. */
 const LEAVING = 'leaving'
@@ -25,16 +25,16 @@
 interface FollowingNode {
   readonly followed: FollowedStore
   readonly seen: string[]
-  readonly shared: FeedNews[]
-  decides: boolean
+  readonly shared: FeedUpdate[]
+  isLeaseHolder: boolean
 }
 
-function follow (store: MemoryStore, clock: ManualClock, decides: boolean, prefix = ENDPOINT_PREFIX, firstWordMs = 0): FollowingNode {
+function follow (store: MemoryStore, clock: ManualClock, isLeaseHolder: boolean, prefix = ENDPOINT_PREFIX, initialProgressTimeoutMs = 0): FollowingNode {
   const node: FollowingNode = {
-    decides,
+    isLeaseHolder,
     seen: [],
     shared: [],
-    followed: new FollowedStore({ store, clock, random: createRandom(1), log: createLog(clock), decides: () => node.decides, nodeCount: () => 3, firstWordMs, changes: BOUNDS, share: (news) => { node.shared.push(news) }, concernsCallers: ({ key, body }) => !key.includes('member') && body !== LEAVING })
+    followed: new FollowedStore({ store, clock, random: createRandom(1), log: createLog(clock), isLeaseHolder: () => node.isLeaseHolder, nodeCount: () => 3, initialProgressTimeoutMs, changes: BOUNDS, share: (update) => { node.shared.push(update) }, concernsCallers: ({ key, body }) => !key.includes('member') && body !== LEAVING })
   }
   node.followed.watch(prefix, (event) => {
     node.seen.push(event.kind === WatchEventKind.Object ? `${event.object.key} ${event.object.deleted ? 'gone' : 'there'}` : event.kind)
@@ -42,7 +42,7 @@
   return node
 }
 
-function wordOf ({ followed }: FollowingNode): FeedWord {
+function progressOf ({ followed }: FollowingNode): FeedProgress {
   return { contactAgeMs: followed.contactAgeMs, versions: followed.versions }
 }
 
@@ -74,32 +74,32 @@
     store.changes = async () => answers.shift() ?? await new Promise(() => {})
     const clock = new ManualClock()
     const { seen } = follow(store, clock, false)
-    for (let round = 0; round < 4; round++) await pass(clock, REST_OVER_MS)
+    for (let round = 0; round < 4; round++) await pass(clock, PAUSE_OVER_MS)
     expect(seen).to.deep.equal(['connected', 'listing', 'endpoints/w1 gone', 'connected', 'listing', 'disconnected', 'connected', 'listing'])
   })
 
   it('asks the store nothing while the deciding node tells it all, and takes its news', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
-    const decider = follow(store, clock, true)
+    const holder = follow(store, clock, true)
     const node = follow(store, clock, false)
     await settle()
     store.put('endpoints/w1', {})
-    await pass(clock, REST_OVER_MS)
-    node.followed.takeWord(wordOf(decider))
+    await pass(clock, PAUSE_OVER_MS)
+    node.followed.applyProgress(progressOf(holder))
     store.put('endpoints/w2', {})
-    await pass(clock, REST_OVER_MS)
-    for (const news of decider.shared) node.followed.takeNews(news)
+    await pass(clock, PAUSE_OVER_MS)
+    for (const update of holder.shared) node.followed.applyUpdate(update)
     await settle()
     asked(store)
-    decider.shared.length = 0
+    holder.shared.length = 0
     for (let round = 0; round < 5; round++) {
       await pass(clock, 300)
-      node.followed.takeWord({ ...wordOf(decider), contactAgeMs: 0 })
+      node.followed.applyProgress({ ...progressOf(holder), contactAgeMs: 0 })
     }
     store.put('endpoints/w3', {})
-    await pass(clock, REST_OVER_MS)
-    for (const news of decider.shared) node.followed.takeNews(news)
+    await pass(clock, PAUSE_OVER_MS)
+    for (const update of holder.shared) node.followed.applyUpdate(update)
     expect(node.seen.slice(2)).to.deep.equal(['endpoints/w1 there', 'endpoints/w2 there', 'endpoints/w3 there'])
     expect(asked(store).filter((call) => !call.endsWith(' 1000')), 'the decider waits 1 s a question').to.deep.equal([])
   })
@@ -108,15 +108,15 @@
   it('passes on what undoes a change of the same batch that concerned callers', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
-    const decider = follow(store, clock, true)
+    const holder = follow(store, clock, true)
     await settle()
-    await pass(clock, REST_OVER_MS)
-    decider.shared.splice(0)
+    await pass(clock, PAUSE_OVER_MS)
+    holder.shared.splice(0)
     store.put('endpoints/head-1', {})
     store.put('endpoints/head-1', LEAVING)
     store.put('endpoints/member-1', LEAVING)
-    await pass(clock, REST_OVER_MS)
-    const shared = decider.shared.flatMap(({ objects }) => objects.map(({ key, body }) => `${key} ${body === LEAVING ? LEAVING : 'there'}`))
+    await pass(clock, PAUSE_OVER_MS)
+    const shared = holder.shared.flatMap(({ objects }) => objects.map(({ key, body }) => `${key} ${body === LEAVING ? LEAVING : 'there'}`))
     expect(shared).to.deep.equal(['endpoints/head-1 there', `endpoints/head-1 ${LEAVING}`])
   })
 
@@ -125,31 +125,31 @@
     // group forms, and all of it goes to 194 nodes over one link. Cause: members were told of, which no caller needs.
     const store = new MemoryStore()
     const clock = new ManualClock()
-    const decider = follow(store, clock, true)
+    const holder = follow(store, clock, true)
     const node = follow(store, clock, false)
     await settle()
     store.put('endpoints/head-0', {})
-    await pass(clock, REST_OVER_MS)
-    node.followed.takeWord(wordOf(decider))
+    await pass(clock, PAUSE_OVER_MS)
+    node.followed.applyProgress(progressOf(holder))
     // Ends the question that the node has under way; from here on it relies on the deciding node.
     store.put('endpoints/head-1', {})
-    await pass(clock, REST_OVER_MS)
-    for (const news of decider.shared.splice(0)) node.followed.takeNews(news)
-    node.followed.takeWord({ ...wordOf(decider), contactAgeMs: 0 })
+    await pass(clock, PAUSE_OVER_MS)
+    for (const update of holder.shared.splice(0)) node.followed.applyUpdate(update)
+    node.followed.applyProgress({ ...progressOf(holder), contactAgeMs: 0 })
     await pass(clock, 300)
     store.put('endpoints/member-1', {})
     store.put('endpoints/head-2', {})
-    await pass(clock, REST_OVER_MS)
-    for (const news of decider.shared) node.followed.takeNews(news)
+    await pass(clock, PAUSE_OVER_MS)
+    for (const update of holder.shared) node.followed.applyUpdate(update)
     await settle()
     expect(node.seen.filter((seen) => seen.endsWith('there'))).to.deep.equal(['endpoints/head-0 there', 'endpoints/head-1 there', 'endpoints/head-2 there'])
-    expect(node.followed.knowsAll(ENDPOINT_PREFIX)).to.equal(false)
+    expect(node.followed.isComplete(ENDPOINT_PREFIX)).to.equal(false)
     asked(store)
-    node.decides = true
+    node.isLeaseHolder = true
     node.followed.wakeUncovered()
     await settle()
     expect(asked(store)).to.include(`list ${ENDPOINT_PREFIX}`)
-    expect(node.followed.knowsAll(ENDPOINT_PREFIX)).to.equal(true)
+    expect(node.followed.isComplete(ENDPOINT_PREFIX)).to.equal(true)
   })
 
   it('waits for the deciding node\'s first word before it asks for changes, and not for ever', async () => {
@@ -177,10 +177,10 @@
     const node = follow(store, clock, false, MANIFEST_PREFIX, 500)
     await pass(clock, 400)
     expect(asked(store)).to.deep.equal([`list ${MANIFEST_PREFIX}`])
-    const decider = follow(store, clock, true, MANIFEST_PREFIX)
+    const holder = follow(store, clock, true, MANIFEST_PREFIX)
     await settle()
     asked(store)
-    node.followed.takeWord(wordOf(decider))
+    node.followed.applyProgress(progressOf(holder))
     await pass(clock, 400)
     expect(asked(store)).to.deep.equal([])
   })
@@ -190,10 +190,10 @@
     for (const prefix of [NODE_PREFIX, QUARANTINE_PREFIX]) {
       const store = new MemoryStore()
       const clock = new ManualClock()
-      const decider = follow(store, clock, true, prefix)
+      const holder = follow(store, clock, true, prefix)
       const node = follow(store, clock, false, prefix, 500)
       await settle()
-      node.followed.takeWord(wordOf(decider))
+      node.followed.applyProgress(progressOf(holder))
       await settle()
       asked(store)
       await pass(clock, FLEET_LEASE_TIMING.ttlMs + 1_000)
@@ -211,20 +211,20 @@
   it('asks for nothing while only other prefixes have changed', async () => {
     const clock = new ManualClock()
     const store = new MemoryStore(clock)
-    const decider = follow(store, clock, true, NODE_PREFIX)
+    const holder = follow(store, clock, true, NODE_PREFIX)
     const node = follow(store, clock, false, NODE_PREFIX, 500)
     await settle()
     store.put('endpoints/w1', {})
-    await pass(clock, FOLLOW_RULES[NODE_PREFIX]!.deciderWaitMs)
+    await pass(clock, FOLLOW_RULES[NODE_PREFIX]!.holderPollTimeoutMs)
     asked(store)
-    node.followed.takeWord(wordOf(decider))
+    node.followed.applyProgress(progressOf(holder))
     await pass(clock, 100)
-    expect(decider.followed.versions).to.deep.equal({ [NODE_PREFIX]: 0 })
+    expect(holder.followed.versions).to.deep.equal({ [NODE_PREFIX]: 0 })
     expect(asked(store)).to.deep.equal([])
     store.put('nodes/n2', {})
     await settle()
-    expect(decider.shared.at(-1)).to.deep.include({ sinceVersion: 0, version: 2 })
-    node.followed.takeNews(decider.shared.at(-1)!)
+    expect(holder.shared.at(-1)).to.deep.include({ sinceVersion: 0, version: 2 })
+    node.followed.applyUpdate(holder.shared.at(-1)!)
     expect(node.seen.at(-1)).to.equal('nodes/n2 there')
   })
 
@@ -233,12 +233,12 @@
     const clock = new ManualClock()
     const node = follow(store, clock, false)
     await settle()
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
     store.put('endpoints/w1', {})
-    await pass(clock, REST_OVER_MS)
+    await pass(clock, PAUSE_OVER_MS)
     asked(store)
     store.put('endpoints/w2', {})
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 2 } })
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 2 } })
     await settle()
     expect(asked(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 1 0`])
     expect(node.seen.at(-1)).to.equal('endpoints/w2 there')
@@ -252,11 +252,11 @@
     const node = follow(store, clock, false)
     await settle()
     store.put('endpoints/w1', {})
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 1 } })
-    await pass(clock, REST_OVER_MS)
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 1 } })
+    await pass(clock, PAUSE_OVER_MS)
     asked(store)
-    for (let ageMs = REST_OVER_MS; ageMs < WORD_VALID_MS; ageMs += 400) {
-      node.followed.takeWord({ contactAgeMs: ageMs, versions: { [ENDPOINT_PREFIX]: 1 } })
+    for (let ageMs = PAUSE_OVER_MS; ageMs < PROGRESS_VALID_MS; ageMs += 400) {
+      node.followed.applyProgress({ contactAgeMs: ageMs, versions: { [ENDPOINT_PREFIX]: 1 } })
       await pass(clock, 400)
     }
     store.put('endpoints/w2', {})
@@ -271,13 +271,13 @@
     const clock = new ManualClock()
     const lines: Array<Record<string, unknown>> = []
     const log = new DecisionLog(clock, 'n1', pino({ level: 'info' }, { write: (line: string) => { lines.push(JSON.parse(line) as Record<string, unknown>) } }))
-    const followed = new FollowedStore({ store, clock, random: createRandom(1), log, decides: () => false, nodeCount: () => 3, firstWordMs: 0, changes: BOUNDS, share: () => {}, concernsCallers: () => true })
-    followed.takeWord({ contactAgeMs: 0, versions: {} })
+    const followed = new FollowedStore({ store, clock, random: createRandom(1), log, isLeaseHolder: () => false, nodeCount: () => 3, initialProgressTimeoutMs: 0, changes: BOUNDS, share: () => {}, concernsCallers: () => true })
+    followed.applyProgress({ contactAgeMs: 0, versions: {} })
     for (let round = 0; round < 30; round++) {
       await pass(clock, 100)
       followed.wakeUncovered()
     }
-    followed.takeWord({ contactAgeMs: 0, versions: {} })
+    followed.applyProgress({ contactAgeMs: 0, versions: {} })
     expect(lines.map(({ event, dependency }) => [event, dependency])).to.deep.equal([
       ['dependency-regained', 'deciding node'], ['dependency-lost', 'deciding node'], ['dependency-regained', 'deciding node']
     ])
@@ -293,7 +293,7 @@
     const node = follow(store, clock, false)
     await settle()
     const made = { key: 'endpoints/w1', version: 3, body: {}, deleted: false }
-    node.followed.takeNews({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [made, { ...made, version: 4, body: null, deleted: true }], version: 4 })
+    node.followed.applyUpdate({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [made, { ...made, version: 4, body: null, deleted: true }], version: 4 })
     answer(success({ objects: [made], version: 3 }))
     await settle()
     expect(node.seen.slice(2)).to.deep.equal(['endpoints/w1 there', 'endpoints/w1 gone'])
@@ -305,7 +305,7 @@
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
-    node.followed.takeNews({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
+    node.followed.applyUpdate({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
     await settle()
     expect(node.seen).to.deep.equal(['connected', 'listing'])
   })
@@ -317,13 +317,13 @@
     const clock = new ManualClock()
     const node = follow(store, clock, false)
     await settle()
-    store.cut()
+    store.disconnect()
     await settle()
-    for (let round = 0; round < 3; round++) await pass(clock, REST_OVER_MS)
+    for (let round = 0; round < 3; round++) await pass(clock, PAUSE_OVER_MS)
     asked(store)
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
     await pass(clock, 1_200)
-    node.followed.takeNews({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
+    node.followed.applyUpdate({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
     expect(node.seen.at(-1)).to.equal('endpoints/w1 there')
     expect(asked(store)).to.deep.equal([])
   })
@@ -335,13 +335,13 @@
     const node = follow(store, clock, false)
     node.followed.watch(MANIFEST_PREFIX, () => {})
     await settle()
-    store.cut()
+    store.disconnect()
     await settle()
     asked(store)
     for (let round = 0; round < 45; round++) await pass(clock, 100)
     const calls = asked(store)
     expect(calls.length).to.be.within(4, 9)
-    store.heal()
+    store.reconnect()
     for (let round = 0; round < 15; round++) await pass(clock, 100)
     expect(asked(store)).to.include.members([`list ${ENDPOINT_PREFIX}`, `list ${MANIFEST_PREFIX}`])
   })
@@ -355,16 +355,16 @@
     const node = follow(store, clock, false, MANIFEST_PREFIX)
     node.followed.watch(ENDPOINT_PREFIX, () => {})
     await settle()
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 0 } })
-    store.cut()
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 0 } })
+    store.disconnect()
     for (let round = 0; round < 30; round++) {
       await pass(clock, 100)
-      node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 2 } })
+      node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 2 } })
     }
-    store.heal()
+    store.reconnect()
     for (let round = 0; round < 15; round++) {
       await pass(clock, 100)
-      node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 2 } })
+      node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 2 } })
     }
     expect(node.seen.at(-1)).to.equal('listing')
   })
@@ -372,19 +372,19 @@
   it('tells only the version of a manifest, which each node then reads itself', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
-    const decider = follow(store, clock, true, MANIFEST_PREFIX)
+    const holder = follow(store, clock, true, MANIFEST_PREFIX)
     const node = follow(store, clock, false, MANIFEST_PREFIX)
     await settle()
-    node.followed.takeWord(wordOf(decider))
+    node.followed.applyProgress(progressOf(holder))
     store.put('manifest/main', { routes: 'many' })
-    await pass(clock, REST_OVER_MS)
-    node.followed.takeWord(wordOf(decider))
+    await pass(clock, PAUSE_OVER_MS)
+    node.followed.applyProgress(progressOf(holder))
     asked(store)
-    decider.shared.length = 0
+    holder.shared.length = 0
     store.put('manifest/main', { routes: 'more' })
     await settle()
-    expect(decider.shared).to.deep.equal([{ prefix: MANIFEST_PREFIX, sinceVersion: 2, objects: [], version: 2 }])
-    node.followed.takeNews(decider.shared[0]!)
+    expect(holder.shared).to.deep.equal([{ prefix: MANIFEST_PREFIX, sinceVersion: 2, objects: [], version: 2 }])
+    node.followed.applyUpdate(holder.shared[0]!)
     await settle()
     expect(asked(store)).to.include(`changes ${MANIFEST_PREFIX} 1 0`)
     expect(node.seen.slice(-2)).to.deep.equal(['manifest/main there', 'manifest/main there'])
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FormationRunner.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FormationRunner.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai'
 import { createRandom, EndpointOrderKind, FormationEnd, ManualClock, MemberState, OrderReply, type EndpointOrder, type FormationPlan, type Membership } from 'dotterelspur'
-import { EndpointKeeper } from '../../process/EndpointKeeper.js'
+import { EndpointRegistry } from '../../process/EndpointRegistry.js'
 import { FleetLease, FLEET_LEASE_TIMING } from '../../process/FleetLease.js'
 import { FormationRunner } from '../../process/FormationRunner.js'
-import { EndpointQuestions } from '../../process/EndpointQuestions.js'
-import { FormationTrail } from '../../process/FormationTrail.js'
-import { ReportEndKind, type EndpointControl } from '../../process/GatewayPorts.js'
+import { VerifiedReportClient } from '../../process/VerifiedReportClient.js'
+import { FormationHistory } from '../../process/FormationHistory.js'
+import { ReportResultKind, type EndpointControl } from '../../process/GatewayPorts.js'
 import { Reachability } from '../../process/Reachability.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
-import { createEndpoint, createLog } from '../fixtures/parts.js'
+import { createEndpoint, createLog } from '../fixtures/builders.js'
 
 const PLAN: FormationPlan = { group: 'g9', formation: 9, model: 'small', members: ['w1', 'w2'], former: [], joinTimeoutMs: 4_000 }
 const OPEN: EndpointOrder = { kind: EndpointOrderKind.Open, group: 'g9', formation: 9 }
@@ -22,30 +22,30 @@
   readonly runner: FormationRunner
   readonly reachability: Reachability
   /** Endpoints at whose address another one listens. */
-  readonly ended = new Set<string>()
+  readonly superseded = new Set<string>()
   /** The most orders that were under way together. */
-  mostAtOnce = 0
-  private atOnce = 0
-  private readonly places = new Map<string, Membership>()
-  private readonly endpoints: EndpointKeeper
+  maxConcurrent = 0
+  private concurrent = 0
+  private readonly memberships = new Map<string, Membership>()
+  private readonly endpoints: EndpointRegistry
 
   constructor () {
     const log = createLog(this.clock)
-    this.endpoints = new EndpointKeeper(this.clock, log)
+    this.endpoints = new EndpointRegistry(this.clock, log)
     this.endpoints.follow(this.store)
     this.lease = new FleetLease(this.store, { node: 'n1', incarnation: 1 }, this.clock, createRandom(1), log, () => {})
     const control = this.createControl()
-    const questions = new EndpointQuestions({ control, hasEnded: (place) => this.endpoints.hasEnded(place) })
-    this.reachability = new Reachability(questions, this.clock, log, () => {})
+    const reports = new VerifiedReportClient({ control, isSuperseded: (place) => this.endpoints.isSuperseded(place) })
+    this.reachability = new Reachability(reports, this.clock, log, () => {})
     this.runner = new FormationRunner({
-      clock: this.clock, lease: this.lease, endpoints: this.endpoints, control, questions, reachability: this.reachability, find: (endpoint) => this.endpoints.current.get(endpoint)
+      clock: this.clock, lease: this.lease, endpoints: this.endpoints, control, reports, reachability: this.reachability, find: (endpoint) => this.endpoints.current.get(endpoint)
     })
-    this.endpoints.registerListener(() => { this.runner.noteList() })
+    this.endpoints.registerListener(() => { this.runner.noteListChanged() })
     for (const id of PLAN.members) this.list(id)
   }
 
-  async run (trail = new FormationTrail()): Promise<FormationEnd> {
-    return await this.runner.run(PLAN, trail)
+  async run (history = new FormationHistory()): Promise<FormationEnd> {
+    return await this.runner.run(PLAN, history)
   }
 
   async takeLease (): Promise<void> {
@@ -60,23 +60,23 @@
   private createControl (): EndpointControl {
     return {
       order: async ({ endpoint }, order) => {
-        this.atOnce += 1
-        this.mostAtOnce = Math.max(this.mostAtOnce, this.atOnce)
+        this.concurrent += 1
+        this.maxConcurrent = Math.max(this.maxConcurrent, this.concurrent)
         await Promise.resolve()
-        this.atOnce -= 1
+        this.concurrent -= 1
         this.orders.push(`${order.kind} ${endpoint}`)
-        if (this.ended.has(endpoint)) return OrderReply.Elsewhere
-        if (order.kind === EndpointOrderKind.Join) this.places.set(endpoint, { group: order.group, formation: order.formation, rank: order.members.indexOf(endpoint), state: MemberState.Ready })
-        if (order.kind === EndpointOrderKind.Open) this.places.set(endpoint, { ...this.places.get(endpoint)!, state: MemberState.Open })
+        if (this.superseded.has(endpoint)) return OrderReply.Elsewhere
+        if (order.kind === EndpointOrderKind.Join) this.memberships.set(endpoint, { group: order.group, formation: order.formation, rank: order.members.indexOf(endpoint), state: MemberState.Ready })
+        if (order.kind === EndpointOrderKind.Open) this.memberships.set(endpoint, { ...this.memberships.get(endpoint)!, state: MemberState.Open })
         this.list(endpoint)
         return OrderReply.Begun
       },
-      report: async ({ endpoint }) => ({ kind: ReportEndKind.Answered, report: { membership: this.places.get(endpoint) ?? null, model: null, staged: [], running: 0, waiting: 0, orderCount: null } })
+      report: async ({ endpoint }) => ({ kind: ReportResultKind.Answered, report: { membership: this.memberships.get(endpoint) ?? null, model: null, staged: [], running: 0, waiting: 0, orderCount: null } })
     }
   }
 
   private list (id: string): void {
-    this.store.put(`endpoints/${id}`, createEndpoint(id, `10.0.0.1:${id.slice(1)}`, { fabricDomain: 'd', membership: this.places.get(id) ?? null }))
+    this.store.put(`endpoints/${id}`, createEndpoint(id, `10.0.0.1:${id.slice(1)}`, { fabricDomain: 'd', membership: this.memberships.get(id) ?? null }))
   }
 }
 
@@ -92,9 +92,9 @@
   it('keeps each question and order of a plan with its answer', async () => {
     const world = new RunnerWorld()
     await world.takeLease()
-    const trail = new FormationTrail()
-    await world.run(trail)
-    expect(trail.steps).to.deep.equal([
+    const history = new FormationHistory()
+    await world.run(history)
+    expect(history.steps).to.deep.equal([
       'report w1: in no group', 'report w2: in no group', 'join w1 g9: begun', 'join w2 g9: begun', 'open w1 g9: begun'
     ])
   })
@@ -104,7 +104,7 @@
     // it, so that plan after plan began with it, and refused each order: "join i-b127ce5b8f g1000174: elsewhere".
     const world = new RunnerWorld()
     await world.takeLease()
-    world.ended.add('w2')
+    world.superseded.add('w2')
     expect(await world.run()).to.equal(FormationEnd.NotJoined)
     expect(world.reachability.isUnreachable('w2')).to.equal(true)
     expect(await world.run()).to.equal(FormationEnd.NotAsListed)
@@ -119,7 +119,7 @@
     const orders = Array.from({ length: 200 }, () => ({ endpoint: 'w1', order: OPEN, expectedOrders: null }))
     const replies = await world.runner.sendOrders(orders)
     expect(replies).to.have.length(200)
-    expect(world.mostAtOnce).to.be.within(2, 20)
+    expect(world.maxConcurrent).to.be.within(2, 20)
   })
 
   it('sends no order once its lease has lapsed', async () => {
@@ -127,7 +127,7 @@
     // lapses, another node takes it, and the first goes on. Cause: the lease was looked at only when the plan began.
     const world = new RunnerWorld()
     await world.takeLease()
-    world.store.cut()
+    world.store.disconnect()
     for (let passedMs = 0; passedMs < FLEET_LEASE_TIMING.ttlMs; passedMs += 100) await world.step(100)
     expect(await world.runner.sendOrders([{ endpoint: 'w1', order: OPEN, expectedOrders: null }])).to.deep.equal([OrderReply.Unreachable])
     expect(await world.run()).to.equal(FormationEnd.NotJoined)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/Gateway.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/Gateway.test.ts
@@ -2,7 +2,7 @@
 import { request, type Dispatcher } from 'undici'
 import { RequestKind } from 'dotterelspur'
 import { GatewayWorld } from '../fixtures/GatewayWorld.js'
-import { createManifest, createRoute } from '../fixtures/parts.js'
+import { createManifest, createRoute } from '../fixtures/builders.js'
 import { event, streamUpTo, StubEndpoint, type StubHandler } from '../fixtures/StubEndpoint.js'
 
 const ROUTES = [
--- a/packages/dotterelspur-gateway/src/__tests__/unit/NodeKeeper.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/NodeRegistry.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { ManualClock } from 'dotterelspur'
-import { NodeKeeper, type NodeRecord } from '../../process/NodeKeeper.js'
-import { createLog } from '../fixtures/parts.js'
+import { NodeRegistry, type NodeRecord } from '../../process/NodeRegistry.js'
+import { createLog } from '../fixtures/builders.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
 
 describe('NodeKeeper', () => {
@@ -10,9 +10,9 @@
 
   it('writes itself again when another node has taken its entry back', async () => {
     const store = new MemoryStore()
-    const keeper = new NodeKeeper(store, SELF, new ManualClock(), createLog())
-    keeper.follow()
-    await keeper.register()
+    const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
+    registry.follow()
+    await registry.register()
     store.drop('nodes/n1')
     await new Promise((resolve) => { setImmediate(resolve) })
     expect((await store.get('nodes/n1')).ok).to.equal(true)
@@ -20,34 +20,34 @@
 
   it('is not named any more once it leaves, here and elsewhere', async () => {
     const store = new MemoryStore()
-    const keeper = new NodeKeeper(store, SELF, new ManualClock(), createLog())
-    keeper.follow()
-    await keeper.register()
+    const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
+    registry.follow()
+    await registry.register()
     store.put('nodes/n2', OTHER)
-    await keeper.leave()
-    expect(keeper.nodes().map(({ node }) => node)).to.deep.equal(['n2'])
+    await registry.leave()
+    expect(registry.nodes().map(({ node }) => node)).to.deep.equal(['n2'])
     expect((await store.get('nodes/n1')).ok).to.equal(false)
   })
 
   it('drops only the life of a node that gave no sign', async () => {
     const store = new MemoryStore()
-    const keeper = new NodeKeeper(store, SELF, new ManualClock(), createLog())
-    keeper.follow()
+    const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
+    registry.follow()
     store.put('nodes/n2', OTHER)
-    await keeper.drop({ node: 'n2', incarnation: 6 })
-    expect(keeper.nodes()).to.have.length(2)
-    await keeper.drop({ node: 'n2', incarnation: 7 })
-    expect(keeper.nodes()).to.have.length(1)
+    await registry.drop({ node: 'n2', incarnation: 6 })
+    expect(registry.nodes()).to.have.length(2)
+    await registry.drop({ node: 'n2', incarnation: 7 })
+    expect(registry.nodes()).to.have.length(1)
   })
 
   // Guards against a directory that names a lost node for as long as the store turns away who knows that it is lost.
   it('names a node no more that gave no sign, also while the store turns this one away', async () => {
     const store = new MemoryStore()
-    const keeper = new NodeKeeper(store, SELF, new ManualClock(), createLog())
-    keeper.follow()
+    const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
+    registry.follow()
     store.put('nodes/n2', OTHER)
-    store.cut()
-    await keeper.drop({ node: 'n2', incarnation: 7 })
-    expect(keeper.nodes().map(({ node }) => node)).to.deep.equal(['n1'])
+    store.disconnect()
+    await registry.drop({ node: 'n2', incarnation: 7 })
+    expect(registry.nodes().map(({ node }) => node)).to.deep.equal(['n1'])
   })
 })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/PeerLinks.test.ts
@@ -3,7 +3,7 @@
 import { createRandom, ManualClock, NOTHING_LEARNED } from 'dotterelspur'
 import { PeerLinks, type PeerListener } from '../../connection/PeerLinks.js'
 import { GatewayWorld } from '../fixtures/GatewayWorld.js'
-import { createEndpoint, createLog, createManifest } from '../fixtures/parts.js'
+import { createEndpoint, createLog, createManifest } from '../fixtures/builders.js'
 
 const POLL_MS = 20
 
@@ -75,7 +75,7 @@
       await until(async () => (await Promise.all([first, second].map(async (world) => await world.gauge('decides')))).includes(1))
       const other = await first.gauge('decides') === 1 ? second : first
       await until(async () => await other.gauge('told_by_decider') === 1)
-      other.access.turnAway()
+      other.access.refuseCalls()
       first.store.put('endpoints/w1', createEndpoint('w1', '127.0.0.1:1'))
       await until(async () => await other.gauge('endpoints') === 1)
     } finally {
--- a/packages/dotterelspur-gateway/src/__tests__/unit/Reachability.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/Reachability.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai'
 import { ManualClock } from 'dotterelspur'
-import type { EndpointPlace, ReportEnd } from '../../process/GatewayPorts.js'
-import { ReportEndKind } from '../../process/GatewayPorts.js'
+import type { EndpointLocation, ReportResult } from '../../process/GatewayPorts.js'
+import { ReportResultKind } from '../../process/GatewayPorts.js'
 import { Reachability } from '../../process/Reachability.js'
-import { createLog } from '../fixtures/parts.js'
+import { createLog } from '../fixtures/builders.js'
 
-const PLACE: EndpointPlace = { endpoint: 'w1', address: '10.0.0.1:1' }
-const ANSWERED: ReportEnd = { kind: ReportEndKind.Answered, report: { membership: null, model: null, staged: [], running: 0, waiting: 0, orderCount: null } }
-const GONE: ReportEnd = { kind: ReportEndKind.Gone }
+const PLACE: EndpointLocation = { endpoint: 'w1', address: '10.0.0.1:1' }
+const ANSWERED: ReportResult = { kind: ReportResultKind.Answered, report: { membership: null, model: null, staged: [], running: 0, waiting: 0, orderCount: null } }
+const GONE: ReportResult = { kind: ReportResultKind.Gone }
 
 /** An endpoint that answers its n-th probe after a while, or never. */
 class ProbedWorld {
@@ -16,13 +16,13 @@
   decidedAtMs: number | null = null
   readonly reachability: Reachability
 
-  constructor (answers: ReadonlyArray<{ readonly afterMs: number, readonly end: ReportEnd }>) {
-    const report = async (_place: EndpointPlace, timeoutMs: number): Promise<ReportEnd> => {
+  constructor (answers: ReadonlyArray<{ readonly afterMs: number, readonly end: ReportResult }>) {
+    const report = async (_place: EndpointLocation, timeoutMs: number): Promise<ReportResult> => {
       const answer = answers[this.probedAtMs.length] ?? { afterMs: Infinity, end: GONE }
       this.probedAtMs.push(this.clock.nowMs())
       return await new Promise((resolve) => {
         if (answer.afterMs < timeoutMs) this.clock.registerTimer(answer.afterMs, () => { resolve(answer.end) })
-        else this.clock.registerTimer(timeoutMs, () => { resolve({ kind: ReportEndKind.Silent }) })
+        else this.clock.registerTimer(timeoutMs, () => { resolve({ kind: ReportResultKind.Silent }) })
       })
     }
     this.reachability = new Reachability({ report }, this.clock, createLog(this.clock), () => { this.decidedAtMs ??= this.clock.nowMs() })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/endpointRests.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/endpointBackoff.test.ts
@@ -1,17 +1,17 @@
 import { expect } from 'chai'
 import { request } from 'undici'
 import { GatewayWorld } from '../fixtures/GatewayWorld.js'
-import { createManifest } from '../fixtures/parts.js'
+import { createManifest } from '../fixtures/builders.js'
 import { StubEndpoint, type StubHandler } from '../fixtures/StubEndpoint.js'
 
 /** Longer than any run of these tests: no rest ends meanwhile. */
-const REST_MS = 120_000
+const BACKOFF_MS = 120_000
 /** What operators allow a node to send to an endpoint in one rest. */
-const MOST_IN_REST = 2
+const MAX_DURING_BACKOFF = 2
 const CALLS = 60
 
 const ok: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal' }).end('whole') }
-const turnAway: StubHandler = (_request, response) => { response.writeHead(503, { 'x-not-executed': '1', 'x-rest-ms': String(REST_MS) }).end() }
+const turnAway: StubHandler = (_request, response) => { response.writeHead(503, { 'x-not-executed': '1', 'x-rest-ms': String(BACKOFF_MS) }).end() }
 
 describe('An endpoint that turns a request away and asks for rest', () => {
   let world: GatewayWorld
@@ -43,7 +43,7 @@
     await declare(turnAway, turnAway, ok)
     const statuses: number[] = []
     for (let index = 0; index < CALLS; index++) statuses.push((await call(`r${index}`)).status)
-    for (const resting of endpoints.slice(0, 2)) expect(resting.requests.length).to.be.at.most(MOST_IN_REST)
+    for (const resting of endpoints.slice(0, 2)) expect(resting.requests.length).to.be.at.most(MAX_DURING_BACKOFF)
     // Two attempts are allowed, and two endpoints may turn the first request away.
     expect(statuses.filter((status) => status !== 200).length).to.be.at.most(1)
   })
@@ -56,6 +56,6 @@
       expect(status).to.equal(503)
       expect(Number(retryAfter)).to.be.greaterThan(0)
     }
-    expect(endpoints[0]!.requests.length).to.be.at.most(MOST_IN_REST)
+    expect(endpoints[0]!.requests.length).to.be.at.most(MAX_DURING_BACKOFF)
   })
 })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/endpointLimits.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/endpointRateLimits.test.ts
@@ -3,18 +3,18 @@
 import { SystemClock } from 'dotterelspur-clock'
 import { GatewayWorld } from '../fixtures/GatewayWorld.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
-import { createManifest } from '../fixtures/parts.js'
+import { createManifest } from '../fixtures/builders.js'
 import { StubEndpoint, type StubHandler } from '../fixtures/StubEndpoint.js'
 
 const LIMIT_PER_SECOND = 1
 /** What operators allow in a window: one and a half times the limit, and five requests. */
 const WINDOW_S = 4
-const MOST_IN_WINDOW = 1.5 * LIMIT_PER_SECOND * WINDOW_S + 5
+const MAX_IN_WINDOW = 1.5 * LIMIT_PER_SECOND * WINDOW_S + 5
 const ROUNDS = 50
 const POLL_MS = 20
 
 const ok: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal' }).end('whole') }
-const okInNeed: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal', 'x-limit': String(LIMIT_PER_SECOND) }).end('whole') }
+const okWithRateLimit: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal', 'x-limit': String(LIMIT_PER_SECOND) }).end('whole') }
 
 describe('An endpoint that names a limit', () => {
   let store: MemoryStore
@@ -25,7 +25,7 @@
   beforeEach(async () => {
     store = new MemoryStore(new SystemClock())
     worlds = []
-    limited = await new StubEndpoint('limited', okInNeed).listen()
+    limited = await new StubEndpoint('limited', okWithRateLimit).listen()
     free = await new StubEndpoint('free', ok).listen()
   })
 
@@ -43,8 +43,8 @@
 
   async function allLinked (): Promise<boolean> {
     const decide = await Promise.all(worlds.map(async (world) => await world.gauge('decides')))
-    const told = await Promise.all(worlds.map(async (world) => await world.gauge('told_by_decider')))
-    return worlds.every((_, index) => decide[index] === 1 || told[index] === 1)
+    const covered = await Promise.all(worlds.map(async (world) => await world.gauge('told_by_decider')))
+    return worlds.every((_, index) => decide[index] === 1 || covered[index] === 1)
   }
 
   async function call (world: GatewayWorld, id: string): Promise<number> {
@@ -54,7 +54,7 @@
   }
 
   /** Every node hears the limit with an answer of its own. */
-  async function untilHeard (): Promise<void> {
+  async function untilRateLimitReceived (): Promise<void> {
     for (const world of worlds) {
       for (let attempt = 0; await world.gauge('limited_endpoints') === 0; attempt++) await call(world, `h${attempt}`)
     }
@@ -69,13 +69,13 @@
       for (const [index, world] of worlds.entries()) statuses.add(await call(world, `r${round}-${index}`))
     }
     const windows = Math.ceil((performance.now() - beganAtMs) / (WINDOW_S * 1_000))
-    return { statuses, allowed: MOST_IN_WINDOW * windows, reached: limited.requests.length - before }
+    return { statuses, allowed: MAX_IN_WINDOW * windows, reached: limited.requests.length - before }
   }
 
   // Guards against a limit that no node reads.
   it('gets no more than it from one node, and the others take the rest', async () => {
     await startNodes('n1')
-    await untilHeard()
+    await untilRateLimitReceived()
     const { statuses, allowed, reached } = await callAll()
     expect(reached).to.be.at.most(allowed)
     expect([...statuses]).to.deep.equal([200])
@@ -84,7 +84,7 @@
   // Guards against a limit that each node keeps to alone.
   it('gets no more than it from several nodes together', async () => {
     await startNodes('n1', 'n2', 'n3')
-    await untilHeard()
+    await untilRateLimitReceived()
     const { statuses, allowed, reached } = await callAll()
     expect(reached).to.be.at.most(allowed)
     expect([...statuses]).to.deep.equal([200])
--- a/packages/dotterelspur-gateway/src/__tests__/unit/leavingEndpoints.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/leavingEndpoints.test.ts
@@ -3,7 +3,7 @@
 import { SystemClock } from 'dotterelspur-clock'
 import { GatewayWorld } from '../fixtures/GatewayWorld.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
-import { createManifest } from '../fixtures/parts.js'
+import { createManifest } from '../fixtures/builders.js'
 import { StubEndpoint, type StubHandler } from '../fixtures/StubEndpoint.js'
 
 const CALLS = 30
@@ -43,21 +43,21 @@
   }
 
   /** Until the endpoint has told this node that it leaves. */
-  async function untilTold (world: GatewayWorld): Promise<void> {
+  async function untilNotified (world: GatewayWorld): Promise<void> {
     for (let attempt = 0; leaving.requests.length === 0; attempt++) await call(world, `t${attempt}`)
   }
 
   // Guards against a word in answers that only its entry in the list is believed for.
   it('gets no more requests from the node that it told', async () => {
     await startNodes('n1')
-    await untilTold(worlds[0]!)
+    await untilNotified(worlds[0]!)
     for (let index = 0; index < CALLS; index++) expect(await call(worlds[0]!, `r${index}`)).to.equal(200)
     expect(leaving.requests).to.have.length(1)
   })
 
   it('gets no more requests from nodes that others have told', async () => {
     await startNodes('n1', 'n2')
-    await untilTold(worlds[0]!)
+    await untilNotified(worlds[0]!)
     while (await worlds[1]!.gauge('leaving_endpoints') !== 1) await new Promise((resolve) => { setTimeout(resolve, POLL_MS) })
     for (let index = 0; index < CALLS; index++) expect(await call(worlds[1]!, `r${index}`)).to.equal(200)
     expect(leaving.requests).to.have.length(1)
@@ -69,7 +69,7 @@
     staying.close()
     store.drop('endpoints/staying')
     await store.untilRead()
-    await untilTold(worlds[0]!)
+    await untilNotified(worlds[0]!)
     expect(await call(worlds[0]!, 'late')).to.equal(503)
     expect(leaving.requests).to.have.length(1)
   })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/poisonRequests.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/poisonRequests.test.ts
@@ -3,12 +3,12 @@
 import { SystemClock } from 'dotterelspur-clock'
 import { GatewayWorld } from '../fixtures/GatewayWorld.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
-import { createManifest } from '../fixtures/parts.js'
+import { createManifest } from '../fixtures/builders.js'
 import { StubEndpoint, type StubHandler } from '../fixtures/StubEndpoint.js'
 
 const POISON = 'ends who reads it'
 /** The ends by which a request shows what it does, and the sends that operators allow after them. */
-const MOST_ENDS = 6
+const MAX_TERMINATIONS = 6
 const ENDPOINTS = 16
 const ATTEMPTS = 24
 const POLL_MS = 20
@@ -25,12 +25,12 @@
   let store: MemoryStore
   let worlds: GatewayWorld[]
   let endpoints: StubEndpoint[]
-  let ended: Set<StubEndpoint>
+  let terminated: Set<StubEndpoint>
 
   beforeEach(async () => {
     store = new MemoryStore(new SystemClock())
     worlds = []
-    ended = new Set()
+    terminated = new Set()
     endpoints = await Promise.all(Array.from({ length: ENDPOINTS }, async (_, index) => await createEndpoint(`w${index}`).listen()))
   })
 
@@ -43,7 +43,7 @@
   function createEndpoint (name: string): StubEndpoint {
     const endpoint: StubEndpoint = new StubEndpoint(name, (request, response, body) => {
       if (body !== POISON) return ok(request, response, body)
-      ended.add(endpoint)
+      terminated.add(endpoint)
       endpoint.close()
     })
     return endpoint
@@ -64,8 +64,8 @@
   async function untilLinked (): Promise<void> {
     for (;;) {
       const decide = await Promise.all(worlds.map(async (world) => await world.gauge('decides')))
-      const told = await Promise.all(worlds.map(async (world) => await world.gauge('told_by_decider')))
-      if (worlds.every((_, index) => decide[index] === 1 || told[index] === 1)) return
+      const covered = await Promise.all(worlds.map(async (world) => await world.gauge('told_by_decider')))
+      if (worlds.every((_, index) => decide[index] === 1 || covered[index] === 1)) return
       await new Promise((resolve) => { setTimeout(resolve, POLL_MS) })
     }
   }
@@ -83,7 +83,7 @@
     const world = await startNode('n1')
     await world.declare(createManifest(1), ...endpoints)
     for (let attempt = 0; attempt < ATTEMPTS; attempt++) await call(world, `r${attempt}`, POISON)
-    expect(ended.size).to.be.within(1, MOST_ENDS)
+    expect(terminated.size).to.be.within(1, MAX_TERMINATIONS)
     expect(await call(world, 'usual', 'usual')).to.equal(200)
   })
 
@@ -92,7 +92,7 @@
     await worlds[0]!.declare(createManifest(1), ...endpoints)
     await untilLinked()
     for (let attempt = 0; attempt < ATTEMPTS; attempt++) await call(worlds[attempt % worlds.length]!, `r${attempt}`, POISON)
-    expect(ended.size).to.be.within(1, MOST_ENDS)
+    expect(terminated.size).to.be.within(1, MAX_TERMINATIONS)
     expect(await call(worlds[2]!, 'usual', 'usual')).to.equal(200)
   }).timeout(20_000)
 
@@ -106,7 +106,7 @@
     const successor = await startNode('n2')
     await store.untilRead()
     for (let attempt = 0; attempt < ATTEMPTS / 2; attempt++) await call(successor, `s${attempt}`, POISON)
-    expect(ended.size).to.be.within(1, MOST_ENDS)
+    expect(terminated.size).to.be.within(1, MAX_TERMINATIONS)
   }).timeout(20_000)
 
   // Guards against a count that begins anew whenever all nodes are killed before the third end.
@@ -114,13 +114,13 @@
     const world = await startNode('n1')
     await world.declare(createManifest(1), ...endpoints)
     await untilLinked()
-    for (let attempt = 0; ended.size < 2; attempt++) await call(world, `r${attempt}`, POISON)
+    for (let attempt = 0; terminated.size < 2; attempt++) await call(world, `r${attempt}`, POISON)
     await untilKept()
     await world.gateway.close()
     worlds = []
     const successor = await startNode('n1')
     await store.untilRead()
     for (let attempt = 0; attempt < ATTEMPTS / 2; attempt++) await call(successor, `s${attempt}`, POISON)
-    expect(ended.size).to.be.within(3, 4)
+    expect(terminated.size).to.be.within(3, 4)
   }).timeout(20_000)
 })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/unreadableWords.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/unreadableWords.test.ts
@@ -7,7 +7,7 @@
 import { PeerFrameKind } from '../../connection/PeerFrame.js'
 import { GatewayWorld } from '../fixtures/GatewayWorld.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
-import { createManifest } from '../fixtures/parts.js'
+import { createManifest } from '../fixtures/builders.js'
 import { StubEndpoint } from '../fixtures/StubEndpoint.js'
 
 const SEED = 4_711
--- a/packages/dotterelspur-gateway/src/connection/CallerListener.ts
+++ b/packages/dotterelspur-gateway/src/connection/CallerListener.ts
@@ -7,12 +7,12 @@
 import { AdmissionKind, type PoisonAdmission } from 'dotterelspur-poison'
 import type { Dispatch } from '../process/Dispatch.js'
 import { LogKind, type DecisionLog, type LogFields } from '../process/DecisionLog.js'
-import type { FirstKnowledge } from '../process/FirstKnowledge.js'
+import type { InitialSync } from '../process/InitialSync.js'
 import type { GatewayMetrics } from '../process/GatewayMetrics.js'
 import type { ListenAddress } from '../process/GatewaySettings.js'
 import type { WireFormat } from '../process/GatewayPorts.js'
-import type { ManifestKeeper } from '../process/ManifestKeeper.js'
-import type { PoisonKeeper } from '../process/PoisonKeeper.js'
+import type { ManifestFollower } from '../process/ManifestFollower.js'
+import type { PoisonTracker } from '../process/PoisonTracker.js'
 import { CallerAnswer, OwnAnswerKind } from '../request/CallerAnswer.js'
 import { GatewayRequest, type AdmittedRequest, type RequestReport } from '../request/GatewayRequest.js'
 import { BodyErrorKind, readBody } from '../request/readBody.js'
@@ -32,10 +32,10 @@
   readonly log: DecisionLog
   readonly metrics: GatewayMetrics
   readonly wire: WireFormat
-  readonly manifest: ManifestKeeper
-  readonly firstKnowledge: FirstKnowledge
+  readonly manifest: ManifestFollower
+  readonly firstKnowledge: InitialSync
   readonly dispatch: Dispatch
-  readonly poison: PoisonKeeper
+  readonly poison: PoisonTracker
 }
 
 /** A port that was opened before the program had loaded. */
@@ -120,7 +120,7 @@
       if (body.error === BodyErrorKind.TooLarge) this.refuse(request, answer, OwnAnswerKind.BodyTooLarge, null)
       return
     }
-    const head = this.parts.wire.readCaller(request.headers)
+    const head = this.parts.wire.readCallerHeaders(request.headers)
     await this.parts.firstKnowledge.wait()
     // The newest manifest counts, also when it came while the body was read.
     const newest = this.parts.manifest.current
@@ -167,14 +167,14 @@
   private refuse (request: IncomingMessage, answer: CallerAnswer, kind: OwnAnswerKind, retryAfterMs: number | null, fields: LogFields = {}): void {
     answer.refuse(kind, retryAfterMs)
     this.parts.metrics.countOwnAnswer(kind)
-    this.parts.log.write(LogKind.RequestEnded, { request: this.parts.wire.readCaller(request.headers).requestId, answeredWith: kind, path: request.url, manifestVersion: null, ...fields })
+    this.parts.log.write(LogKind.RequestEnded, { request: this.parts.wire.readCallerHeaders(request.headers).requestId, answeredWith: kind, path: request.url, manifestVersion: null, ...fields })
   }
 
   private report (admitted: AdmittedRequest, report: RequestReport): void {
     const { clock, log, metrics, manifest } = this.parts
     const tookMs = clock.nowMs() - admitted.arrivedAtMs
     metrics.countRequest(admitted.route.kind, report, tookMs)
-    if (report.answeredWith !== null) this.parts.dispatch.noteSentAway(admitted.route)
+    if (report.answeredWith !== null) this.parts.dispatch.noteRejection(admitted.route)
     log.write(LogKind.RequestEnded, {
       request: admitted.requestId,
       route: admitted.route.name,
--- a/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
@@ -1,6 +1,6 @@
 import type { EndpointId, LeaseObject, PoisonRecord, StoredObject } from 'dotterelspur'
-import type { DeciderWord } from '../process/DeciderWord.js'
-import type { FeedNews } from '../process/StoreFeed.js'
+import type { LeaseHolderState } from '../process/LeaseHolderState.js'
+import type { FeedUpdate } from '../process/StoreFeed.js'
 import type { CodedFleetObservation, CodedObservation } from './ObservationCodec.js'
 
 export enum PeerFrameKind {
@@ -37,6 +37,6 @@
   | { readonly kind: PeerFrameKind.NodeObserved, readonly observation: CodedObservation }
   | { readonly kind: PeerFrameKind.FleetObserved, readonly observation: CodedFleetObservation, readonly fencing: number }
   | { readonly kind: PeerFrameKind.LeaseSeen, readonly lease: StoredObject<LeaseObject> }
-  | { readonly kind: PeerFrameKind.DeciderWord, readonly word: DeciderWord }
-  | { readonly kind: PeerFrameKind.FeedNews, readonly news: FeedNews }
+  | { readonly kind: PeerFrameKind.DeciderWord, readonly word: LeaseHolderState }
+  | { readonly kind: PeerFrameKind.FeedNews, readonly news: FeedUpdate }
   | { readonly kind: PeerFrameKind.PoisonSeen, readonly records: readonly PoisonRecord[] }
--- a/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
@@ -1,11 +1,11 @@
 import { Packr } from 'msgpackr'
 import { WebSocket, WebSocketServer } from 'ws'
 import type { Clock, EndpointId, LeaseObject, NodeId, PoisonRecord, Random, StoredObject, Teardown } from 'dotterelspur'
-import type { DeciderWord } from '../process/DeciderWord.js'
+import type { LeaseHolderState } from '../process/LeaseHolderState.js'
 import { LogKind, type DecisionLog } from '../process/DecisionLog.js'
 import type { ListenAddress } from '../process/GatewaySettings.js'
-import type { NodeRecord } from '../process/NodeKeeper.js'
-import type { FeedNews } from '../process/StoreFeed.js'
+import type { NodeRecord } from '../process/NodeRegistry.js'
+import type { FeedUpdate } from '../process/StoreFeed.js'
 import { ObservationExchange, type ObservationSource } from './ObservationExchange.js'
 import { PeerFrameKind, type PeerFrame, type Suspicion } from './PeerFrame.js'
 
@@ -50,9 +50,9 @@
   laterLease (fencing: number): StoredObject<LeaseObject> | null
   leaseSeen (lease: StoredObject<LeaseObject>): void
   /** What this node tells; null unless it decides. */
-  ownWord (): DeciderWord | null
-  deciderWord (word: DeciderWord): void
-  feedNews (news: FeedNews): void
+  ownWord (): LeaseHolderState | null
+  deciderWord (word: LeaseHolderState): void
+  feedNews (news: FeedUpdate): void
   poisonSeen (records: readonly PoisonRecord[]): void
   /** What a node that has just been linked is told; all that is known where it adds up. */
   poisonKnown (all: boolean): readonly PoisonRecord[]
@@ -166,7 +166,7 @@
   }
 
   /** A node that can't take it finds a gap and asks the store. */
-  tellNews (news: FeedNews): void {
+  tellNews (news: FeedUpdate): void {
     this.tell(this.linkedSockets(), { kind: PeerFrameKind.FeedNews, news })
   }
 
--- a/packages/dotterelspur-gateway/src/process/AddressOwners.ts
+++ b/packages/dotterelspur-gateway/src/process/AddressOwners.ts
@@ -1,18 +1,18 @@
 import type { EndpointId, EndpointRecord, ServiceId } from 'dotterelspur'
 
 /** Former owners of an address that are remembered: an entry of one that has ended may be written again seconds later. */
-const MAX_FORMER = 8
+const MAX_PREVIOUS_OWNERS = 8
 /** Several times the endpoints of the largest fleet, so that addresses are remembered over many restarts. */
 const MAX_ADDRESSES = 8_192
 
-interface Address {
+interface AddressState {
   owner: EndpointRecord
   /** Whether the owner's entry stands. An owner without one keeps the address until somebody else is seen there. */
   isListed: boolean
   /** Those who had it before, the last of them at the end. */
-  former: readonly EndpointId[]
+  previousOwners: readonly EndpointId[]
   /** Another one that is listed there; it gets the address if the owner's entry goes first. */
-  waiting: EndpointRecord | null
+  nextOwner: EndpointRecord | null
 }
 
 export interface AddressClaim {
@@ -32,39 +32,39 @@
  * endpoint that has ended may be carried out after its successor registered.
  */
 export class AddressOwners {
-  private readonly addresses = new Map<string, Address>()
+  private readonly addresses = new Map<string, AddressState>()
 
   /** @param isServed whether the manifest names a service: an entry of no service shows nothing about others. */
   constructor (private readonly isServed: (service: ServiceId) => boolean) {}
 
   /** Whether another endpoint has the address of this one. */
-  hasEnded ({ endpoint, address }: Pick<EndpointRecord, 'endpoint' | 'address'>): boolean {
-    return this.addresses.get(address)?.former.includes(endpoint) ?? false
+  isSuperseded ({ endpoint, address }: Pick<EndpointRecord, 'endpoint' | 'address'>): boolean {
+    return this.addresses.get(address)?.previousOwners.includes(endpoint) ?? false
   }
 
   /** An endpoint is listed. */
   claim (record: EndpointRecord): AddressClaim {
-    const known = this.addresses.get(record.address)
-    if (known === undefined) return this.add(record)
-    if (known.owner.endpoint === record.endpoint) return renew(known, record)
-    if (known.former.includes(record.endpoint)) return refuse(known, record)
-    return this.isServed(record.service) ? displace(known, record) : OWNED
+    const state = this.addresses.get(record.address)
+    if (state === undefined) return this.add(record)
+    if (state.owner.endpoint === record.endpoint) return renew(state, record)
+    if (state.previousOwners.includes(record.endpoint)) return refuse(state, record)
+    return this.isServed(record.service) ? takeOver(state, record) : OWNED
   }
 
   /** The endpoint's entry is gone; returns who has its address from now on, if somebody else is listed there. */
   release ({ endpoint, address }: EndpointRecord): EndpointRecord | null {
-    const known = this.addresses.get(address)
-    if (known === undefined) return null
-    if (known.waiting?.endpoint === endpoint) known.waiting = null
-    if (known.owner.endpoint !== endpoint) return null
-    known.isListed = false
-    if (known.waiting === null) return null
-    passOn(known, known.waiting, null)
-    return known.owner
+    const state = this.addresses.get(address)
+    if (state === undefined) return null
+    if (state.nextOwner?.endpoint === endpoint) state.nextOwner = null
+    if (state.owner.endpoint !== endpoint) return null
+    state.isListed = false
+    if (state.nextOwner === null) return null
+    transferTo(state, state.nextOwner, null)
+    return state.owner
   }
 
   private add (record: EndpointRecord): AddressClaim {
-    this.addresses.set(record.address, { owner: record, isListed: true, former: [], waiting: null })
+    this.addresses.set(record.address, { owner: record, isListed: true, previousOwners: [], nextOwner: null })
     this.prune()
     return OWNED
   }
@@ -80,25 +80,25 @@
   }
 }
 
-function renew (known: Address, record: EndpointRecord): AddressClaim {
-  known.owner = record
-  known.isListed = true
+function renew (state: AddressState, record: EndpointRecord): AddressClaim {
+  state.owner = record
+  state.isListed = true
   return OWNED
 }
 
 /** One that has ended is listed again: it waits, in case that was wrong. */
-function refuse (known: Address, record: EndpointRecord): AddressClaim {
-  known.waiting = record
+function refuse (state: AddressState, record: EndpointRecord): AddressClaim {
+  state.nextOwner = record
   return { isOwner: false, displaced: null }
 }
 
-function displace (known: Address, record: EndpointRecord): AddressClaim {
-  const { owner, isListed, waiting } = known
-  passOn(known, record, isListed ? owner : waiting)
+function takeOver (state: AddressState, record: EndpointRecord): AddressClaim {
+  const { owner, isListed, nextOwner } = state
+  transferTo(state, record, isListed ? owner : nextOwner)
   return { isOwner: true, displaced: owner.endpoint }
 }
 
-function passOn (known: Address, owner: EndpointRecord, waiting: EndpointRecord | null): void {
-  const former = [...known.former, known.owner.endpoint].filter((endpoint) => endpoint !== owner.endpoint)
-  Object.assign(known, { owner, isListed: true, waiting, former: former.slice(-MAX_FORMER) } satisfies Address)
+function transferTo (state: AddressState, owner: EndpointRecord, nextOwner: EndpointRecord | null): void {
+  const former = [...state.previousOwners, state.owner.endpoint].filter((endpoint) => endpoint !== owner.endpoint)
+  Object.assign(state, { owner, isListed: true, nextOwner, previousOwners: former.slice(-MAX_PREVIOUS_OWNERS) } satisfies AddressState)
 }
--- a/packages/dotterelspur-gateway/src/process/NeedLog.ts
+++ b/packages/dotterelspur-gateway/src/process/BackpressureLog.ts
@@ -4,7 +4,7 @@
 /** Sends to an endpoint that names a limit are summed over this time for one line. */
 const WINDOW_MS = 4_000
 
-interface RestingEndpoint {
+interface BackingOffEndpoint {
   readonly untilMs: number
   readonly restMs: number
   /** Sent while it rests: requests that came to this node, and those that another endpoint had not served. */
@@ -12,19 +12,19 @@
   repeats: number
 }
 
-interface LimitedEndpoint {
+interface RateLimitedEndpoint {
   readonly requestsPerSecond: number
   windowFromMs: number
   sentInWindow: number
 }
 
 /** Writes what endpoints say of their need, and what this node sends them meanwhile. Nothing is decided by it. */
-export class NeedLog {
-  private readonly limited = new Map<EndpointId, LimitedEndpoint>()
-  private readonly resting = new Map<EndpointId, RestingEndpoint>()
+export class BackpressureLog {
+  private readonly limited = new Map<EndpointId, RateLimitedEndpoint>()
+  private readonly backingOff = new Map<EndpointId, BackingOffEndpoint>()
   private readonly leaving = new Set<EndpointId>()
   private sentTotal = 0
-  private sentInRestTotal = 0
+  private sentDuringBackoffTotal = 0
 
   constructor (private readonly clock: Clock, private readonly log: DecisionLog) {}
 
@@ -39,22 +39,22 @@
   }
 
   /** Requests that this node has sent to endpoints that had asked it for rest. */
-  get sentInRest (): number {
-    return this.sentInRestTotal
+  get sentDuringBackoff (): number {
+    return this.sentDuringBackoffTotal
   }
 
   note (endpoint: EndpointId, { requestsPerSecond, restMs, isLeaving }: StatedNeed): void {
     if (isLeaving) this.noteLeaving(endpoint)
-    this.noteLimit(endpoint, requestsPerSecond)
-    if (restMs !== null) this.noteRest(endpoint, restMs)
+    this.noteRateLimit(endpoint, requestsPerSecond)
+    if (restMs !== null) this.noteBackoff(endpoint, restMs)
   }
 
   noteSent (endpoint: EndpointId, isRepeat: boolean): void {
     this.noteSentToLimited(endpoint)
-    const resting = this.restingNow(endpoint)
+    const resting = this.currentBackoff(endpoint)
     if (resting === null) return
     resting[isRepeat ? 'repeats' : 'firstAttempts'] += 1
-    this.sentInRestTotal += 1
+    this.sentDuringBackoffTotal += 1
   }
 
   private noteLeaving (endpoint: EndpointId): void {
@@ -63,24 +63,24 @@
     this.log.write(LogKind.EndpointLeaving, { endpoint })
   }
 
-  private noteRest (endpoint: EndpointId, restMs: number): void {
-    if (this.restingNow(endpoint) !== null) return
-    this.resting.set(endpoint, { untilMs: this.clock.nowMs() + restMs, restMs, firstAttempts: 0, repeats: 0 })
+  private noteBackoff (endpoint: EndpointId, restMs: number): void {
+    if (this.currentBackoff(endpoint) !== null) return
+    this.backingOff.set(endpoint, { untilMs: this.clock.nowMs() + restMs, restMs, firstAttempts: 0, repeats: 0 })
     this.log.write(LogKind.EndpointRest, { endpoint, restMs: Math.round(restMs) })
   }
 
   /** A rest that is over has its line once somebody asks for it. */
-  private restingNow (endpoint: EndpointId): RestingEndpoint | null {
-    const resting = this.resting.get(endpoint)
+  private currentBackoff (endpoint: EndpointId): BackingOffEndpoint | null {
+    const resting = this.backingOff.get(endpoint)
     if (resting === undefined) return null
     if (this.clock.nowMs() < resting.untilMs) return resting
-    this.resting.delete(endpoint)
+    this.backingOff.delete(endpoint)
     const { restMs, firstAttempts, repeats } = resting
     if (firstAttempts + repeats > 0) this.log.write(LogKind.SentInRest, { endpoint, restMs: Math.round(restMs), firstAttempts, repeats })
     return null
   }
 
-  private noteLimit (endpoint: EndpointId, requestsPerSecond: number | null): void {
+  private noteRateLimit (endpoint: EndpointId, requestsPerSecond: number | null): void {
     const before = this.limited.get(endpoint)
     if ((before?.requestsPerSecond ?? null) === requestsPerSecond) return
     if (before !== undefined) this.writeWindow(endpoint, before)
@@ -99,14 +99,14 @@
 
   /** Forgets endpoints that are gone. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
-    for (const map of [this.limited, this.resting, this.leaving]) {
+    for (const map of [this.limited, this.backingOff, this.leaving]) {
       for (const endpoint of map.keys()) {
         if (!endpoints.has(endpoint)) map.delete(endpoint)
       }
     }
   }
 
-  private writeWindow (endpoint: EndpointId, limited: LimitedEndpoint): void {
+  private writeWindow (endpoint: EndpointId, limited: RateLimitedEndpoint): void {
     const nowMs = this.clock.nowMs()
     this.log.write(LogKind.SentUnderLimit, { endpoint, requestsPerSecond: limited.requestsPerSecond, sent: limited.sentInWindow, tookMs: Math.round(nowMs - limited.windowFromMs) })
     limited.windowFromMs = nowMs
--- a/packages/dotterelspur-gateway/src/process/Dispatch.ts
+++ b/packages/dotterelspur-gateway/src/process/Dispatch.ts
@@ -6,14 +6,14 @@
 import type { EndpointChannel } from '../connection/EndpointChannel.js'
 import { EndpointChannels } from '../connection/EndpointChannels.js'
 import { LogKind, type DecisionLog, type LogFields } from './DecisionLog.js'
-import { ExchangeWatch, StopCertainty, type ExchangeWatchHandle } from './ExchangeWatch.js'
-import { EngineExpectations } from './EngineExpectations.js'
-import { FleetKnowledge } from './FleetKnowledge.js'
-import type { AnswerHead, CallerHead } from './GatewayPorts.js'
-import type { ManifestKeeper } from './ManifestKeeper.js'
-import { NeedLog } from './NeedLog.js'
+import { StallDetector, StallCertainty, type ExchangeHandle } from './StallDetector.js'
+import { EngineTiming } from './EngineTiming.js'
+import { FleetView } from './FleetView.js'
+import type { ResponseHeaders, CallerHeaders } from './GatewayPorts.js'
+import type { ManifestFollower } from './ManifestFollower.js'
+import { BackpressureLog } from './BackpressureLog.js'
 import { Suspicion } from '../connection/PeerFrame.js'
-import type { EndpointKeeper } from './EndpointKeeper.js'
+import type { EndpointRegistry } from './EndpointRegistry.js'
 
 /** Callers' output limits are far above what is written; this part of them is usual. */
 const USUAL_ANSWER_SHARE = 0.5
@@ -24,8 +24,8 @@
   readonly random: Random
   readonly node: NodeId
   readonly failureDomain: FailureDomainId
-  readonly manifest: ManifestKeeper
-  readonly endpoints: EndpointKeeper
+  readonly manifest: ManifestFollower
+  readonly endpoints: EndpointRegistry
   readonly retries: RetryWindowOptions
   /** The whole system starts for the first time: no repeats of an earlier life can be in the window. */
   readonly firstStart: boolean
@@ -38,7 +38,7 @@
 export interface DispatchQuery {
   readonly service: ServiceId
   readonly route: Route
-  readonly head: CallerHead
+  readonly head: CallerHeaders
   readonly excluded: readonly DispatchTarget[]
   readonly leftMs: number
   /** What the caller has spent of its time before it came here, and here so far. */
@@ -46,111 +46,111 @@
 }
 
 /** One exchange with an endpoint, while it lasts. */
-export interface DispatchExchange extends ExchangeWatchHandle {
+export interface DispatchExchange extends ExchangeHandle {
   /** The first event of the answer came. */
   noteFirstEvent (): void
 }
 
 /** What this node knows in order to place requests, and the channels on which it sends them. */
 export class Dispatch {
-  readonly knowledge: FleetKnowledge
-  readonly needLog: NeedLog
-  private readonly expectations: EngineExpectations
+  readonly fleetView: FleetView
+  readonly backpressureLog: BackpressureLog
+  private readonly engineTiming: EngineTiming
   private readonly health = new EndpointHealth()
   private readonly channels = new EndpointChannels()
-  private readonly watch: ExchangeWatch
-  private readonly repeats: RetryWindow
+  private readonly stallDetector: StallDetector
+  private readonly retryWindow: RetryWindow
   private pools: ReadonlyMap<PoolKey, TargetPool> = new Map()
   private arrangedSenders: readonly Sender[] = []
   private sender: SenderPlace = { domainFrom: 0, domainWidth: 1, start: 0 }
-  private requestSeen = false
+  private requestReceived = false
 
   constructor (private readonly parts: DispatchParts) {
     const { clock, retries } = parts
-    this.knowledge = new FleetKnowledge(clock, parts.log, parts.node)
-    this.needLog = new NeedLog(clock, parts.log)
-    this.expectations = new EngineExpectations(parts.manifest, this.knowledge)
+    this.fleetView = new FleetView(clock, parts.log, parts.node)
+    this.backpressureLog = new BackpressureLog(clock, parts.log)
+    this.engineTiming = new EngineTiming(parts.manifest, this.fleetView)
     const extraFromMs = parts.firstStart ? clock.nowMs() : clock.nowMs() + retries.windowMs
-    this.repeats = new RetryWindow(retries, extraFromMs)
-    this.watch = new ExchangeWatch(clock, {
-      progressed: (target, head, gapMs) => { this.noteProgress(target, head, gapMs) },
-      pauseLimitMs: (target) => this.expectations.pauseLimitMs(target, clock.nowMs()),
-      stopped: (target, silentMs, limitMs) => { this.noteStopped(target, silentMs, limitMs) },
-      mayRepeat: (service) => this.repeats.hasLeft(service, parts.senders().length, clock.nowMs())
+    this.retryWindow = new RetryWindow(retries, extraFromMs)
+    this.stallDetector = new StallDetector(clock, {
+      onProgress: (target, head, gapMs) => { this.noteProgress(target, head, gapMs) },
+      pauseLimitMs: (target) => this.engineTiming.pauseLimitMs(target, clock.nowMs()),
+      onStalled: (target, silentMs, limitMs) => { this.noteStalled(target, silentMs, limitMs) },
+      mayRetry: (service) => this.retryWindow.hasLeft(service, parts.senders().length, clock.nowMs())
     })
     parts.endpoints.registerListener((endpoints) => { this.noteEndpoints(endpoints) })
     parts.manifest.registerListener(({ manifest }) => {
-      this.knowledge.deadlines.retain(new Set(manifest.routes.map(({ name }) => name)))
-      this.arrange(parts.endpoints.current)
+      this.fleetView.deadlines.retain(new Set(manifest.routes.map(({ name }) => name)))
+      this.rebuildPools(parts.endpoints.current)
     })
   }
 
   start (): void {
-    this.watch.start()
+    this.stallDetector.start()
   }
 
   configureRetries (retries: RetryWindowOptions): void {
-    this.repeats.configure(retries)
+    this.retryWindow.configure(retries)
   }
 
   close (): void {
-    this.watch.stop()
+    this.stallDetector.stop()
     this.channels.close()
   }
 
   /** Whether any caller's request has come to this node. */
-  get sawRequest (): boolean {
-    return this.requestSeen
+  get hasReceivedRequests (): boolean {
+    return this.requestReceived
   }
 
   /** Group time that callers of the whole fleet ask for, by model; without models of which too little is known. */
   demand (): Map<ModelId, number> {
-    this.knowledge.check()
-    return this.knowledge.demand.demand(this.parts.clock.nowMs())
+    this.fleetView.checkFreshness()
+    return this.fleetView.demand.demand(this.parts.clock.nowMs())
   }
 
   /** Takes in that a request came, whatever becomes of it; returns what its caller has spent of its time elsewhere. */
-  noteRequest (service: ServiceId, route: Route, head: CallerHead): number {
+  noteRequest (service: ServiceId, route: Route, head: CallerHeaders): number {
     const nowMs = this.parts.clock.nowMs()
-    const spentMs = this.spentMs(route, head)
-    this.requestSeen = true
-    this.repeats.noteRequest(service, nowMs)
-    this.knowledge.load.noteAsked(poolKey(service, this.expectations.engine(service) === null ? null : head.model), nowMs)
-    if (!hasSpentMuch(spentMs, route)) this.noteDemand(service, head, nowMs)
+    const spentMs = this.elapsedMs(route, head)
+    this.requestReceived = true
+    this.retryWindow.noteRequest(service, nowMs)
+    this.fleetView.load.noteAsked(poolKey(service, this.engineTiming.engine(service) === null ? null : head.model), nowMs)
+    if (!isLikelyLate(spentMs, route)) this.noteDemand(service, head, nowMs)
     return spentMs
   }
 
   /** A caller was refused, and may come back. */
-  noteSentAway ({ name }: Route): void {
-    this.knowledge.deadlines.noteSentAway(name)
+  noteRejection ({ name }: Route): void {
+    this.fleetView.deadlines.noteSentAway(name)
   }
 
   /** A caller that goes on with a stream has waited for more than the target before it gave up. */
-  private spentMs (route: Route, { deadlineMs, lastEventId }: CallerHead): number {
-    const statedMs = deadlineMs === null ? 0 : this.knowledge.deadlines.noteSpentMs(route.name, deadlineMs)
+  private elapsedMs (route: Route, { deadlineMs, lastEventId }: CallerHeaders): number {
+    const statedMs = deadlineMs === null ? 0 : this.fleetView.deadlines.noteSpentMs(route.name, deadlineMs)
     return lastEventId === null ? statedMs : Math.max(statedMs, route.targetLatencyMs)
   }
 
   /** Who comes back isn't counted again: else the model whose callers are refused most would seem to be asked for most. */
-  private noteDemand (service: ServiceId, head: CallerHead, nowMs: number): void {
-    const engine = this.expectations.engine(service)
+  private noteDemand (service: ServiceId, head: CallerHeaders, nowMs: number): void {
+    const engine = this.engineTiming.engine(service)
     if (engine === null || head.model === null) return
-    this.knowledge.demand.note(head.model, groupTimeMs(engine, head.promptTokens, head.answerTokens * USUAL_ANSWER_SHARE), nowMs)
+    this.fleetView.demand.note(head.model, groupTimeMs(engine, head.promptTokens, head.maxAnswerTokens * USUAL_ANSWER_SHARE), nowMs)
   }
 
   place (query: DispatchQuery): DispatchTarget | PlacementRefusal {
-    const { parts, health, knowledge } = this
-    const { load, speeds, needs } = knowledge
-    knowledge.check()
+    const { parts, health, fleetView } = this
+    const { load, speeds, backpressure } = fleetView
+    fleetView.checkFreshness()
     const nowMs = parts.clock.nowMs()
     const sender = this.ownPlace()
-    const engine = this.expectations.engine(query.service)
+    const engine = this.engineTiming.engine(query.service)
     const key = poolKey(query.service, engine === null ? null : query.head.model)
     const placed = place({
       promptTokens: query.head.promptTokens,
       targetMs: query.route.targetLatencyMs,
       targetGapMs: query.route.targetGapMs,
-      alreadyLate: hasSpentMuch(query.spentMs, query.route),
+      alreadyLate: isLikelyLate(query.spentMs, query.route),
       leftMs: query.leftMs,
       excluded: query.excluded
     }, {
@@ -158,8 +158,8 @@
       load,
       health,
       speeds,
-      needs,
-      firstEventDelayMs: query.head.model === null ? 0 : knowledge.firstEvents.delayMs(query.head.model),
+      needs: backpressure,
+      firstEventDelayMs: query.head.model === null ? 0 : fleetView.firstEvents.delayMs(query.head.model),
       nodes: parts.senders().length,
       sender,
       ownFailureDomain: parts.failureDomain,
@@ -167,8 +167,8 @@
       nowMs
     })
     if ('endpoint' in placed) {
-      needs.take(placed.endpoint, nowMs)
-      this.needLog.noteSent(placed.endpoint, query.excluded.length > 0)
+      backpressure.take(placed.endpoint, nowMs)
+      this.backpressureLog.noteSent(placed.endpoint, query.excluded.length > 0)
     }
     return placed
   }
@@ -181,29 +181,29 @@
     this.channels.release(target.endpoint, channel)
   }
 
-  exchangeBegan (target: DispatchTarget, { route, head }: Pick<DispatchQuery, 'route' | 'head'>, mayMove: boolean, onSilent: () => void): DispatchExchange {
+  beginExchange (target: DispatchTarget, { route, head }: Pick<DispatchQuery, 'route' | 'head'>, mayMove: boolean, onSilent: () => void): DispatchExchange {
     const beganAtMs = this.parts.clock.nowMs()
-    const declaredMs = this.expectations.declaredFirstEventMs(target, head.promptTokens, beganAtMs)
-    this.knowledge.load.begin(poolOf(target), target.endpoint, beganAtMs)
+    const declaredMs = this.engineTiming.declaredFirstEventMs(target, head.promptTokens, beganAtMs)
+    this.fleetView.load.begin(poolOf(target), target.endpoint, beganAtMs)
     return {
-      ...this.watch.begin(target, route, mayMove, onSilent),
+      ...this.stallDetector.begin(target, route, mayMove, onSilent),
       noteFirstEvent: () => {
-        if (declaredMs !== null) this.knowledge.firstEvents.noteFirstEvent(target.model!, this.parts.clock.nowMs() - beganAtMs, declaredMs)
+        if (declaredMs !== null) this.fleetView.firstEvents.noteFirstEvent(target.model!, this.parts.clock.nowMs() - beganAtMs, declaredMs)
       }
     }
   }
 
   /** This node's requests under way at an endpoint. */
   ownInFlight ({ endpoint }: DispatchTarget): number {
-    return this.knowledge.load.ownInFlight(endpoint)
+    return this.fleetView.load.ownInFlight(endpoint)
   }
 
-  exchangeEnded (target: DispatchTarget): void {
-    this.knowledge.load.end(poolOf(target), target.endpoint, this.parts.clock.nowMs())
+  endExchange (target: DispatchTarget): void {
+    this.fleetView.load.end(poolOf(target), target.endpoint, this.parts.clock.nowMs())
   }
 
   /** An exchange ended in a way that speaks against the endpoint or its group. */
-  blame ({ endpoint }: DispatchTarget, end: ExchangeEnd): void {
+  noteFailure ({ endpoint }: DispatchTarget, end: ExchangeEnd): void {
     const nowMs = this.parts.clock.nowMs()
     if (end === ExchangeEnd.Silent) this.health.noteSilence(endpoint, nowMs)
     else this.health.noteFailure(endpoint, nowMs)
@@ -211,56 +211,56 @@
   }
 
   /** The deciding node says that groups have stopped, by their heads. */
-  noteStoppedGroups (heads: readonly EndpointId[], certainty: StopCertainty): void {
+  noteStalledGroups (heads: readonly EndpointId[], certainty: StallCertainty): void {
     for (const head of heads) {
-      if (this.watch.noteStopped(head, certainty)) this.doubt(head, { by: certainty })
+      if (this.stallDetector.noteStalled(head, certainty)) this.suspectGroup(head, { by: certainty })
     }
   }
 
-  spendRepeat (service: ServiceId): boolean {
-    return this.repeats.trySpend(service, this.parts.senders().length, this.parts.clock.nowMs())
+  trySpendRetry (service: ServiceId): boolean {
+    return this.retryWindow.trySpend(service, this.parts.senders().length, this.parts.clock.nowMs())
   }
 
   /** The word on a group comes several times a second while it lasts: only the first is a change. */
-  private doubt (head: EndpointId, basis: LogFields): void {
+  private suspectGroup (head: EndpointId, basis: LogFields): void {
     const nowMs = this.parts.clock.nowMs()
     // All nodes are told of each group: only those that have requests there have anything to say of it.
-    if (!this.health.isHeldOff(head, nowMs) && this.knowledge.load.ownInFlight(head) > 0) this.parts.log.write(LogKind.GroupStopped, { head, ...basis })
+    if (!this.health.isHeldOff(head, nowMs) && this.fleetView.load.ownInFlight(head) > 0) this.parts.log.write(LogKind.GroupStopped, { head, ...basis })
     this.health.noteDoubt(head, nowMs)
   }
 
-  private noteStopped ({ endpoint }: DispatchTarget, silentMs: number, limitMs: number): void {
-    this.doubt(endpoint, { by: 'pause', silentMs: Math.round(silentMs), limitMs: Math.round(limitMs) })
+  private noteStalled ({ endpoint }: DispatchTarget, silentMs: number, limitMs: number): void {
+    this.suspectGroup(endpoint, { by: 'pause', silentMs: Math.round(silentMs), limitMs: Math.round(limitMs) })
     this.parts.onSuspect(endpoint, Suspicion.Paused)
   }
 
-  private noteProgress (target: DispatchTarget, head: AnswerHead | null, gapMs: number | null): void {
+  private noteProgress (target: DispatchTarget, head: ResponseHeaders | null, gapMs: number | null): void {
     const nowMs = this.parts.clock.nowMs()
     this.health.noteProgress(target.endpoint)
-    if (head !== null && head.need !== null) this.noteNeed(target, head.need, nowMs)
-    if (head !== null && head.load !== null) this.knowledge.load.noteReading(target.endpoint, head.load, nowMs)
-    if (gapMs !== null) this.expectations.noteGap(target, gapMs, nowMs)
+    if (head !== null && head.backpressure !== null) this.noteBackpressure(target, head.backpressure, nowMs)
+    if (head !== null && head.load !== null) this.fleetView.load.noteReading(target.endpoint, head.load, nowMs)
+    if (gapMs !== null) this.engineTiming.noteGap(target, gapMs, nowMs)
   }
 
-  private noteNeed ({ endpoint }: DispatchTarget, need: StatedNeed, nowMs: number): void {
-    this.needLog.note(endpoint, need)
-    this.knowledge.needs.note(endpoint, need, nowMs)
+  private noteBackpressure ({ endpoint }: DispatchTarget, need: StatedNeed, nowMs: number): void {
+    this.backpressureLog.note(endpoint, need)
+    this.fleetView.backpressure.note(endpoint, need, nowMs)
     if (need.isLeaving) this.parts.endpoints.noteLeaving([endpoint])
   }
 
   private noteEndpoints (endpoints: ReadonlyMap<EndpointId, EndpointRecord>): void {
     const ids = new Set(endpoints.keys())
-    this.knowledge.retain(ids)
+    this.fleetView.retain(ids)
     this.health.retain(ids)
-    this.needLog.retain(ids)
-    this.watch.retain(ids)
+    this.backpressureLog.retain(ids)
+    this.stallDetector.retain(ids)
     this.channels.retain(ids)
-    this.arrange(endpoints)
+    this.rebuildPools(endpoints)
   }
 
-  private arrange (endpoints: ReadonlyMap<EndpointId, EndpointRecord>): void {
-    this.pools = arrangePools(endpoints.values(), (service) => this.expectations.engine(service))
-    this.knowledge.arrange([...this.pools.values()])
+  private rebuildPools (endpoints: ReadonlyMap<EndpointId, EndpointRecord>): void {
+    this.pools = arrangePools(endpoints.values(), (service) => this.engineTiming.engine(service))
+    this.fleetView.updatePools([...this.pools.values()])
   }
 
   private ownPlace (): SenderPlace {
@@ -269,13 +269,13 @@
     if (known !== this.arrangedSenders) {
       this.arrangedSenders = known
       this.sender = senderPlace(known, { node, failureDomain })
-      this.knowledge.needs.limits.noteNodes(known.map((sender) => sender.node))
+      this.fleetView.backpressure.limits.noteNodes(known.map((sender) => sender.node))
     }
     return this.sender
   }
 }
 
 /** Whether a caller has spent so much elsewhere that its answer will hardly be on time. */
-function hasSpentMuch (spentMs: number, { targetLatencyMs }: Route): boolean {
+function isLikelyLate (spentMs: number, { targetLatencyMs }: Route): boolean {
   return spentMs > targetLatencyMs / 2
 }
--- a/packages/dotterelspur-gateway/src/process/EndpointKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/EndpointRegistry.ts
@@ -12,7 +12,7 @@
 const RETURN_GRACE_MS = 2_500
 
 /** Where what is known of an endpoint's place comes from. */
-export enum WordSource {
+export enum RecordSource {
   /** Its entry in the list. */
   List = 'list',
   /** Its own answer to a direct question. */
@@ -20,22 +20,22 @@
 }
 
 /** The last word on an endpoint. */
-export interface EndpointWord {
-  readonly source: WordSource
+export interface RecordOrigin {
+  readonly source: RecordSource
   readonly atMs: number
 }
 
 export type EndpointListener = (endpoints: ReadonlyMap<EndpointId, EndpointRecord>) => void
 
 /** Keeps the list of endpoints as an immutable snapshot; listeners run after each change. */
-export class EndpointKeeper {
+export class EndpointRegistry {
   private snapshot: ReadonlyMap<EndpointId, EndpointRecord> = new Map()
   /** Changes of a batch that isn't whole yet. A copy and a round of listeners for each change of 760 endpoints took seconds. */
   private pending: Map<EndpointId, EndpointRecord> | null = null
   /** By the entry's name: a worker that starts again has a new id, and its former entry's name. */
   private readonly versions = new Map<string, number>()
   private readonly entries = new Map<string, EndpointRecord>()
-  private readonly words = new Map<EndpointId, EndpointWord>()
+  private readonly origins = new Map<EndpointId, RecordOrigin>()
   /** When endpoints were last said to leave by their own word, whatever their entries say. */
   private readonly leaving = new Map<EndpointId, number>()
   private readonly listeners = new Set<EndpointListener>()
@@ -56,7 +56,7 @@
   }
 
   /** Whether the list has been read at least once. */
-  get isKnown (): boolean {
+  get isSynced (): boolean {
     return this.listed
   }
 
@@ -66,13 +66,13 @@
   }
 
   /** Whether another endpoint is known to have this one's address; its entry may still stand. */
-  hasEnded (place: Pick<EndpointRecord, 'endpoint' | 'address'>): boolean {
-    return this.addresses.hasEnded(place)
+  isSuperseded (place: Pick<EndpointRecord, 'endpoint' | 'address'>): boolean {
+    return this.addresses.isSuperseded(place)
   }
 
   /** What the record of an endpoint rests on; undefined where there is none. */
-  lastWord (endpoint: EndpointId): EndpointWord | undefined {
-    return this.words.get(endpoint)
+  recordOrigin (endpoint: EndpointId): RecordOrigin | undefined {
+    return this.origins.get(endpoint)
   }
 
   /**
@@ -81,20 +81,20 @@
    */
   noteReport (endpoint: EndpointId, { membership, model, staged }: Pick<EndpointRecord, 'membership' | 'model' | 'staged'>): void {
     const record = this.snapshot.get(endpoint)
-    if (record === undefined || saysNothingNew(record, { membership, model, staged })) return
+    if (record === undefined || matchesRecord(record, { membership, model, staged })) return
     const pending = new Map(this.snapshot)
     pending.set(endpoint, { ...record, membership, model, staged })
-    this.words.set(endpoint, { source: WordSource.Report, atMs: this.clock.nowMs() })
+    this.origins.set(endpoint, { source: RecordSource.Report, atMs: this.clock.nowMs() })
     this.commit(pending)
   }
 
   /** Endpoints say that they leave. Their word is as good as their entries, which may come later; it holds for their life. */
   noteLeaving (endpoints: readonly EndpointId[]): void {
-    const news = endpoints.map((endpoint) => this.snapshot.get(endpoint)).filter((record) => record !== undefined).filter(({ leaving }) => !leaving)
-    if (news.length === 0) return
-    this.forgetGone()
+    const newlyLeaving = endpoints.map((endpoint) => this.snapshot.get(endpoint)).filter((record) => record !== undefined).filter(({ leaving }) => !leaving)
+    if (newlyLeaving.length === 0) return
+    this.pruneLeaving()
     const pending = new Map(this.snapshot)
-    for (const record of news) {
+    for (const record of newlyLeaving) {
       this.leaving.set(record.endpoint, this.clock.nowMs())
       // What is known of its place rests on the same word as before.
       pending.set(record.endpoint, { ...record, leaving: true })
@@ -104,7 +104,7 @@
   }
 
   /** An entry that lapsed may be back for the same life. */
-  private forgetGone (): void {
+  private pruneLeaving (): void {
     for (const [endpoint, saidAtMs] of this.leaving) {
       if (!this.snapshot.has(endpoint) && this.clock.nowMs() - saidAtMs > NEED_MEMORY_MS) this.leaving.delete(endpoint)
     }
@@ -119,13 +119,13 @@
   }
 
   follow (store: ObjectStore): Teardown {
-    return store.watch<EndpointRecord | null>(ENDPOINT_PREFIX, (event) => { this.take(event) })
+    return store.watch<EndpointRecord | null>(ENDPOINT_PREFIX, (event) => { this.handleEvent(event) })
   }
 
-  private take (event: WatchEvent<EndpointRecord | null>): void {
+  private handleEvent (event: WatchEvent<EndpointRecord | null>): void {
     switch (event.kind) {
-      case WatchEventKind.Object: return this.takeObject(event.object, event.hasMore ?? false)
-      case WatchEventKind.Listing: return this.takeListing(event.listing)
+      case WatchEventKind.Object: return this.handleObject(event.object, event.hasMore ?? false)
+      case WatchEventKind.Listing: return this.handleListing(event.listing)
       case WatchEventKind.Disconnected:
         if (this.wasDisconnected) return
         this.wasDisconnected = true
@@ -135,7 +135,7 @@
     }
   }
 
-  private takeObject (object: StoredObject<EndpointRecord | null>, hasMore: boolean): void {
+  private handleObject (object: StoredObject<EndpointRecord | null>, hasMore: boolean): void {
     const pending = this.pending ?? new Map(this.snapshot)
     const isChanged = this.applyObject(pending, object) || this.pending !== null
     this.pending = hasMore && isChanged ? pending : null
@@ -150,13 +150,13 @@
     if (object.deleted ? object.version < knownVersion : object.version <= knownVersion) return false
     this.versions.set(name, object.version)
     this.missing.delete(name)
-    if (!object.deleted) this.put(pending, name, object.body)
+    if (!object.deleted) this.putEntry(pending, name, object.body)
     else if (this.clock.nowMs() < this.graceUntilMs) this.missing.add(name)
-    else this.drop(pending, name)
+    else this.dropEntry(pending, name)
     return true
   }
 
-  private takeListing (listing: ObjectListing<EndpointRecord | null>): void {
+  private handleListing (listing: ObjectListing<EndpointRecord | null>): void {
     const pending = new Map(this.snapshot)
     const found = new Set<string>()
     // Of two at one address that are both new here, the one whose entry was written later is taken for the one that is there.
@@ -167,7 +167,7 @@
       this.missing.delete(name)
       if (object.version <= (this.versions.get(name) ?? 0) && this.entries.has(name)) continue
       this.versions.set(name, object.version)
-      this.put(pending, name, object.body)
+      this.putEntry(pending, name, object.body)
     }
     for (const name of this.entries.keys()) {
       if (!found.has(name)) this.missing.add(name)
@@ -191,49 +191,49 @@
   }
 
   private dropMissing (pending: Map<EndpointId, EndpointRecord>): void {
-    for (const name of this.missing) this.drop(pending, name)
+    for (const name of this.missing) this.dropEntry(pending, name)
     this.missing.clear()
   }
 
   /** An entry that is not a worker's names no endpoint, and one of another life ends the former: neither waits for the grace. */
-  private put (pending: Map<EndpointId, EndpointRecord>, name: string, record: EndpointRecord | null): void {
+  private putEntry (pending: Map<EndpointId, EndpointRecord>, name: string, record: EndpointRecord | null): void {
     const former = this.entries.get(name)
-    if (former !== undefined && (former.endpoint !== record?.endpoint || former.address !== record.address)) this.drop(pending, name)
+    if (former !== undefined && (former.endpoint !== record?.endpoint || former.address !== record.address)) this.dropEntry(pending, name)
     if (record === null) return
     this.entries.set(name, record)
     const { isOwner, displaced } = this.addresses.claim(record)
-    if (displaced !== null) this.remove(pending, displaced)
-    if (isOwner) this.list(pending, record)
+    if (displaced !== null) this.removeFromSnapshot(pending, displaced)
+    if (isOwner) this.addToSnapshot(pending, record)
   }
 
-  private list (pending: Map<EndpointId, EndpointRecord>, entry: EndpointRecord): void {
+  private addToSnapshot (pending: Map<EndpointId, EndpointRecord>, entry: EndpointRecord): void {
     const record = this.leaving.has(entry.endpoint) ? { ...entry, leaving: true } : entry
     const former = pending.get(record.endpoint)
     pending.set(record.endpoint, record)
-    this.words.set(record.endpoint, { source: WordSource.List, atMs: this.clock.nowMs() })
-    const isNews = former === undefined || former.leaving !== record.leaving
-    if (isNews && this.listed) this.logListed(record)
+    this.origins.set(record.endpoint, { source: RecordSource.List, atMs: this.clock.nowMs() })
+    const isNew = former === undefined || former.leaving !== record.leaving
+    if (isNew && this.listed) this.logListed(record)
   }
 
   private logListed ({ endpoint, service, address, leaving }: EndpointRecord): void {
     this.log.write(LogKind.EndpointListed, { endpoint, service, address, leaving })
   }
 
-  private drop (pending: Map<EndpointId, EndpointRecord>, name: string): void {
+  private dropEntry (pending: Map<EndpointId, EndpointRecord>, name: string): void {
     const entry = this.entries.get(name)
     if (entry === undefined) return
     this.entries.delete(name)
-    this.remove(pending, entry.endpoint)
-    const heir = this.addresses.release(entry)
-    if (heir !== null) this.list(pending, heir)
+    this.removeFromSnapshot(pending, entry.endpoint)
+    const nextOwner = this.addresses.release(entry)
+    if (nextOwner !== null) this.addToSnapshot(pending, nextOwner)
   }
 
-  private remove (pending: Map<EndpointId, EndpointRecord>, id: EndpointId): void {
+  private removeFromSnapshot (pending: Map<EndpointId, EndpointRecord>, id: EndpointId): void {
     const record = pending.get(id)
     if (record === undefined) return
-    this.words.delete(id)
+    this.origins.delete(id)
     pending.delete(id)
-    this.log.write(LogKind.EndpointUnlisted, { endpoint: id, addressPassedOn: this.hasEnded(record) })
+    this.log.write(LogKind.EndpointUnlisted, { endpoint: id, addressPassedOn: this.isSuperseded(record) })
   }
 
   private commit (pending: ReadonlyMap<EndpointId, EndpointRecord>): void {
@@ -246,7 +246,7 @@
   return key.slice(ENDPOINT_PREFIX.length)
 }
 
-function saysNothingNew (record: EndpointRecord, { membership, model, staged }: Pick<EndpointRecord, 'membership' | 'model' | 'staged'>): boolean {
+function matchesRecord (record: EndpointRecord, { membership, model, staged }: Pick<EndpointRecord, 'membership' | 'model' | 'staged'>): boolean {
   const known = record.membership
   const isSamePlace = known === null || membership === null
     ? known === membership
--- a/packages/dotterelspur-gateway/src/process/FleetLease.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetLease.ts
@@ -6,7 +6,7 @@
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
 /** The one lease: its holder decides for all groups. */
-const FLEET = 'fleet'
+const FLEET_LEASE_NAME = 'fleet'
 
 /**
  * Shorter than a failure domain's lease of the mesh: groups lose members every few seconds, and nothing is mended
@@ -15,7 +15,7 @@
 export const FLEET_LEASE_TIMING: LeaseTiming = { ttlMs: 2_000, renewMs: 700, marginMs: 350, staggerMs: 0, retryMs: 250 }
 
 /** Waiting nodes look at the lease this often, by reads that may be stale and are cheap for it. */
-const LOOK_INTERVAL_MS = 600
+const READ_INTERVAL_MS = 600
 
 /** How far apart nodes that find the lease open try for it, by chance. */
 const CHALLENGE_SPREAD_MS = 300
@@ -27,12 +27,12 @@
 const RETRY_GROWTH = 1.5
 
 /** The lease as it stands in the store: its holder adds what the fleet should know when all nodes start anew, at no call more. */
-interface WrittenLease extends LeaseObject {
-  readonly memory?: KeptMemory | null
+interface StoredLease extends LeaseObject {
+  readonly memory?: LeasePayload | null
 }
 
 /** What is kept with the lease. Others may write there as well, so each part is checked by who takes it. */
-export interface KeptMemory {
+export interface LeasePayload {
   /** What the fleet has learned of its callers and engines. */
   readonly learned?: unknown
   /** Requests that seem to end their endpoints. */
@@ -40,12 +40,12 @@
 }
 
 /** What goes with the lease into the store, and comes out of it again. */
-export interface LeaseMemory {
-  read (): KeptMemory
-  note (memory: KeptMemory): void
+export interface LeasePayloadSource {
+  read (): LeasePayload
+  restore (memory: LeasePayload): void
 }
 
-const NO_MEMORY: LeaseMemory = { read: () => ({}), note: () => {} }
+const NO_PAYLOAD: LeasePayloadSource = { read: () => ({}), restore: () => {} }
 
 /** Takes, renews, watches and gives up the fleet's lease; `step` is called several times a second. */
 export class FleetLease {
@@ -55,17 +55,17 @@
   private lapsedFencing: number | null = null
   private running: Promise<void> | null = null
   /** The lease of the latest holder that is known, in the store or by its own word. */
-  private lastSeen: StoredObject<LeaseObject> | null = null
-  private lookAtMs = 0
+  private latestLease: StoredObject<LeaseObject> | null = null
+  private nextReadAtMs = 0
   private notBeforeMs = -Infinity
   /** Nodes that start together don't all ask for the lease at once. */
   private readonly challengeFromMs: number
   private renewals = 0
   /** When this node's turn to take a lapsed lease comes; null while it hasn't lapsed. */
-  private turnAtMs: number | null = null
+  private challengeAtMs: number | null = null
   private failedChallenges = 0
   private stopped = false
-  private isRenewalDue = false
+  private isRenewalRequested = false
   private readonly knownListeners = new Set<() => void>()
 
   constructor (
@@ -73,7 +73,7 @@
     /** The lease was taken from a holder that let it lapse: it has given no sign of life for the whole time to live. */
     private readonly onLapsedHolder: (holder: LeaseIdentity) => void,
     private readonly nodeCount: () => number = () => 1,
-    private readonly memory: LeaseMemory = NO_MEMORY
+    private readonly memory: LeasePayloadSource = NO_PAYLOAD
   ) {
     this.challengeFromMs = clock.nowMs() + random.next() * CHALLENGE_SPREAD_MS
   }
@@ -90,8 +90,8 @@
   }
 
   /** What is kept with the lease has changed: its holder writes it without waiting for the next renewal. */
-  renewSoon (): void {
-    this.isRenewalDue = this.held !== null
+  requestRenewal (): void {
+    this.isRenewalRequested = this.held !== null
   }
 
   /** Asked right before each order. */
@@ -104,7 +104,7 @@
    * taken over, as with the store out for all. It orders nothing then, but what nodes tell each other through it,
    * loads and stopped groups, needs no agreement.
    */
-  coordinates (): boolean {
+  isCoordinator (): boolean {
     if (this.held !== null) return true
     return this.lapsedFencing !== null && (this.sighting.lease?.fencing ?? 0) <= this.lapsedFencing
   }
@@ -116,26 +116,26 @@
 
   /** The number under which this node coordinates, as the holder or as the last one; null where it doesn't. */
   get coordinationFencing (): number | null {
-    return this.coordinates() ? this.held?.fencing ?? this.lapsedFencing : null
+    return this.isCoordinator() ? this.held?.fencing ?? this.lapsedFencing : null
   }
 
   /** The lease of a later holder than the one of this number; null where none is known. */
-  laterThan (fencing: number): StoredObject<LeaseObject> | null {
-    const latest = this.heldLease ?? this.lastSeen
+  leaseAfter (fencing: number): StoredObject<LeaseObject> | null {
+    const latest = this.heldLease ?? this.latestLease
     return latest !== null && latest.body.fencing > fencing ? latest : null
   }
 
   /** The lease as this node holds it; null while another one does. */
   get heldLease (): StoredObject<LeaseObject> | null {
     if (this.held === null) return null
-    return { key: leaseKey(FLEET), version: this.held.version, body: composeLease(this.held, FLEET_LEASE_TIMING), deleted: false }
+    return { key: leaseKey(FLEET_LEASE_NAME), version: this.held.version, body: composeLease(this.held, FLEET_LEASE_TIMING), deleted: false }
   }
 
   /** The holder told of its lease: as good as a look at the store, and no call. */
-  noteWord (lease: StoredObject<LeaseObject>): void {
+  noteLease (lease: StoredObject<LeaseObject>): void {
     if (this.held !== null) return
     this.observe(lease)
-    this.lookAtMs = this.clock.nowMs() + LOOK_INTERVAL_MS
+    this.nextReadAtMs = this.clock.nowMs() + READ_INTERVAL_MS
   }
 
   /** This process did not run for a while: someone else may hold the lease now. */
@@ -145,7 +145,7 @@
 
   async step (): Promise<void> {
     if (this.running !== null || this.stopped) return
-    this.running = this.act()
+    this.running = this.advance()
     try {
       await this.running
     } finally {
@@ -162,23 +162,23 @@
     this.lose(LeaseLoss.Released)
   }
 
-  private async act (): Promise<void> {
+  private async advance (): Promise<void> {
     const nowMs = this.clock.nowMs()
-    if (this.held === null && nowMs < this.challengeFromMs && !this.heldFormerly()) return await this.look(nowMs)
+    if (this.held === null && nowMs < this.challengeFromMs && !this.isHeldByFormerIncarnation()) return await this.readLease(nowMs)
     if (nowMs < this.notBeforeMs) return
     if (this.held !== null) return await this.renew(this.held, nowMs)
     await this.challenge(nowMs)
   }
 
   /** An earlier life of this node holds the lease: nobody else may take it soon, and this one at once. */
-  private heldFormerly (): boolean {
+  private isHeldByFormerIncarnation (): boolean {
     return this.sighting.lease?.holder === this.self.node
   }
 
   private async renew (term: LeaseTerm, nowMs: number): Promise<void> {
     if (isExpired(term, FLEET_LEASE_TIMING, nowMs)) return this.lose(LeaseLoss.Expired)
-    if (nowMs < renewalDueAtMs(term, FLEET_LEASE_TIMING) && !this.isRenewalDue) return
-    this.isRenewalDue = false
+    if (nowMs < renewalDueAtMs(term, FLEET_LEASE_TIMING) && !this.isRenewalRequested) return
+    this.isRenewalRequested = false
     const result = await runProcedure(renewLease(term, this.self, FLEET_LEASE_TIMING), this.handlers())
     if (result.kind === LeaseResultKind.Lost) {
       if (result.observed !== null) this.observe(result.observed)
@@ -192,12 +192,12 @@
   private async challenge (nowMs: number): Promise<void> {
     const decision = decideChallenge(this.sighting, { ...this.self, rank: 0, hasOneLife: true }, FLEET_LEASE_TIMING, nowMs)
     if (decision.kind === ChallengeKind.Wait) {
-      this.turnAtMs = null
-      return await this.look(nowMs)
+      this.challengeAtMs = null
+      return await this.readLease(nowMs)
     }
-    this.turnAtMs ??= this.heldFormerly() ? nowMs : nowMs + this.random.next() * CHALLENGE_SPREAD_PER_NODE_MS * (this.nodeCount() - 1)
-    if (nowMs < this.turnAtMs) return
-    const result = await runProcedure(takeLease(FLEET, this.self, decision.expectedVersion, decision.fencing, FLEET_LEASE_TIMING), this.handlers())
+    this.challengeAtMs ??= this.isHeldByFormerIncarnation() ? nowMs : nowMs + this.random.next() * CHALLENGE_SPREAD_PER_NODE_MS * (this.nodeCount() - 1)
+    if (nowMs < this.challengeAtMs) return
+    const result = await runProcedure(takeLease(FLEET_LEASE_NAME, this.self, decision.expectedVersion, decision.fencing, FLEET_LEASE_TIMING), this.handlers())
     if (result.kind === LeaseResultKind.Held) {
       this.held = result.term
       this.lapsedFencing = null
@@ -208,7 +208,7 @@
     if (result.observed !== null) this.observe(result.observed)
     this.failedChallenges = result.observed === null ? this.failedChallenges + 1 : 0
     this.notBeforeMs = this.clock.nowMs() + this.retryPauseMs() * (0.5 + this.random.next())
-    this.lookAtMs = 0
+    this.nextReadAtMs = 0
   }
 
   /** Longer with each try that didn't reach the store, as far as the size of the fleet asks for it. */
@@ -218,23 +218,23 @@
     return Math.min(limitMs, retryMs * RETRY_GROWTH ** this.failedChallenges)
   }
 
-  private async look (nowMs: number): Promise<void> {
-    if (nowMs < this.lookAtMs) return
-    this.lookAtMs = nowMs + LOOK_INTERVAL_MS
+  private async readLease (nowMs: number): Promise<void> {
+    if (nowMs < this.nextReadAtMs) return
+    this.nextReadAtMs = nowMs + READ_INTERVAL_MS
     const freshness = this.sighting.firstSeenAtMs === null ? ReadFreshness.Newest : ReadFreshness.MayBeStale
-    const read = await this.store.get<LeaseObject>(leaseKey(FLEET), freshness)
+    const read = await this.store.get<LeaseObject>(leaseKey(FLEET_LEASE_NAME), freshness)
     if (read.ok) this.observe(read.value)
-    else if (read.error.kind === StoreErrorKind.NotFound) this.know(observeAbsence(this.sighting, this.clock.nowMs()))
+    else if (read.error.kind === StoreErrorKind.NotFound) this.setSighting(observeAbsence(this.sighting, this.clock.nowMs()))
   }
 
   private observe (stored: StoredObject<LeaseObject>): void {
-    if (!stored.deleted && stored.body.fencing >= (this.lastSeen?.body.fencing ?? 0)) this.lastSeen = stored
+    if (!stored.deleted && stored.body.fencing >= (this.latestLease?.body.fencing ?? 0)) this.latestLease = stored
     if (stored.deleted) return
-    this.memory.note((stored.body as WrittenLease).memory ?? {})
-    this.know(observeLease(this.sighting, stored.version, stored.body, this.clock.nowMs()))
+    this.memory.restore((stored.body as StoredLease).memory ?? {})
+    this.setSighting(observeLease(this.sighting, stored.version, stored.body, this.clock.nowMs()))
   }
 
-  private know (sighting: LeaseSighting): void {
+  private setSighting (sighting: LeaseSighting): void {
     const wasKnown = this.isKnown
     this.sighting = sighting
     if (wasKnown || !this.isKnown) return
@@ -247,7 +247,7 @@
     if (term === null) return
     this.lapsedFencing = reason === LeaseLoss.Expired ? term.fencing : null
     this.sighting = raiseFencingFloor({ ...this.sighting, firstSeenAtMs: this.clock.nowMs() }, term.fencing)
-    this.lookAtMs = 0
+    this.nextReadAtMs = 0
     this.log.write(LogKind.LeaseLost, { fencing: term.fencing, reason })
   }
 
@@ -257,7 +257,7 @@
       [LeaseEffectKind.Renewal]: () => ++this.renewals,
       [LeaseEffectKind.Read]: async ({ key }) => await this.store.get<LeaseObject>(key),
       [LeaseEffectKind.Write]: async ({ key, body, expectedVersion }) => {
-        const written: WrittenLease = { ...body, memory: this.memory.read() }
+        const written: StoredLease = { ...body, memory: this.memory.read() }
         return expectedVersion === 0 ? await this.store.create(key, written) : await this.store.update(key, written, expectedVersion)
       }
     }
--- a/packages/dotterelspur-gateway/src/process/FleetKnowledge.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetView.ts
@@ -5,32 +5,32 @@
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
 /** What a node knows of the fleet's load, speeds, needs, pauses, demand and callers' deadlines: what it sees itself, and what all nodes are told. */
-export class FleetKnowledge {
+export class FleetView {
   readonly load = new TargetLoad()
   readonly speeds = new EndpointSpeeds()
   readonly demand = new DemandMeter()
   readonly pauses = new StreamPauses()
   readonly firstEvents = new FirstEventDelays()
   readonly deadlines: DeadlineHistory
-  readonly needs: EndpointNeeds
-  private remembered = EMPTY_MEMORY
+  readonly backpressure: EndpointNeeds
+  private fleetMemory = EMPTY_MEMORY
   private pools: readonly TargetPool[] = []
-  private wasTold = false
+  private wasFresh = false
 
   constructor (private readonly clock: Clock, private readonly log: DecisionLog, node: NodeId) {
-    this.needs = new EndpointNeeds(node)
+    this.backpressure = new EndpointNeeds(node)
     this.deadlines = new DeadlineHistory(clock.nowMs())
   }
 
   /** What the fleet has learned, for nodes that start later. */
   get memory (): FleetMemory {
-    return this.remembered
+    return this.fleetMemory
   }
 
   /** What the fleet had learned by the lease of its deciding node; what this node was told itself is newer. */
-  noteMemory (written: unknown): void {
+  mergeMemory (written: unknown): void {
     const memory = readFleetMemory(written)
-    if (memory !== null) this.keep(remember(memory, this.remembered))
+    if (memory !== null) this.applyMemory(remember(memory, this.fleetMemory))
   }
 
   /** What this node sees, to be told to the others. */
@@ -44,52 +44,52 @@
       pauses: this.pauses.observed(nowMs),
       firstEvents: this.firstEvents.observed(),
       deadlines: this.deadlines.observed(nowMs),
-      limits: this.needs.limits.observed(nowMs),
-      rests: this.needs.rests.observed(nowMs),
-      leaving: this.needs.leavingObserved()
+      limits: this.backpressure.limits.observed(nowMs),
+      rests: this.backpressure.rests.observed(nowMs),
+      leaving: this.backpressure.leavingObserved()
     }
   }
 
   /** Takes in what all nodes together see. */
-  noteFleet (fleet: FleetObservation): void {
+  applyFleetObservation (fleet: FleetObservation): void {
     const nowMs = this.clock.nowMs()
     this.load.noteTold(fleet, nowMs)
     this.speeds.noteTold(fleet.speeds)
     this.demand.noteTold(fleet.demand)
     this.pauses.noteTold(fleet.pauses)
-    this.needs.limits.noteTold(fleet.limits, nowMs)
-    this.needs.rests.noteTold(fleet.rests, nowMs)
-    this.keep(remember(this.remembered, fleet))
-    this.arrange(this.pools)
-    this.check()
+    this.backpressure.limits.noteTold(fleet.limits, nowMs)
+    this.backpressure.rests.noteTold(fleet.rests, nowMs)
+    this.applyMemory(remember(this.fleetMemory, fleet))
+    this.updatePools(this.pools)
+    this.checkFreshness()
   }
 
-  private keep (memory: FleetMemory): void {
-    this.remembered = memory
+  private applyMemory (memory: FleetMemory): void {
+    this.fleetMemory = memory
     this.firstEvents.noteTold(memory.firstEvents)
     this.deadlines.noteTold(memory.deadlines)
   }
 
   /** Forecasts the load of the pools as they are now. */
-  arrange (pools: readonly TargetPool[]): void {
+  updatePools (pools: readonly TargetPool[]): void {
     this.pools = pools
     const nowMs = this.clock.nowMs()
-    this.load.arrange(pools.map((pool) => loadPool(pool, this.speeds, this.needs, nowMs)), nowMs)
+    this.load.arrange(pools.map((pool) => loadPool(pool, this.speeds, this.backpressure, nowMs)), nowMs)
   }
 
   /** Forgets endpoints that are gone. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     this.load.retain(endpoints)
     this.speeds.retain(endpoints)
-    this.needs.retain(endpoints, this.clock.nowMs())
+    this.backpressure.retain(endpoints, this.clock.nowMs())
   }
 
   /** Called before it is relied on: without fresh word of the fleet a node goes by what it sees itself. */
-  check (): void {
+  checkFreshness (): void {
     const nowMs = this.clock.nowMs()
     const isTold = this.load.isTold(nowMs)
-    if (isTold === this.wasTold) return
-    this.wasTold = isTold
+    if (isTold === this.wasFresh) return
+    this.wasFresh = isTold
     if (!isTold) {
       this.speeds.noteTold(null)
       this.demand.noteTold(null)
--- a/packages/dotterelspur-gateway/src/process/FormationKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationController.ts
@@ -4,15 +4,15 @@
 } from 'dotterelspur'
 import type { DecisionLog } from './DecisionLog.js'
 import { LogKind } from './DecisionLog.js'
-import type { EndpointKeeper } from './EndpointKeeper.js'
+import type { EndpointRegistry } from './EndpointRegistry.js'
 import type { FleetLease } from './FleetLease.js'
-import { EndpointQuestions } from './EndpointQuestions.js'
+import { VerifiedReportClient } from './VerifiedReportClient.js'
 import { FleetStateLog, isServingHead } from './FleetStateLog.js'
 import { FormationRunner } from './FormationRunner.js'
-import { describePlace, FormationTrail } from './FormationTrail.js'
+import { describeMembership, FormationHistory } from './FormationHistory.js'
 import type { EndpointControl } from './GatewayPorts.js'
-import { LoadMeter, type LoadUnderWay } from './LoadMeter.js'
-import type { ManifestKeeper } from './ManifestKeeper.js'
+import { WeightLoadTracker, type LoadInProgress } from './WeightLoadTracker.js'
+import type { ManifestFollower } from './ManifestFollower.js'
 import { Reachability } from './Reachability.js'
 
 /** Formation numbers of one lease holding; the next holding's are all higher. */
@@ -21,88 +21,88 @@
 /** Changes of the list come in bursts, as when members of a group get ready one after the other. */
 const SETTLE_MS = 20
 /** Looks at the fleet also without a change: endpoints fall silent without one. */
-const LOOK_INTERVAL_MS = 250
+const EVALUATION_INTERVAL_MS = 250
 /** Endpoints of a fleet that starts appear within two or three seconds of each other, with shorter gaps between them. */
 const SETTLED_MS = 1_500
 /** A lost plan's members are left alone for this long, so that the same plan isn't tried without pause. */
 const FAILED_PLAN_PAUSE_MS = 300
 
-export interface FormationKeeperParts {
+export interface FormationControllerParts {
   readonly clock: Clock
   readonly log: DecisionLog
   readonly lease: FleetLease
-  readonly manifest: ManifestKeeper
-  readonly endpoints: EndpointKeeper
+  readonly manifest: ManifestFollower
+  readonly endpoints: EndpointRegistry
   readonly control: EndpointControl
   /** Group time that callers ask for, by model; empty while nothing is known. */
   readonly demand: () => ReadonlyMap<ModelId, number>
   /** A group is suspected, and its members are being asked. */
   readonly onSuspected: (head: EndpointId) => void
   /** Groups that have lost a member and are listed as open, by their heads; told again while it lasts. */
-  readonly onStopped: (heads: readonly EndpointId[], isNews: boolean) => void
+  readonly onStalled: (heads: readonly EndpointId[], isNew: boolean) => void
   /**
    * Whether all endpoints are known. A node that was told only of those that take requests would judge groups by what their
    * members were long ago: it would call most of them stopped, and all nodes would leave them.
    */
-  readonly knowsAll: () => boolean
+  readonly hasAllEndpoints: () => boolean
   /** Whether callers' requests have come, after which loads take their full time. */
-  readonly trafficSeen: () => boolean
+  readonly hasTraffic: () => boolean
 }
 
 /** Keeps the groups of each model service: decides while it holds the lease, and carries out what was decided. */
-export class FormationKeeper {
-  private readonly questions: EndpointQuestions
+export class FormationController {
+  private readonly reports: VerifiedReportClient
   private readonly reachability: Reachability
   private readonly runner: FormationRunner
-  private readonly loads = new LoadMeter()
+  private readonly loads = new WeightLoadTracker()
   private readonly engaged = new Map<EndpointId, FormationPlan>()
   private readonly forming = new Set<FormationPlan>()
   /** Heads that left the list and may still serve those who know their address. */
   private readonly unlistedHeads = new Map<EndpointId, EndpointRecord>()
-  private known: ReadonlyMap<EndpointId, EndpointRecord> = new Map()
+  private records: ReadonlyMap<EndpointId, EndpointRecord> = new Map()
   private readonly fullSizes = new Map<string, number>()
-  private toldStopped: ReadonlySet<EndpointId> = new Set()
-  private formations = 0
+  private reportedStalled: ReadonlySet<EndpointId> = new Set()
+  private formationCount = 0
   private readonly stateLog: FleetStateLog
   private appearedAtMs = -Infinity
-  private cancelLook: Teardown = () => {}
+  private cancelEvaluation: Teardown = () => {}
   private stopped = false
 
-  constructor (private readonly parts: FormationKeeperParts) {
+  constructor (private readonly parts: FormationControllerParts) {
     this.stateLog = new FleetStateLog(parts.clock, parts.log)
-    this.questions = new EndpointQuestions({ control: parts.control, hasEnded: (place) => parts.endpoints.hasEnded(place) })
-    this.reachability = new Reachability(this.questions, parts.clock, parts.log, () => { this.lookSoon() })
+    this.reports = new VerifiedReportClient({ control: parts.control, isSuperseded: (place) => parts.endpoints.isSuperseded(place) })
+    this.reachability = new Reachability(this.reports, parts.clock, parts.log, () => { this.evaluateSoon() })
     const { clock, lease, endpoints, control } = parts
-    this.runner = new FormationRunner({ clock, lease, endpoints, control, questions: this.questions, reachability: this.reachability, find: (endpoint) => this.known.get(endpoint) ?? this.unlistedHeads.get(endpoint) })
+    this.runner = new FormationRunner({ clock, lease, endpoints, control, reports: this.reports, reachability: this.reachability, find: (endpoint) => this.records.get(endpoint) ?? this.unlistedHeads.get(endpoint) })
     endpoints.registerListener((changed) => { this.noteEndpoints(changed) })
-    parts.manifest.registerListener(() => { this.lookSoon() })
+    parts.manifest.registerListener(() => { this.evaluateSoon() })
   }
 
   start (): void {
-    this.schedule(LOOK_INTERVAL_MS)
+    this.schedule(EVALUATION_INTERVAL_MS)
   }
 
   stop (): void {
     this.stopped = true
-    this.cancelLook()
+    this.cancelEvaluation()
   }
 
   /** Loads that this node has begun or been told of. */
-  loadsUnderWay (): LoadUnderWay[] {
-    return this.loads.underWay(this.parts.clock.nowMs())
+  loadsInProgress (): LoadInProgress[] {
+    return this.loads.inProgress(this.parts.clock.nowMs())
   }
 
   /** What the deciding node has begun: its successor begins no loads beside these, which would slow all of them. */
-  noteLoads (loads: readonly LoadUnderWay[]): void {
+  noteLoads (loads: readonly LoadInProgress[]): void {
     if (!this.parts.lease.mayOrder()) this.loads.replace(loads, this.parts.clock.nowMs())
   }
 
   /** A caller's exchange suggests that a group stands still: each member that can be found is asked. */
   suspectGroup (head: EndpointId): void {
-    const record = this.known.get(head)
-    if (record === undefined || record.membership === null || !this.parts.lease.coordinates()) return
+    const record = this.records.get(head)
+    if (record === undefined || record.membership === null || !this.parts.lease.isCoordinator()) return
     const { membership } = record
-    const members = [...this.known.values()].filter((other) => sameFormation(other, record))
+    const members = [...this.records.values()].filter((other) => isSameFormation(other, record))
     const asked = members.filter((member) => this.reachability.suspect(member))
     if (asked.length === 0) return
     this.parts.log.write(LogKind.GroupSuspected, { head, group: membership.group, asked: asked.length })
@@ -110,58 +110,58 @@
   }
 
   /** Heads that take requests though their group has lost a member. */
-  stoppedHeads (): EndpointId[] {
-    if (!this.parts.knowsAll()) return []
+  stalledHeads (): EndpointId[] {
+    if (!this.parts.hasAllEndpoints()) return []
     const models = this.parts.manifest.current?.manifest.services.flatMap(({ engine }) => engine?.models ?? []) ?? []
     const sizes = new Map(models.map(({ model, size }) => [model, size]))
-    return stoppedHeads(this.known.values(), sizes, ({ endpoint }) => !this.reachability.isUnreachable(endpoint))
+    return stoppedHeads(this.records.values(), sizes, ({ endpoint }) => !this.reachability.isUnreachable(endpoint))
   }
 
-  private tellStopped (): void {
-    const heads = this.stoppedHeads()
-    const isNews = heads.some((head) => !this.toldStopped.has(head))
-    this.toldStopped = new Set(heads)
-    if (heads.length > 0) this.parts.onStopped(heads, isNews)
+  private reportStalled (): void {
+    const heads = this.stalledHeads()
+    const isNew = heads.some((head) => !this.reportedStalled.has(head))
+    this.reportedStalled = new Set(heads)
+    if (heads.length > 0) this.parts.onStalled(heads, isNew)
   }
 
   private noteEndpoints (endpoints: ReadonlyMap<EndpointId, EndpointRecord>): void {
-    for (const [id, record] of this.known) {
-      if (!endpoints.has(id) && isServingHead(record) && !this.parts.endpoints.hasEnded(record)) {
+    for (const [id, record] of this.records) {
+      if (!endpoints.has(id) && isServingHead(record) && !this.parts.endpoints.isSuperseded(record)) {
         this.unlistedHeads.set(id, record)
         if (this.parts.lease.mayOrder()) this.reachability.suspect(record)
       }
     }
     for (const id of endpoints.keys()) {
       this.unlistedHeads.delete(id)
-      if (!this.known.has(id)) this.appearedAtMs = this.parts.clock.nowMs()
+      if (!this.records.has(id)) this.appearedAtMs = this.parts.clock.nowMs()
     }
-    this.known = endpoints
+    this.records = endpoints
     this.loads.retain(endpoints)
-    this.questions.retain(endpoints)
-    for (const record of endpoints.values()) this.loads.noteStaged(record)
-    this.runner.noteList()
-    this.lookSoon()
+    this.reports.retain(endpoints)
+    for (const record of endpoints.values()) this.loads.noteStagedModels(record)
+    this.runner.noteListChanged()
+    this.evaluateSoon()
   }
 
-  private lookSoon (): void {
+  private evaluateSoon (): void {
     this.schedule(SETTLE_MS)
   }
 
   private schedule (delayMs: number): void {
     if (this.stopped) return
-    this.cancelLook()
-    this.cancelLook = this.parts.clock.registerTimer(delayMs, () => { this.look() })
+    this.cancelEvaluation()
+    this.cancelEvaluation = this.parts.clock.registerTimer(delayMs, () => { this.evaluate() })
   }
 
-  private look (): void {
-    this.schedule(LOOK_INTERVAL_MS)
+  private evaluate (): void {
+    this.schedule(EVALUATION_INTERVAL_MS)
     const { lease, manifest } = this.parts
-    if (!lease.coordinates() || !this.parts.knowsAll() || manifest.current === null) return
+    if (!lease.isCoordinator() || !this.parts.hasAllEndpoints() || manifest.current === null) return
     for (const head of this.unlistedHeads.keys()) {
       if (this.reachability.isUnreachable(head)) this.unlistedHeads.delete(head)
     }
-    this.reachability.recheck(this.known, new Set(this.unlistedHeads.keys()))
-    this.tellStopped()
+    this.reachability.recheck(this.records, new Set(this.unlistedHeads.keys()))
+    this.reportStalled()
     if (!lease.mayOrder()) return
     for (const service of manifest.current.manifest.services) {
       if (service.engine !== null) this.decide(service, service.engine)
@@ -170,7 +170,7 @@
 
   private decide (service: ServiceSpec, engine: EngineSpec): void {
     const { clock } = this.parts
-    const endpoints = [...this.known.values()].filter((record) => record.service === service.service)
+    const endpoints = [...this.records.values()].filter((record) => record.service === service.service)
     const sound = endpoints.filter(({ leaving }) => !leaving).length
     const fullSize = Math.max(sound, this.fullSizes.get(service.service) ?? 0)
     this.fullSizes.set(service.service, fullSize)
@@ -178,14 +178,14 @@
       endpoints,
       unreachable: this.reachability.unreachable(),
       unlistedHeads: this.reachableUnlistedHeads(),
-      engaged: this.engagedNow(),
+      engaged: this.engagedEndpoints(),
       forming: [...this.forming].map((plan) => this.formingGroup(plan)),
       models: engine.models,
       demand: this.demandOf(engine),
       fullSize,
       loading: this.loads.loading(clock.nowMs()),
-      loadAllowance: this.parts.trafficSeen() ? this.loads.allowance(engine, clock.nowMs()) : endpoints.length,
-      mayLoadToForm: !this.parts.trafficSeen(),
+      loadAllowance: this.parts.hasTraffic() ? this.loads.allowance(engine, clock.nowMs()) : endpoints.length,
+      mayLoadToForm: !this.parts.hasTraffic(),
       isSettled: clock.nowMs() - this.appearedAtMs >= SETTLED_MS,
       nextFormation: () => this.nextFormation()
     })
@@ -195,13 +195,13 @@
     })
   }
 
-  private engagedNow (): Set<EndpointId> {
+  private engagedEndpoints (): Set<EndpointId> {
     const engaged = new Set([...this.engaged.keys(), ...this.reachability.undecided()])
     for (const [head, record] of this.unlistedHeads) {
       const isDecided = this.reachability.isReachable(head) || this.reachability.isUnreachable(head)
       if (isDecided) continue
-      for (const other of this.known.values()) {
-        if (sameFormation(other, record)) engaged.add(other.endpoint)
+      for (const other of this.records.values()) {
+        if (isSameFormation(other, record)) engaged.add(other.endpoint)
       }
     }
     return engaged
@@ -216,7 +216,7 @@
   }
 
   private formingGroup ({ model, members }: FormationPlan): FormingGroup {
-    const known = members.map((member) => this.known.get(member)?.fabricDomain).find((domain) => domain !== undefined && domain !== null)
+    const known = members.map((member) => this.records.get(member)?.fabricDomain).find((domain) => domain !== undefined && domain !== null)
     return { model, fabricDomain: known ?? '' }
   }
 
@@ -228,8 +228,8 @@
   }
 
   private nextFormation (): number {
-    this.formations += 1
-    return this.parts.lease.fencing! * FORMATIONS_PER_TERM + this.formations
+    this.formationCount += 1
+    return this.parts.lease.fencing! * FORMATIONS_PER_TERM + this.formationCount
   }
 
   private begin (decision: FormationDecision, engine: EngineSpec): void {
@@ -252,22 +252,22 @@
     log.write(LogKind.FormationBegun, {
       group: plan.group, model: plan.model, members: plan.members, places: plan.members.map((member) => this.describeMember(member)), former: plan.former.map(({ group, head }) => `${group}:${head ?? 'gone'}`)
     })
-    const trail = new FormationTrail()
-    const end = await this.runner.run(plan, trail)
-    log.write(LogKind.FormationEnded, { group: plan.group, model: plan.model, end, tookMs: Math.round(clock.nowMs() - startedAtMs), steps: trail.steps })
+    const history = new FormationHistory()
+    const end = await this.runner.run(plan, history)
+    log.write(LogKind.FormationEnded, { group: plan.group, model: plan.model, end, tookMs: Math.round(clock.nowMs() - startedAtMs), steps: history.steps })
     if (end === FormationEnd.Opened) await this.runner.untilListedOpen(plan)
     else await sleep(clock, FAILED_PLAN_PAUSE_MS)
     this.forming.delete(plan)
     for (const member of plan.members) this.engaged.delete(member)
-    this.lookSoon()
+    this.evaluateSoon()
   }
 
   /** Where a member is taken to be, and who said so how long ago. */
   private describeMember (member: EndpointId): string {
-    const record = this.known.get(member)
-    const word = this.parts.endpoints.lastWord(member)
-    if (record === undefined || word === undefined) return `${member}: unknown`
-    return `${member} at ${record.address}: ${describePlace(record.membership)}, by ${word.source} ${Math.round(this.parts.clock.nowMs() - word.atMs)} ms ago`
+    const record = this.records.get(member)
+    const origin = this.parts.endpoints.recordOrigin(member)
+    if (record === undefined || origin === undefined) return `${member}: unknown`
+    return `${member} at ${record.address}: ${describeMembership(record.membership)}, by ${origin.source} ${Math.round(this.parts.clock.nowMs() - origin.atMs)} ms ago`
   }
 
   private async stage (endpoint: EndpointId, model: ModelId, engine: EngineSpec): Promise<void> {
@@ -276,17 +276,17 @@
     const [reply] = await this.runner.sendOrders([{ endpoint, order: { kind: EndpointOrderKind.Stage, model }, expectedOrders: null }])
     this.parts.log.write(LogKind.HostStaged, { endpoint, model, reply })
     if (reply === OrderReply.Unfit || reply === OrderReply.Elsewhere || reply === OrderReply.Unreachable) this.loads.drop(endpoint)
-    if (reply === OrderReply.Unanswered) this.loads.doubt(endpoint, this.parts.clock.nowMs())
+    if (reply === OrderReply.Unanswered) this.loads.markUncertain(endpoint, this.parts.clock.nowMs())
   }
 
   private beginLoads (plan: FormationPlan, engine: EngineSpec): void {
     const spec = engine.models.find(({ model }) => model === plan.model)!
     for (const member of plan.members) {
-      if (this.known.get(member)?.staged.includes(plan.model) !== true) this.loads.begin(member, spec, this.parts.clock.nowMs())
+      if (this.records.get(member)?.staged.includes(plan.model) !== true) this.loads.begin(member, spec, this.parts.clock.nowMs())
     }
   }
 }
 
-function sameFormation (left: EndpointRecord, right: EndpointRecord): boolean {
+function isSameFormation (left: EndpointRecord, right: EndpointRecord): boolean {
   return left.membership !== null && right.membership !== null && left.membership.group === right.membership.group && left.membership.formation === right.membership.formation
 }
--- a/packages/dotterelspur-gateway/src/process/Gateway.ts
+++ b/packages/dotterelspur-gateway/src/process/Gateway.ts
@@ -5,24 +5,24 @@
 import { Suspicion } from '../connection/PeerFrame.js'
 import { PeerLinks } from '../connection/PeerLinks.js'
 import { jsonAnswer, listenSmall, type SmallHandler } from '../connection/SmallListeners.js'
-import type { DeciderWord } from './DeciderWord.js'
+import type { LeaseHolderState } from './LeaseHolderState.js'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 import { Dispatch } from './Dispatch.js'
-import { ENDPOINT_PREFIX, EndpointKeeper } from './EndpointKeeper.js'
-import { StopCertainty } from './ExchangeWatch.js'
-import { FirstKnowledge } from './FirstKnowledge.js'
+import { ENDPOINT_PREFIX, EndpointRegistry } from './EndpointRegistry.js'
+import { StallCertainty } from './StallDetector.js'
+import { InitialSync } from './InitialSync.js'
 import { FleetLease } from './FleetLease.js'
 import { FollowedStore } from './FollowedStore.js'
-import { FormationKeeper } from './FormationKeeper.js'
+import { FormationController } from './FormationController.js'
 import { GatewayMetrics } from './GatewayMetrics.js'
 import type { EndpointControl, WireFormat } from './GatewayPorts.js'
-import type { GatewayQuestions } from './GatewayQuestions.js'
+import type { PlatformFormat } from './PlatformFormat.js'
 import { addressOf, type GatewayLimits, type GatewaySettings, type ListenAddress } from './GatewaySettings.js'
-import { ManifestKeeper } from './ManifestKeeper.js'
-import { NodeKeeper, nodeRecord, type NodeRecord } from './NodeKeeper.js'
-import { PoisonKeeper } from './PoisonKeeper.js'
+import { ManifestFollower } from './ManifestFollower.js'
+import { NodeRegistry, nodeRecord, type NodeRecord } from './NodeRegistry.js'
+import { PoisonTracker } from './PoisonTracker.js'
 import { registerGauges } from './registerGauges.js'
-import { WORD_VALID_MS } from './StoreFeed.js'
+import { PROGRESS_VALID_MS } from './StoreFeed.js'
 import type { VersionedStore } from './VersionedStore.js'
 
 /** How often the lease, the log and pauses are looked at. */
@@ -42,22 +42,22 @@
   readonly wire: WireFormat
   readonly log: DecisionLog
   /** The names under which the platform asks; they belong to the adapter. */
-  readonly questions: GatewayQuestions
+  readonly platformFormat: PlatformFormat
 }
 
 /** One process of the system: takes requests, answers the directory, and decides while it holds the lease. */
 export class Gateway {
   readonly metrics = new GatewayMetrics()
   private readonly store: FollowedStore
-  private readonly manifest: ManifestKeeper
-  private readonly endpoints: EndpointKeeper
-  private readonly firstKnowledge: FirstKnowledge
-  private readonly nodes: NodeKeeper
+  private readonly manifest: ManifestFollower
+  private readonly endpoints: EndpointRegistry
+  private readonly initialSync: InitialSync
+  private readonly nodes: NodeRegistry
   private readonly lease: FleetLease
-  private readonly formations: FormationKeeper
+  private readonly formations: FormationController
   private readonly dispatch: Dispatch
   private readonly quarantine: QuarantineKeeper
-  private readonly poison: PoisonKeeper
+  private readonly poison: PoisonTracker
   private readonly callers: CallerListener
   private readonly peers: PeerLinks
   private readonly stopVotes = new StopVotes()
@@ -65,7 +65,7 @@
   private readonly teardowns: Teardown[] = []
   private limits: GatewayLimits
   private draining = false
-  private coordinated = false
+  private wasCoordinator = false
   private steppedAtMs: number
 
   constructor (private readonly settings: GatewaySettings, private readonly parts: GatewayParts) {
@@ -80,28 +80,28 @@
       clock,
       random,
       log,
-      decides: () => this.lease.mayOrder(),
+      isLeaseHolder: () => this.lease.mayOrder(),
       nodeCount: () => this.nodes.nodes().length,
       changes: settings.changes,
       // A list is as good as a word, and relied on for as long.
-      firstWordMs: WORD_VALID_MS,
-      share: (news) => { this.peers.tellNews(news) },
+      initialProgressTimeoutMs: PROGRESS_VALID_MS,
+      share: (update) => { this.peers.tellNews(update) },
       concernsCallers: (object) => this.endpoints.concernsCallers(object as StoredObject<EndpointRecord | null>)
     })
     const { store } = this
-    this.manifest = new ManifestKeeper(log)
-    this.endpoints = new EndpointKeeper(clock, log, (service) => this.manifest.serves(service))
+    this.manifest = new ManifestFollower(log)
+    this.endpoints = new EndpointRegistry(clock, log, (service) => this.manifest.serves(service))
     this.quarantine = new QuarantineKeeper({ store, node: settings.node, mostEntries: settings.poison.mostRecords, clock, onProblem: (fingerprint, reason) => { log.write(LogKind.Unexpected, { where: 'quarantine', fingerprint, reason }) } })
-    this.nodes = new NodeKeeper(store, nodeRecord(settings, incarnation), clock, log)
+    this.nodes = new NodeRegistry(store, nodeRecord(settings, incarnation), clock, log)
     this.lease = new FleetLease(store, { node: settings.node, incarnation }, clock, random, log, (holder) => { this.dropNode(holder) }, () => this.nodes.nodes().length, {
-      read: () => ({ learned: this.dispatch.knowledge.memory, suspects: this.poison.suspects() }),
-      note: ({ learned, suspects }) => {
-        this.dispatch.knowledge.noteMemory(learned)
-        this.poison.noteTold(suspects)
+      read: () => ({ learned: this.dispatch.fleetView.memory, suspects: this.poison.suspects() }),
+      restore: ({ learned, suspects }) => {
+        this.dispatch.fleetView.mergeMemory(learned)
+        this.poison.mergeRecords(suspects)
       }
     })
-    this.firstKnowledge = new FirstKnowledge(clock, this.manifest, this.endpoints, [this.quarantine, this.lease])
-    this.formations = new FormationKeeper({
+    this.initialSync = new InitialSync(clock, this.manifest, this.endpoints, [this.quarantine, this.lease])
+    this.formations = new FormationController({
       clock,
       log,
       lease: this.lease,
@@ -111,15 +111,15 @@
       demand: () => this.dispatch.demand(),
       onSuspected: (head) => {
         this.peers.tellDoubt([head])
-        this.dispatch.noteStoppedGroups([head], StopCertainty.Doubted)
+        this.dispatch.noteStalledGroups([head], StallCertainty.Suspected)
       },
-      onStopped: (heads, isNews) => {
+      onStalled: (heads, isNew) => {
         if (!this.lease.mayOrder()) this.peers.tellDoubt(heads)
-        else if (isNews) this.peers.tellWord()
-        this.dispatch.noteStoppedGroups(heads, StopCertainty.Known)
+        else if (isNew) this.peers.tellWord()
+        this.dispatch.noteStalledGroups(heads, StallCertainty.Confirmed)
       },
-      knowsAll: () => store.knowsAll(ENDPOINT_PREFIX),
-      trafficSeen: () => !settings.firstStart || this.dispatch.sawRequest
+      hasAllEndpoints: () => store.isComplete(ENDPOINT_PREFIX),
+      hasTraffic: () => !settings.firstStart || this.dispatch.hasReceivedRequests
     })
     this.dispatch = new Dispatch({
       clock,
@@ -134,7 +134,7 @@
       senders: () => this.nodes.nodes(),
       onSuspect: (head, suspicion) => { this.suspect(head, suspicion) }
     })
-    this.poison = new PoisonKeeper({
+    this.poison = new PoisonTracker({
       clock,
       log,
       limits: settings.poison,
@@ -142,32 +142,32 @@
       nodes: () => this.nodes.nodes(),
       endpoints: this.endpoints,
       quarantine: this.quarantine,
-      decides: () => this.lease.mayOrder(),
-      tell: (all, shared) => { this.peers.tellPoison(all, shared) },
-      keepSoon: () => { this.lease.renewSoon() }
+      isLeaseHolder: () => this.lease.mayOrder(),
+      broadcast: (all, shared) => { this.peers.tellPoison(all, shared) },
+      requestLeaseRenewal: () => { this.lease.requestRenewal() }
     })
-    this.callers = new CallerListener({ clock, random, log, metrics: this.metrics, wire: parts.wire, manifest: this.manifest, firstKnowledge: this.firstKnowledge, dispatch: this.dispatch, poison: this.poison })
+    this.callers = new CallerListener({ clock, random, log, metrics: this.metrics, wire: parts.wire, manifest: this.manifest, firstKnowledge: this.initialSync, dispatch: this.dispatch, poison: this.poison })
     this.peers = new PeerLinks(clock, random, log, {
-      suspected: (head, suspicion, node, senders) => { this.takeSuspicion(head, suspicion, node, senders) },
-      doubted: (heads) => { this.dispatch.noteStoppedGroups(heads, StopCertainty.Doubted) },
+      suspected: (head, suspicion, node, senders) => { this.handleSuspicion(head, suspicion, node, senders) },
+      doubted: (heads) => { this.dispatch.noteStalledGroups(heads, StallCertainty.Suspected) },
       nodeLost: (node) => { if (this.lease.mayOrder()) this.dropNode(node) },
-      observe: () => this.dispatch.knowledge.observe(),
+      observe: () => this.dispatch.fleetView.observe(),
       observed: (fleet) => {
         this.endpoints.noteLeaving(fleet.leaving)
-        this.dispatch.knowledge.noteFleet(fleet)
+        this.dispatch.fleetView.applyFleetObservation(fleet)
       },
-      laterLease: (fencing) => this.lease.laterThan(fencing),
-      leaseSeen: (lease) => { this.lease.noteWord(lease) },
-      ownWord: () => this.ownWord(),
+      laterLease: (fencing) => this.lease.leaseAfter(fencing),
+      leaseSeen: (lease) => { this.lease.noteLease(lease) },
+      ownWord: () => this.leaseHolderState(),
       deciderWord: ({ feed, lease, loads, stoppedHeads }) => {
-        this.lease.noteWord(lease)
-        this.store.takeWord(feed)
+        this.lease.noteLease(lease)
+        this.store.applyProgress(feed)
         this.formations.noteLoads(loads)
-        this.dispatch.noteStoppedGroups(stoppedHeads, StopCertainty.Known)
+        this.dispatch.noteStalledGroups(stoppedHeads, StallCertainty.Confirmed)
       },
-      feedNews: (news) => { this.store.takeNews(news) },
-      poisonSeen: (records) => { this.poison.noteTold(records) },
-      poisonKnown: (all) => this.poison.known(all)
+      feedNews: (update) => { this.store.applyUpdate(update) },
+      poisonSeen: (records) => { this.poison.mergeRecords(records) },
+      poisonKnown: (all) => this.poison.recordsToSend(all)
     })
     this.endpoints.registerListener((endpoints) => {
       const listed = new Set(endpoints.keys())
@@ -185,19 +185,19 @@
   /** `callerPort` is the callers' port, where it is open already. */
   async start (callerPort: OpenedPort | null = null): Promise<void> {
     const { settings, parts } = this
-    const { questions } = parts
+    const { platformFormat } = parts
     await Promise.all([
       this.callers.listen(settings.callers, callerPort),
       this.peers.listen(settings.peers),
-      this.listen(settings.readiness, (url) => url.pathname === questions.readyPath ? this.readyAnswer() : null),
-      this.listen(settings.directory, (url) => url.pathname === questions.directoryPath ? this.directoryAnswer() : null),
-      this.listen(settings.metrics, async (url) => url.pathname === questions.metricsPath ? { status: 200, contentType: 'text/plain', body: await this.metrics.page() } : null)
+      this.listen(settings.readiness, (url) => url.pathname === platformFormat.readyPath ? this.readyResponse() : null),
+      this.listen(settings.directory, (url) => url.pathname === platformFormat.directoryPath ? this.directoryResponse() : null),
+      this.listen(settings.metrics, async (url) => url.pathname === platformFormat.metricsPath ? { status: 200, contentType: 'text/plain', body: await this.metrics.page() } : null)
     ])
     this.teardowns.push(this.manifest.follow(this.store), this.endpoints.follow(this.store), this.nodes.follow(), this.quarantine.follow())
     this.dispatch.start()
     this.poison.start()
     this.formations.start()
-    this.peers.keep(() => this.otherNodes(), () => this.lease.coordinates())
+    this.peers.keep(() => this.otherNodes(), () => this.lease.isCoordinator())
     this.peers.exchangeObservations(() => this.nodes.nodes().length, () => this.lease.coordinationFencing)
     this.peers.tellWords()
     this.step()
@@ -253,29 +253,29 @@
     this.servers.push(await listenSmall(address, handler))
   }
 
-  private readyAnswer (): ReturnType<typeof jsonAnswer> {
-    const ready = !this.draining && this.firstKnowledge.isComplete
+  private readyResponse (): ReturnType<typeof jsonAnswer> {
+    const ready = !this.draining && this.initialSync.isComplete
     return jsonAnswer({ ready }, ready ? 200 : 503)
   }
 
-  private directoryAnswer (): ReturnType<typeof jsonAnswer> {
+  private directoryResponse (): ReturnType<typeof jsonAnswer> {
     const addresses = this.nodes.nodes().map(({ callers }) => callers)
-    return jsonAnswer(this.parts.questions.writeDirectory(addresses, this.limits.directoryTtlMs))
+    return jsonAnswer(this.parts.platformFormat.writeDirectory(addresses, this.limits.directoryTtlMs))
   }
 
-  private ownWord (): DeciderWord | null {
+  private leaseHolderState (): LeaseHolderState | null {
     const lease = this.lease.mayOrder() ? this.lease.heldLease : null
     if (lease === null) return null
-    return { feed: { contactAgeMs: this.store.contactAgeMs, versions: this.store.versions }, lease, loads: this.formations.loadsUnderWay(), stoppedHeads: this.formations.stoppedHeads() }
+    return { feed: { contactAgeMs: this.store.contactAgeMs, versions: this.store.versions }, lease, loads: this.formations.loadsInProgress(), stoppedHeads: this.formations.stalledHeads() }
   }
 
   private suspect (head: EndpointId, suspicion: Suspicion): void {
-    if (this.lease.coordinates()) this.takeSuspicion(head, suspicion, this.settings.node, this.peers.sendersTo(head))
+    if (this.lease.isCoordinator()) this.handleSuspicion(head, suspicion, this.settings.node, this.peers.sendersTo(head))
     else this.peers.tellSuspicion(head, suspicion)
   }
 
   /** A pause is believed when enough nodes with streams there see it. */
-  private takeSuspicion (head: EndpointId, suspicion: Suspicion, node: NodeId, senders: number): void {
+  private handleSuspicion (head: EndpointId, suspicion: Suspicion, node: NodeId, senders: number): void {
     const isEnough = suspicion === Suspicion.Refused || this.stopVotes.note(head, node, senders, this.parts.clock.nowMs())
     if (isEnough) this.formations.suspectGroup(head)
   }
@@ -290,7 +290,7 @@
     if (nowMs - this.steppedAtMs > PAUSE_THRESHOLD_MS) this.lease.notePause()
     this.steppedAtMs = nowMs
     this.store.wakeUncovered()
-    this.linkAtOnce()
+    this.linkOnTakeover()
     this.lease.step().catch((error: unknown) => { log.write(LogKind.Unexpected, { where: 'lease', error: String(error) }) })
     this.teardowns.push(clock.registerTimer(STEP_INTERVAL_MS, () => {
       this.teardowns.pop()
@@ -299,10 +299,10 @@
   }
 
   /** All others learn of the fleet through this node once it coordinates: links are not left to the next round of pings. */
-  private linkAtOnce (): void {
-    const coordinates = this.lease.coordinates()
-    if (coordinates && !this.coordinated) this.peers.link(this.otherNodes())
-    this.coordinated = coordinates
+  private linkOnTakeover (): void {
+    const coordinates = this.lease.isCoordinator()
+    if (coordinates && !this.wasCoordinator) this.peers.link(this.otherNodes())
+    this.wasCoordinator = coordinates
   }
 
   private otherNodes (): NodeRecord[] {
--- a/packages/dotterelspur-gateway/src/process/GatewayPorts.ts
+++ b/packages/dotterelspur-gateway/src/process/GatewayPorts.ts
@@ -2,7 +2,7 @@
 import type { EndpointId, EndpointOrder, LoadReading, Membership, ModelId, OrderReply, StatedNeed, WorkspaceId } from 'dotterelspur'
 
 /** What the headers of a caller's request say. */
-export interface CallerHead {
+export interface CallerHeaders {
   /** The caller's id for this attempt; null where it sent none. */
   readonly requestId: string | null
   /** How long the caller will wait, from when it sent the request. */
@@ -11,13 +11,13 @@
   readonly model: ModelId | null
   readonly promptTokens: number
   /** The most tokens that the answer may have. */
-  readonly answerTokens: number
+  readonly maxAnswerTokens: number
   /** The last event that the caller has of an earlier attempt. */
   readonly lastEventId: string | null
 }
 
 /** What the system itself says to an endpoint about a request. */
-export interface ForwardedHead {
+export interface ForwardedHeaders {
   readonly endpoint: EndpointId
   readonly workspace: WorkspaceId | null
   readonly deadlineMs: number | null
@@ -27,7 +27,7 @@
 }
 
 /** What the headers of an endpoint's answer say. */
-export interface AnswerHead {
+export interface ResponseHeaders {
   readonly requestId: string | null
   /** The endpoint declares that it did not run the request. */
   readonly notExecuted: boolean
@@ -35,19 +35,19 @@
   /** The member of its group that keeps the endpoint from serving. */
   readonly lostMember: EndpointId | null
   /** Null where it can't be read, or is another endpoint's: what was known before stands. */
-  readonly need: StatedNeed | null
+  readonly backpressure: StatedNeed | null
 }
 
 /** Translates headers between the wire and the types above. */
 export interface WireFormat {
-  readCaller (headers: IncomingHttpHeaders): CallerHead
+  readCallerHeaders (headers: IncomingHttpHeaders): CallerHeaders
   /** Takes and gives headers as a flat list of names and values; connection headers are gone already. */
-  writeForwarded (headers: readonly string[], head: ForwardedHead): string[]
-  readAnswer (status: number, headers: IncomingHttpHeaders): AnswerHead
+  writeForwardedHeaders (headers: readonly string[], head: ForwardedHeaders): string[]
+  readResponseHeaders (status: number, headers: IncomingHttpHeaders): ResponseHeaders
 }
 
 /** Where an endpoint can be reached, and as which of its lives. */
-export interface EndpointPlace {
+export interface EndpointLocation {
   readonly endpoint: EndpointId
   readonly address: string
 }
@@ -63,7 +63,7 @@
   readonly orderCount: number | null
 }
 
-export enum ReportEndKind {
+export enum ReportResultKind {
   Answered = 'answered',
   /** Nothing listens there, or another endpoint has the address. */
   Gone = 'gone',
@@ -71,14 +71,14 @@
   Silent = 'silent'
 }
 
-export type ReportEnd =
-  | { readonly kind: ReportEndKind.Answered, readonly report: EndpointReport }
-  | { readonly kind: ReportEndKind.Gone }
-  | { readonly kind: ReportEndKind.Silent }
+export type ReportResult =
+  | { readonly kind: ReportResultKind.Answered, readonly report: EndpointReport }
+  | { readonly kind: ReportResultKind.Gone }
+  | { readonly kind: ReportResultKind.Silent }
 
 /** Orders and questions to endpoints. Neither call throws. */
 export interface EndpointControl {
   /** @param expectedOrders the endpoint refuses the order as unfit unless it has carried out just this many; null sets no condition. */
-  order (place: EndpointPlace, order: EndpointOrder, expectedOrders: number | null): Promise<OrderReply>
-  report (place: EndpointPlace, timeoutMs: number): Promise<ReportEnd>
+  order (place: EndpointLocation, order: EndpointOrder, expectedOrders: number | null): Promise<OrderReply>
+  report (place: EndpointLocation, timeoutMs: number): Promise<ReportResult>
 }
--- a/packages/dotterelspur-gateway/src/process/FirstKnowledge.ts
+++ b/packages/dotterelspur-gateway/src/process/InitialSync.ts
@@ -1,12 +1,12 @@
 import type { Clock, Teardown } from 'dotterelspur'
-import type { EndpointKeeper } from './EndpointKeeper.js'
-import type { ManifestKeeper } from './ManifestKeeper.js'
+import type { EndpointRegistry } from './EndpointRegistry.js'
+import type { ManifestFollower } from './ManifestFollower.js'
 
 /** From a process's start: what it must know is there within a tenth of a second, or the store is out and nobody should wait. */
-const WAIT_LIMIT_MS = 600
+const MAX_WAIT_MS = 600
 
 /** Something that is read once after a process's start. */
-export interface ReadOnce {
+export interface InitialSyncSource {
   readonly isKnown: boolean
   registerKnown (listener: () => void): Teardown
 }
@@ -16,24 +16,24 @@
  * those that lost all nodes at once have one attempt left: refused for want of a manifest that comes in a tenth of a
  * second, they would be lost.
  */
-export class FirstKnowledge {
+export class InitialSync {
   private readonly waiting = new Set<() => void>()
   private readonly startedAtMs: number
 
-  constructor (private readonly clock: Clock, private readonly manifest: ManifestKeeper, private readonly endpoints: EndpointKeeper, private readonly besides: readonly ReadOnce[]) {
+  constructor (private readonly clock: Clock, private readonly manifest: ManifestFollower, private readonly endpoints: EndpointRegistry, private readonly otherSources: readonly InitialSyncSource[]) {
     this.startedAtMs = clock.nowMs()
-    manifest.registerListener(() => { this.look() })
-    endpoints.registerListener(() => { this.look() })
-    for (const other of besides) other.registerKnown(() => { this.look() })
+    manifest.registerListener(() => { this.check() })
+    endpoints.registerListener(() => { this.check() })
+    for (const other of otherSources) other.registerKnown(() => { this.check() })
   }
 
   get isComplete (): boolean {
-    return this.manifest.current !== null && this.endpoints.isKnown
+    return this.manifest.current !== null && this.endpoints.isSynced
   }
 
   /** Resolves once all is known, or the process has run for so long that it should be. */
   async wait (): Promise<void> {
-    const leftMs = this.startedAtMs + WAIT_LIMIT_MS - this.clock.nowMs()
+    const leftMs = this.startedAtMs + MAX_WAIT_MS - this.clock.nowMs()
     if (this.isAllRead || leftMs <= 0) return
     await new Promise<void>((resolve) => {
       let cancelTimer: Teardown = () => {}
@@ -49,10 +49,10 @@
 
   /** Also what must not be sent: after all nodes were killed, requests that end endpoints come as soon as one listens. */
   private get isAllRead (): boolean {
-    return this.isComplete && this.besides.every(({ isKnown }) => isKnown)
+    return this.isComplete && this.otherSources.every(({ isKnown }) => isKnown)
   }
 
-  private look (): void {
+  private check (): void {
     if (!this.isAllRead) return
     for (const end of [...this.waiting]) end()
   }
--- a/packages/dotterelspur-gateway/src/process/ManifestKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/ManifestFollower.ts
@@ -10,7 +10,7 @@
  * Keeps the newest manifest in force. A version that was in force is never followed by a lower one in the life of
  * this process, whatever a store that answers from the past says; while the store is out the last one stays.
  */
-export class ManifestKeeper {
+export class ManifestFollower {
   private table: RouteTable | null = null
   private readonly listeners = new Set<ManifestListener>()
 
@@ -32,15 +32,15 @@
   }
 
   follow (store: ObjectStore): Teardown {
-    return store.watch<Manifest>(MANIFEST_PREFIX, (event) => { this.take(event) })
+    return store.watch<Manifest>(MANIFEST_PREFIX, (event) => { this.handleEvent(event) })
   }
 
-  private take (event: WatchEvent<Manifest>): void {
-    if (event.kind === WatchEventKind.Object) this.offer(event.object)
-    if (event.kind === WatchEventKind.Listing) event.listing.objects.forEach((object) => { this.offer(object) })
+  private handleEvent (event: WatchEvent<Manifest>): void {
+    if (event.kind === WatchEventKind.Object) this.applyObject(event.object)
+    if (event.kind === WatchEventKind.Listing) event.listing.objects.forEach((object) => { this.applyObject(object) })
   }
 
-  private offer (object: StoredObject<Manifest>): void {
+  private applyObject (object: StoredObject<Manifest>): void {
     const current = this.table
     if (object.deleted || (current !== null && object.body.version <= current.version)) return
     this.table = new RouteTable(object.body)
--- a/packages/dotterelspur-gateway/src/process/NodeKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/NodeRegistry.ts
@@ -39,7 +39,7 @@
 }
 
 /** Knows the nodes of the system from the store, and writes this one there. */
-export class NodeKeeper {
+export class NodeRegistry {
   private readonly records = new Map<NodeId, StoredObject<NodeRecord>>()
   private snapshot: readonly NodeRecord[] | null = null
   /** Nodes that are new in a batch: one line names them all, since a fleet that starts would write a line for each pair. */
@@ -55,7 +55,7 @@
   }
 
   follow (): Teardown {
-    return this.store.watch<unknown>(NODE_PREFIX, (event) => { this.take(event) })
+    return this.store.watch<unknown>(NODE_PREFIX, (event) => { this.handleEvent(event) })
   }
 
   /** Writes the own entry; goes on trying while the store is out. */
@@ -103,20 +103,20 @@
     return updated.ok
   }
 
-  private take (event: WatchEvent<unknown>): void {
-    if (event.kind === WatchEventKind.Object) this.offer(event.object)
-    if (event.kind === WatchEventKind.Listing) this.takeListing(event.listing.objects)
+  private handleEvent (event: WatchEvent<unknown>): void {
+    if (event.kind === WatchEventKind.Object) this.applyObject(event.object)
+    if (event.kind === WatchEventKind.Listing) this.handleListing(event.listing.objects)
     const isWhole = event.kind === WatchEventKind.Listing || (event.kind === WatchEventKind.Object && event.hasMore !== true)
     if (isWhole && this.added.length > 0) this.log.write(LogKind.NodeListed, { peers: this.added.splice(0), nodes: this.nodes().length })
   }
 
-  private takeListing (objects: ReadonlyArray<StoredObject<unknown>>): void {
+  private handleListing (objects: ReadonlyArray<StoredObject<unknown>>): void {
     const found = new Set(objects.map(({ key }) => key.slice(NODE_PREFIX.length)))
     for (const node of [...this.records.keys()].filter((known) => !found.has(known))) this.forget(node)
-    for (const object of objects) this.offer(object)
+    for (const object of objects) this.applyObject(object)
   }
 
-  private offer (object: StoredObject<unknown>): void {
+  private applyObject (object: StoredObject<unknown>): void {
     const node = object.key.slice(NODE_PREFIX.length)
     const known = this.records.get(node)
     const body = readNodeRecord(object.body)
--- a/packages/dotterelspur-gateway/src/process/GatewayQuestions.ts
+++ b/packages/dotterelspur-gateway/src/process/PlatformFormat.ts
@@ -1,5 +1,5 @@
 /** Paths of the small listeners. */
-export interface GatewayQuestions {
+export interface PlatformFormat {
   readonly readyPath: string
   readonly directoryPath: string
   readonly metricsPath: string
--- a/packages/dotterelspur-gateway/src/process/PoisonKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/PoisonTracker.ts
@@ -4,19 +4,19 @@
 } from 'dotterelspur'
 import { EndedEndpoints, fingerprintOf, PoisonGuard, type QuarantineKeeper } from 'dotterelspur-poison'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
-import type { EndpointKeeper } from './EndpointKeeper.js'
+import type { EndpointRegistry } from './EndpointRegistry.js'
 
 /** How often what is believed is looked through for changes, and what is old is forgotten. */
-const LOOK_INTERVAL_MS = 200
+const CHECK_INTERVAL_MS = 200
 /** Evidence is told again after this time, in case it was lost on the way. */
-const RETELL_INTERVAL_MS = 1_000
+const REBROADCAST_INTERVAL_MS = 1_000
 /** Evidence that is older has reached all that could be reached. */
-const RETELL_AGE_MS = 5_000
+const REBROADCAST_MAX_AGE_MS = 5_000
 /** Records in one message: what a link takes in a tenth of a second. */
-const MOST_TOLD = 256
+const MAX_RECORDS_PER_MESSAGE = 256
 
 /** Suspects that are kept with the lease, so that the count goes on when all nodes are killed. */
-const MOST_KEPT = 8
+const MAX_STORED_SUSPECTS = 8
 
 /** An exchange whose connection ended before the whole answer was there. */
 export interface LostExchange {
@@ -31,36 +31,36 @@
   readonly besides: number
 }
 
-export interface PoisonKeeperParts {
+export interface PoisonTrackerParts {
   readonly clock: Clock
   readonly log: DecisionLog
   readonly limits: PoisonLimits
   readonly node: NodeId
   readonly nodes: () => ReadonlyArray<{ readonly node: NodeId }>
-  readonly endpoints: EndpointKeeper
+  readonly endpoints: EndpointRegistry
   readonly quarantine: QuarantineKeeper
   /** Whether this node decides: then it writes down what is in quarantine. */
-  readonly decides: () => boolean
+  readonly isLeaseHolder: () => boolean
   /** Tells other nodes: `all` to the one that adds up, `shared` to those that this node adds up for. */
-  readonly tell: (all: readonly PoisonRecord[], shared: readonly PoisonRecord[]) => void
+  readonly broadcast: (all: readonly PoisonRecord[], shared: readonly PoisonRecord[]) => void
   /** What is kept with the lease has changed, and should be there before all nodes can be killed. */
-  readonly keepSoon: () => void
+  readonly requestLeaseRenewal: () => void
 }
 
 /**
  * Notes with which requests endpoints end, learns it from the other nodes, and keeps such requests away from endpoints. What is
  * in quarantine is written to the store, so that it holds when all nodes start anew.
  */
-export class PoisonKeeper {
+export class PoisonTracker {
   readonly guard: PoisonGuard
-  private readonly ended = new EndedEndpoints()
+  private readonly terminationChecks = new EndedEndpoints()
   private readonly states = new Map<RequestFingerprint, PoisonState>()
-  private toldAtMs = -Infinity
+  private broadcastAtMs = -Infinity
   private cancelTimer: Teardown = () => {}
 
-  constructor (private readonly parts: PoisonKeeperParts) {
+  constructor (private readonly parts: PoisonTrackerParts) {
     const { clock, limits, quarantine } = parts
-    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.isHome(fingerprint), learned: (record) => { this.tell([record]) } })
+    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.isHome(fingerprint), learned: (record) => { this.broadcast([record]) } })
     quarantine.registerListener({
       decided: (fingerprint, { outline }) => { this.guard.ledger.noteDecision(fingerprint, outline) },
       paroled: (fingerprint) => { this.guard.ledger.noteParole(fingerprint, clock.nowMs()) }
@@ -68,9 +68,9 @@
   }
 
   start (): void {
-    this.cancelTimer = this.parts.clock.registerTimer(LOOK_INTERVAL_MS, () => {
+    this.cancelTimer = this.parts.clock.registerTimer(CHECK_INTERVAL_MS, () => {
       this.start()
-      this.look()
+      this.check()
     })
   }
 
@@ -84,17 +84,17 @@
     const record = this.parts.endpoints.current.get(target.endpoint)
     // One that leaves, or is on no list, ends because it was told to.
     const mayBlame = record !== undefined && !record.leaving
-    const ended = await this.ended.hasEnded(target.address)
+    const ended = await this.terminationChecks.hasEnded(target.address)
     if (ended && mayBlame) this.guard.noteEnd(content, target.endpoint, events)
     this.logLoss(loss, ended, mayBlame)
   }
 
   /** What other nodes know, or nodes of a former life; what is no record is left out. */
-  noteTold (told: unknown): void {
-    const records = readPoisonRecords(told)
+  mergeRecords (received: unknown): void {
+    const records = readPoisonRecords(received)
     if (records.length === 0) return
     const changed = this.guard.ledger.merge(records, this.parts.clock.nowMs())
-    if (changed.length > 0) this.parts.tell([], changed.filter(concernsOthers))
+    if (changed.length > 0) this.parts.broadcast([], changed.filter(concernsOthers))
   }
 
   /** What should be known when all nodes start anew: requests of which one end more shows what they are. */
@@ -102,13 +102,13 @@
     const { ledger } = this.guard
     if (ledger.isEmpty) return []
     const suspected = new Set([...ledger.suspected, ...ledger.quarantined])
-    return this.known(true).filter(({ fingerprint }) => suspected.has(fingerprint)).slice(0, MOST_KEPT)
+    return this.recordsToSend(true).filter(({ fingerprint }) => suspected.has(fingerprint)).slice(0, MAX_STORED_SUSPECTS)
   }
 
   /** What a node that has just been linked is told; all of it where that node adds up. */
-  known (all: boolean): PoisonRecord[] {
+  recordsToSend (all: boolean): PoisonRecord[] {
     const records = this.guard.ledger.told(this.parts.clock.nowMs(), all)
-    return records.sort((left, right) => right.ends.length - left.ends.length).slice(0, MOST_TOLD)
+    return records.sort((left, right) => right.ends.length - left.ends.length).slice(0, MAX_RECORDS_PER_MESSAGE)
   }
 
   private isHome (fingerprint: RequestFingerprint): boolean {
@@ -116,16 +116,16 @@
     return rendezvousOrder(fingerprint, nodes().map((other) => other.node))[0] === node
   }
 
-  private look (): void {
+  private check (): void {
     const nowMs = this.parts.clock.nowMs()
     const { ledger } = this.guard
     if (ledger.isEmpty && this.states.size === 0) return
     ledger.expire(nowMs)
     this.noteStates()
-    if (this.parts.decides()) this.parts.quarantine.keep([...ledger.quarantined].flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
-    if (nowMs - this.toldAtMs < RETELL_INTERVAL_MS) return
-    this.toldAtMs = nowMs
-    this.tell(ledger.told(nowMs, true).filter(({ ageMs }) => ageMs < RETELL_AGE_MS).slice(-MOST_TOLD))
+    if (this.parts.isLeaseHolder()) this.parts.quarantine.keep([...ledger.quarantined].flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
+    if (nowMs - this.broadcastAtMs < REBROADCAST_INTERVAL_MS) return
+    this.broadcastAtMs = nowMs
+    this.broadcast(ledger.told(nowMs, true).filter(({ ageMs }) => ageMs < REBROADCAST_MAX_AGE_MS).slice(-MAX_RECORDS_PER_MESSAGE))
   }
 
   /** Each change of what is believed of a request has one line. */
@@ -139,14 +139,14 @@
       const now = states.get(fingerprint) ?? PoisonState.Trusted
       if (now === before) continue
       this.logState(fingerprint, before, now)
-      if (now === PoisonState.Suspected) this.parts.keepSoon()
+      if (now === PoisonState.Suspected) this.parts.requestLeaseRenewal()
     }
     this.states.clear()
     for (const [fingerprint, state] of states) this.states.set(fingerprint, state)
   }
 
-  private tell (records: readonly PoisonRecord[]): void {
-    if (records.length > 0) this.parts.tell(records, records.filter(concernsOthers))
+  private broadcast (records: readonly PoisonRecord[]): void {
+    if (records.length > 0) this.parts.broadcast(records, records.filter(concernsOthers))
   }
 
   private logState (fingerprint: RequestFingerprint, before: PoisonState, state: PoisonState): void {
--- a/packages/dotterelspur-gateway/src/process/Reachability.ts
+++ b/packages/dotterelspur-gateway/src/process/Reachability.ts
@@ -1,6 +1,6 @@
 import { sleep, type Clock, type EndpointId, type EndpointRecord } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
-import { ReportEndKind, type EndpointControl, type EndpointPlace } from './GatewayPorts.js'
+import { ReportResultKind, type EndpointControl, type EndpointLocation } from './GatewayPorts.js'
 
 /** A living endpoint answers in a few milliseconds, also under load; this leaves room for a lost packet of the second probe. */
 const PROBE_TIMEOUT_MS = 350
@@ -12,7 +12,7 @@
 /** An endpoint that was lost is asked again this often: it may only have been cut off. */
 const RECHECK_INTERVAL_MS = 1_200
 /** A suspicion of an endpoint that answered lately costs no new probe. */
-const RECENT_ANSWER_MS = 300
+const RECENT_RESPONSE_MS = 300
 
 enum ProbeState {
   Running = 'running',
@@ -22,7 +22,7 @@
 
 interface Probed {
   state: ProbeState
-  place: EndpointPlace
+  place: EndpointLocation
   decidedAtMs: number
 }
 
@@ -34,7 +34,7 @@
   private readonly probed = new Map<EndpointId, Probed>()
 
   constructor (
-    private readonly questions: Pick<EndpointControl, 'report'>, private readonly clock: Clock, private readonly log: DecisionLog, private readonly onChange: () => void
+    private readonly reports: Pick<EndpointControl, 'report'>, private readonly clock: Clock, private readonly log: DecisionLog, private readonly onChange: () => void
   ) {}
 
   /** Endpoints that did not answer. */
@@ -56,16 +56,16 @@
   }
 
   /** Asks the endpoint, unless it was asked just now; returns whether it did. */
-  suspect (place: EndpointPlace): boolean {
+  suspect (place: EndpointLocation): boolean {
     const known = this.probed.get(place.endpoint)
     if (known?.state === ProbeState.Running) return false
-    if (known !== undefined && this.clock.nowMs() - known.decidedAtMs < RECENT_ANSWER_MS) return false
-    this.check(place).catch((error: unknown) => { this.log.write(LogKind.Unexpected, { where: 'probe', error: String(error) }) })
+    if (known !== undefined && this.clock.nowMs() - known.decidedAtMs < RECENT_RESPONSE_MS) return false
+    this.runProbe(place).catch((error: unknown) => { this.log.write(LogKind.Unexpected, { where: 'probe', error: String(error) }) })
     return true
   }
 
   /** The endpoint is known to have ended, as when another one answers at its address. */
-  noteGone (place: EndpointPlace): void {
+  noteGone (place: EndpointLocation): void {
     if (this.isUnreachable(place.endpoint)) return
     this.probed.set(place.endpoint, { state: ProbeState.Unreachable, place, decidedAtMs: this.clock.nowMs() })
     this.log.write(LogKind.EndpointUnreachable, { endpoint: place.endpoint, address: place.address })
@@ -82,7 +82,7 @@
     }
   }
 
-  private recheckOne (endpoint: EndpointId, place: EndpointPlace, state: ProbeState, unlisted: ReadonlySet<EndpointId>): void {
+  private recheckOne (endpoint: EndpointId, place: EndpointLocation, state: ProbeState, unlisted: ReadonlySet<EndpointId>): void {
     if (state === ProbeState.Unreachable || unlisted.has(endpoint)) this.suspect(place)
     else this.probed.delete(endpoint)
   }
@@ -91,13 +91,13 @@
     return new Set([...this.probed].filter(([, { state }]) => state === wanted).map(([endpoint]) => endpoint))
   }
 
-  private async check (place: EndpointPlace): Promise<void> {
+  private async runProbe (place: EndpointLocation): Promise<void> {
     const known = this.probed.get(place.endpoint)
     // While a lost endpoint is asked again it stays lost.
     const probed: Probed = known?.state === ProbeState.Unreachable ? known : { state: ProbeState.Running, place, decidedAtMs: 0 }
     probed.decidedAtMs = this.clock.nowMs()
     this.probed.set(place.endpoint, probed)
-    const answered = await this.ask(place)
+    const answered = await this.probe(place)
     const former = probed.state
     probed.state = answered ? ProbeState.Reachable : ProbeState.Unreachable
     probed.decidedAtMs = this.clock.nowMs()
@@ -108,12 +108,12 @@
   }
 
   /** Whether one of two staggered probes is answered; an endpoint that says that it is gone needs no second one. */
-  private async ask (place: EndpointPlace): Promise<boolean> {
-    const first = this.questions.report(place, PROBE_TIMEOUT_MS)
+  private async probe (place: EndpointLocation): Promise<boolean> {
+    const first = this.reports.report(place, PROBE_TIMEOUT_MS)
     const early = await Promise.race([first, sleep(this.clock, SECOND_PROBE_AFTER_MS)])
-    if (early !== undefined && early.kind !== ReportEndKind.Silent) return early.kind === ReportEndKind.Answered
-    const second = this.questions.report(place, PROBE_TIMEOUT_MS - SECOND_PROBE_AFTER_MS)
-    const ends = [first, second].map(async (probe) => await probe.then(({ kind }) => kind === ReportEndKind.Answered ? kind : Promise.reject(new Error(kind))))
+    if (early !== undefined && early.kind !== ReportResultKind.Silent) return early.kind === ReportResultKind.Answered
+    const second = this.reports.report(place, PROBE_TIMEOUT_MS - SECOND_PROBE_AFTER_MS)
+    const ends = [first, second].map(async (probe) => await probe.then(({ kind }) => kind === ReportResultKind.Answered ? kind : Promise.reject(new Error(kind))))
     return await Promise.any(ends).then(() => true, () => false)
   }
 }
--- a/packages/dotterelspur-gateway/src/process/StoreFeed.ts
+++ b/packages/dotterelspur-gateway/src/process/StoreFeed.ts
@@ -1,10 +1,10 @@
 import type { ChangeBatch } from './VersionedStore.js'
 
 /** A node relies on the deciding node's word for this long after that one last had an answer from the store. */
-export const WORD_VALID_MS = 1_400
+export const PROGRESS_VALID_MS = 1_400
 
 /** The deciding node's word on the store: how far it has followed each prefix, and how fresh that is. */
-export interface FeedWord {
+export interface FeedProgress {
   /** Since the start of the last call that the store answered. */
   readonly contactAgeMs: number
   /** Version up to which each prefix has been followed. */
@@ -12,7 +12,7 @@
 }
 
 /** Changes that the deciding node read from the store, for those who know everything up to `sinceVersion`. */
-export interface FeedNews extends ChangeBatch {
+export interface FeedUpdate extends ChangeBatch {
   readonly prefix: string
   readonly sinceVersion: number
 }
@@ -26,7 +26,7 @@
   private contactAtMs = -Infinity
   private readonly versions = new Map<string, number>()
 
-  noteWord ({ contactAgeMs, versions }: FeedWord, nowMs: number): void {
+  noteProgress ({ contactAgeMs, versions }: FeedProgress, nowMs: number): void {
     this.contactAtMs = Math.max(this.contactAtMs, nowMs - contactAgeMs)
     // A prefix that is missing is one that the deciding node has lost itself.
     this.versions.clear()
@@ -40,7 +40,7 @@
 
   /** Whether the deciding node's word is recent enough to be relied on. */
   isFresh (nowMs: number): boolean {
-    return this.contactAgeMs(nowMs) < WORD_VALID_MS
+    return this.contactAgeMs(nowMs) < PROGRESS_VALID_MS
   }
 
   /** Whether who has followed `prefix` up to `version`, and may miss the changes of `validMs`, need not ask the store. */
--- a/packages/dotterelspur-gateway/src/process/EndpointQuestions.ts
+++ b/packages/dotterelspur-gateway/src/process/VerifiedReportClient.ts
@@ -1,12 +1,12 @@
 import type { EndpointId } from 'dotterelspur'
-import { ReportEndKind, type EndpointControl, type EndpointPlace, type ReportEnd } from './GatewayPorts.js'
+import { ReportResultKind, type EndpointControl, type EndpointLocation, type ReportResult } from './GatewayPorts.js'
 
-const GONE: ReportEnd = { kind: ReportEndKind.Gone }
+const GONE: ReportResult = { kind: ReportResultKind.Gone }
 
-export interface EndpointQuestionsParts {
+export interface VerifiedReportClientParts {
   readonly control: EndpointControl
   /** Whether another endpoint is known to have the address of this one. */
-  readonly hasEnded: (place: EndpointPlace) => boolean
+  readonly isSuperseded: (place: EndpointLocation) => boolean
 }
 
 /**
@@ -15,24 +15,24 @@
  * endpoint has the address, none has answered there to an order that was meant for this one, and its count of
  * orders, which only rises in one life, has not gone back.
  */
-export class EndpointQuestions implements Pick<EndpointControl, 'report'> {
+export class VerifiedReportClient implements Pick<EndpointControl, 'report'> {
   private readonly orderCounts = new Map<EndpointId, number>()
   private readonly elsewhere = new Map<EndpointId, string>()
 
-  constructor (private readonly parts: EndpointQuestionsParts) {}
+  constructor (private readonly parts: VerifiedReportClientParts) {}
 
-  async report (place: EndpointPlace, timeoutMs: number): Promise<ReportEnd> {
+  async report (place: EndpointLocation, timeoutMs: number): Promise<ReportResult> {
     // Of two questions under way the later one may be answered first: only counts of before may be compared.
     const knownCount = this.orderCounts.get(place.endpoint) ?? 0
-    if (this.isElsewhere(place)) return GONE
+    if (this.isAddressTaken(place)) return GONE
     const end = await this.parts.control.report(place, timeoutMs)
-    if (end.kind !== ReportEndKind.Answered) return end
-    if (this.isElsewhere(place)) return GONE
-    return this.hasRisen(place.endpoint, end.report.orderCount, knownCount) ? end : GONE
+    if (end.kind !== ReportResultKind.Answered) return end
+    if (this.isAddressTaken(place)) return GONE
+    return this.isSameIncarnation(place.endpoint, end.report.orderCount, knownCount) ? end : GONE
   }
 
   /** An order to the endpoint was answered by somebody else. */
-  noteElsewhere ({ endpoint, address }: EndpointPlace): void {
+  noteAddressTaken ({ endpoint, address }: EndpointLocation): void {
     this.elsewhere.set(endpoint, address)
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** Whether an answer's count can be of the same life; a next life under the same id is believed from the next question on. */
-  private hasRisen (endpoint: EndpointId, count: number | null, knownCount: number): boolean {
+  private isSameIncarnation (endpoint: EndpointId, count: number | null, knownCount: number): boolean {
     if (count === null) return true
     if (count < knownCount) {
       this.orderCounts.delete(endpoint)
@@ -54,7 +54,7 @@
     return true
   }
 
-  private isElsewhere (place: EndpointPlace): boolean {
-    return this.parts.hasEnded(place) || this.elsewhere.get(place.endpoint) === place.address
+  private isAddressTaken (place: EndpointLocation): boolean {
+    return this.parts.isSuperseded(place) || this.elsewhere.get(place.endpoint) === place.address
   }
 }
--- a/packages/dotterelspur-gateway/src/process/LoadMeter.ts
+++ b/packages/dotterelspur-gateway/src/process/WeightLoadTracker.ts
@@ -9,7 +9,7 @@
 }
 
 /** A load as one node tells it to another, whose clock differs. */
-export interface LoadUnderWay {
+export interface LoadInProgress {
   readonly endpoint: EndpointId
   readonly model: ModelId
   /** Until it is taken for ended. */
@@ -17,7 +17,7 @@
 }
 
 /** An order without an answer may still be carried out; after this time its host is free for another try. */
-const DOUBT_MS = 5_000
+const UNCERTAIN_LOAD_MS = 5_000
 
 /** A load that shares the weight store with others takes longer than alone; then its host is free for another order. */
 const LOAD_TIMEOUT_FACTOR = 2
@@ -27,7 +27,7 @@
  * the holder of the lease begins loads; two holders for a moment stay below the rate, because each keeps to the
  * parallel limit, which is reached long before the rate is.
  */
-export class LoadMeter {
+export class WeightLoadTracker {
   private readonly running = new Map<EndpointId, RunningLoad>()
   private startTimesMs: number[] = []
 
@@ -42,24 +42,24 @@
   }
 
   /** Nobody knows whether the load began. */
-  doubt (endpoint: EndpointId, nowMs: number): void {
+  markUncertain (endpoint: EndpointId, nowMs: number): void {
     const load = this.running.get(endpoint)
-    if (load !== undefined) this.running.set(endpoint, { ...load, untilMs: Math.min(load.untilMs, nowMs + DOUBT_MS) })
+    if (load !== undefined) this.running.set(endpoint, { ...load, untilMs: Math.min(load.untilMs, nowMs + UNCERTAIN_LOAD_MS) })
   }
 
-  underWay (nowMs: number): LoadUnderWay[] {
+  inProgress (nowMs: number): LoadInProgress[] {
     this.dropEnded(nowMs)
     return [...this.running].map(([endpoint, { model, untilMs }]) => ({ endpoint, model, leftMs: untilMs - nowMs }))
   }
 
   /** Takes over what another node tells in place of what was known. */
-  replace (loads: readonly LoadUnderWay[], nowMs: number): void {
+  replace (loads: readonly LoadInProgress[], nowMs: number): void {
     this.running.clear()
     for (const { endpoint, model, leftMs } of loads) this.running.set(endpoint, { model, untilMs: nowMs + leftMs })
   }
 
   /** The list shows what is on a host: a load of it has ended. */
-  noteStaged ({ endpoint, staged }: EndpointRecord): void {
+  noteStagedModels ({ endpoint, staged }: EndpointRecord): void {
     const load = this.running.get(endpoint)
     if (load !== undefined && staged.includes(load.model)) this.running.delete(endpoint)
   }
--- a/packages/dotterelspur-gateway/src/process/registerGauges.ts
+++ b/packages/dotterelspur-gateway/src/process/registerGauges.ts
@@ -1,22 +1,22 @@
 import type { CallerListener } from '../connection/CallerListener.js'
 import type { DecisionLog } from './DecisionLog.js'
 import type { Dispatch } from './Dispatch.js'
-import type { EndpointKeeper } from './EndpointKeeper.js'
+import type { EndpointRegistry } from './EndpointRegistry.js'
 import type { FleetLease } from './FleetLease.js'
 import type { FollowedStore } from './FollowedStore.js'
 import type { GatewayMetrics } from './GatewayMetrics.js'
-import type { ManifestKeeper } from './ManifestKeeper.js'
-import type { NodeKeeper } from './NodeKeeper.js'
-import type { PoisonKeeper } from './PoisonKeeper.js'
+import type { ManifestFollower } from './ManifestFollower.js'
+import type { NodeRegistry } from './NodeRegistry.js'
+import type { PoisonTracker } from './PoisonTracker.js'
 
 export interface GaugeSources {
   readonly callers: CallerListener
-  readonly manifest: ManifestKeeper
-  readonly endpoints: EndpointKeeper
-  readonly nodes: NodeKeeper
+  readonly manifest: ManifestFollower
+  readonly endpoints: EndpointRegistry
+  readonly nodes: NodeRegistry
   readonly lease: FleetLease
   readonly store: FollowedStore
-  readonly poison: PoisonKeeper
+  readonly poison: PoisonTracker
   readonly dispatch: Dispatch
   readonly log: DecisionLog
 }
@@ -28,12 +28,12 @@
   metrics.gauge('endpoints', 'Endpoints on the list', () => endpoints.current.size)
   metrics.gauge('nodes', 'Nodes on the list', () => nodes.nodes().length)
   metrics.gauge('decides', '1 while this node holds the lease', () => Number(lease.mayOrder()))
-  metrics.gauge('told_by_decider', '1 while the deciding node tells all that the store would', () => Number(store.isTold))
+  metrics.gauge('told_by_decider', '1 while the deciding node tells all that the store would', () => Number(store.isCoveredByFeed))
   metrics.gauge('quarantined_requests', 'Requests that end endpoints and are sent nowhere', () => poison.guard.ledger.quarantined.size)
   metrics.gauge('suspected_requests', 'Requests that one more end of an endpoint would put in quarantine', () => poison.guard.ledger.suspected.length)
-  metrics.gauge('limited_endpoints', 'Endpoints that named a limit with their last answer to this node', () => dispatch.needLog.limitedEndpoints)
-  metrics.gauge('sent_to_limited_endpoints', 'Requests sent to endpoints that had named a limit, since the start', () => dispatch.needLog.sentToLimited)
-  metrics.gauge('sent_to_resting_endpoints', 'Requests sent to endpoints that had asked this node for rest, since the start', () => dispatch.needLog.sentInRest)
+  metrics.gauge('limited_endpoints', 'Endpoints that named a limit with their last answer to this node', () => dispatch.backpressureLog.limitedEndpoints)
+  metrics.gauge('sent_to_limited_endpoints', 'Requests sent to endpoints that had named a limit, since the start', () => dispatch.backpressureLog.sentToLimited)
+  metrics.gauge('sent_to_resting_endpoints', 'Requests sent to endpoints that had asked this node for rest, since the start', () => dispatch.backpressureLog.sentDuringBackoff)
   metrics.gauge('leaving_endpoints', 'Endpoints that leave, by the list or by their own word', () => [...endpoints.current.values()].filter(({ leaving }) => leaving).length)
   metrics.gauge('log_lines_dropped', 'Log lines dropped since the start', () => log.dropped)
   metrics.gauge('resident_bytes', 'Resident memory', () => process.memoryUsage.rss())
--- a/packages/dotterelspur-gateway/src/request/EndpointCall.ts
+++ b/packages/dotterelspur-gateway/src/request/EndpointCall.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders } from 'node:http'
 import type { Dispatcher } from 'undici'
 import { ExchangeEnd } from 'dotterelspur'
-import type { AnswerHead, WireFormat } from '../process/GatewayPorts.js'
+import type { ResponseHeaders, WireFormat } from '../process/GatewayPorts.js'
 
 const MISDIRECTED = 421
 const FIRST_SUCCESS = 200
@@ -39,8 +39,8 @@
   /** Null where the whole answer is to be held. */
   readonly sink: AnswerSink | null
   /** Bytes or a head came: the endpoint lives. */
-  readonly onProgress: (head: AnswerHead | null) => void
-  readonly onEnd: (end: ExchangeEnd, held: HeldAnswer | null, head: AnswerHead | null) => void
+  readonly onProgress: (head: ResponseHeaders | null) => void
+  readonly onEnd: (end: ExchangeEnd, held: HeldAnswer | null, head: ResponseHeaders | null) => void
 }
 
 /** Codes of undici's errors for bytes that are no answer in the protocol. */
@@ -54,7 +54,7 @@
   private ended = false
   private abortedWith: ExchangeEnd | null = null
   private start: AnswerStart | null = null
-  private head: AnswerHead | null = null
+  private head: ResponseHeaders | null = null
   private readonly chunks: Buffer[] = []
   private streaming = false
   private unframed = false
@@ -83,7 +83,7 @@
   onResponseStart (_controller: Dispatcher.DispatchController, status: number, headers: IncomingHttpHeaders): void {
     if (this.ended || status < FIRST_SUCCESS) return
     this.start = { status, headers }
-    this.head = this.options.wire.readAnswer(status, headers)
+    this.head = this.options.wire.readResponseHeaders(status, headers)
     if (this.head.requestId !== this.options.requestId) return this.abort(ExchangeEnd.Foreign)
     this.options.onProgress(this.head)
     this.unframed = headers['content-length'] === undefined && headers['transfer-encoding'] === undefined
@@ -128,7 +128,7 @@
 }
 
 /** What a whole answer means. */
-function endOf (status: number, head: AnswerHead): ExchangeEnd {
+function endOf (status: number, head: ResponseHeaders): ExchangeEnd {
   if (status === MISDIRECTED) return ExchangeEnd.Misdirected
   if (head.notExecuted) return ExchangeEnd.Rejected
   return status >= FIRST_SERVER_ERROR ? ExchangeEnd.Failed : ExchangeEnd.Answered
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -6,8 +6,8 @@
 } from 'dotterelspur'
 import { forwardedHeaders } from '../connection/headers.js'
 import type { Dispatch, DispatchExchange } from '../process/Dispatch.js'
-import type { CallerHead, WireFormat } from '../process/GatewayPorts.js'
-import type { PoisonKeeper } from '../process/PoisonKeeper.js'
+import type { CallerHeaders, WireFormat } from '../process/GatewayPorts.js'
+import type { PoisonTracker } from '../process/PoisonTracker.js'
 import { OwnAnswerKind, type CallerAnswer } from './CallerAnswer.js'
 import { EndpointCall, type AnswerStart, type HeldAnswer } from './EndpointCall.js'
 
@@ -21,14 +21,14 @@
   readonly clock: Clock
   readonly wire: WireFormat
   readonly dispatch: Dispatch
-  readonly poison: PoisonKeeper
+  readonly poison: PoisonTracker
 }
 
 /** What was decided about a request before it is sent anywhere. */
 export interface AdmittedRequest {
   readonly request: IncomingMessage
   readonly content: RequestContent
-  readonly head: CallerHead
+  readonly head: CallerHeaders
   readonly requestId: string
   readonly route: Route
   readonly service: ServiceId
@@ -84,7 +84,7 @@
       [DispatchEffectKind.Place]: (effect) => this.place(effect),
       [DispatchEffectKind.Exchange]: async (effect) => await this.exchange(effect),
       [DispatchEffectKind.JudgeLoss]: async () => await this.mayGoOn(),
-      [DispatchEffectKind.SpendRepeat]: () => this.over === null && this.parts.dispatch.spendRepeat(this.admitted.service)
+      [DispatchEffectKind.SpendRepeat]: () => this.over === null && this.parts.dispatch.trySpendRetry(this.admitted.service)
     })
     cancelDeadline()
     const answeredWith = this.conclude(end)
@@ -129,9 +129,9 @@
     const end = await new Promise<ExchangeEnd>((resolve) => { this.send(target, mayMove, resolve) })
     this.call = null
     note.end()
-    dispatch.exchangeEnded(target)
+    dispatch.endExchange(target)
     if (EXCHANGE_RULES[end].mayEndEndpoint) this.lossNoted = this.noteLoss(target, clock.nowMs() - sentAtMs)
-    if (EXCHANGE_RULES[end].blamesEndpoint) dispatch.blame(target, end)
+    if (EXCHANGE_RULES[end].blamesEndpoint) dispatch.noteFailure(target, end)
     return { end, callerHasPart: this.answer.hasPart }
   }
 
@@ -144,7 +144,7 @@
   private send (target: DispatchTarget, mayMove: boolean, resolve: (end: ExchangeEnd) => void): void {
     const { wire, dispatch } = this.parts
     const streams = this.admitted.route.kind === RequestKind.Streaming
-    const running = dispatch.exchangeBegan(target, this.admitted, mayMove, () => { this.call?.abort(ExchangeEnd.Silent) })
+    const running = dispatch.beginExchange(target, this.admitted, mayMove, () => { this.call?.abort(ExchangeEnd.Silent) })
     this.running = running
     const channel = dispatch.acquireChannel(target)
     const call = new EndpointCall({
@@ -156,7 +156,7 @@
       onEnd: (end, held, head) => {
         running.stop()
         dispatch.releaseChannel(target, channel)
-        if (end === ExchangeEnd.Rejected && head !== null && head.lostMember !== null) dispatch.blame(target, end)
+        if (end === ExchangeEnd.Rejected && head !== null && head.lostMember !== null) dispatch.noteFailure(target, end)
         const judged = this.judgeEnd(end, held)
         this.takeEnd(judged, held)
         resolve(judged)
@@ -168,7 +168,7 @@
 
   private requestOptions (target: DispatchTarget): Dispatcher.DispatchOptions {
     const { request, content: { body }, workspace, priority, head } = this.admitted
-    const headers = this.parts.wire.writeForwarded(forwardedHeaders(request.rawHeaders), {
+    const headers = this.parts.wire.writeForwardedHeaders(forwardedHeaders(request.rawHeaders), {
       endpoint: target.endpoint,
       workspace,
       deadlineMs: Math.max(1, Math.round(this.leftMs())),
