--- a/packages/dotterelspur-gateway/src/__tests__/unit/Dispatch.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/Dispatch.test.ts
@@ -37,9 +37,9 @@
 }
 
 describe('Dispatch', () => {
-  it('does not take callers that come back for more demand', () => {
-    // Symptom: a model gets twice the groups that its callers need, and the other too few. Sequence: it lacks groups, so
-    // its callers are refused, and each comes back once. Cause: each return was counted as another request.
+  it('does not count retrying callers as additional demand', () => {
+    // Guards against counting a rejected caller's retry as a new request, which gave a model without enough groups
+    // twice the groups that its callers needed.
     const dispatch = createDispatch(new ManualClock())
     for (let count = 0; count < 50; count++) dispatch.noteRequest('llm', ROUTE, createHead(2_000))
     const demand = dispatch.demand().get('large')
@@ -51,14 +51,15 @@
     expect(dispatch.demand().get('large')).to.equal(demand)
   })
 
-  it('takes a caller that goes on with a stream for one that is late already', () => {
+  it('treats a caller that resumes a stream as already late', () => {
     const dispatch = createDispatch(new ManualClock())
     expect(dispatch.noteRequest('llm', ROUTE, createHead(2_000))).to.equal(0)
     expect(dispatch.noteRequest('llm', ROUTE, { ...createHead(2_000), lastEventId: '7' })).to.be.at.least(ROUTE.targetLatencyMs)
   })
 
-  // Guards against nodes that start after all were killed and serve those who lost them before those who can be on time.
-  it('knows callers that come back from its first request on, by what the fleet remembers', () => {
+  // Guards against nodes that start after all were killed and serve retrying callers, who are late already, before
+  // callers who can still be served on time.
+  it('recognizes retrying callers from its first request on by the fleet\'s stored memory', () => {
     const dispatch = createDispatch(new ManualClock())
     dispatch.fleetView.mergeMemory({ deadlines: { usual: { draft: { usualSumMs: 4_000, nodes: 2 } }, leastShare: { sum: 1.8, nodes: 2 } }, firstEvents: {} })
     expect(dispatch.noteRequest('llm', ROUTE, createHead(1_000))).to.equal(1_000)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/EndpointRegistry.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/EndpointRegistry.test.ts
@@ -4,7 +4,7 @@
 import { createEndpoint, createLog } from '../fixtures/builders.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
 
-describe('EndpointKeeper', () => {
+describe('EndpointRegistry', () => {
   function createRegistry (): { store: MemoryStore, clock: ManualClock, registry: EndpointRegistry } {
     const store = new MemoryStore()
     const clock = new ManualClock()
@@ -20,9 +20,9 @@
     expect(registry.current.size).to.equal(0)
   })
 
-  it('waits for entries that lapsed while the store was out', () => {
-    // Symptom: no endpoint is left for two seconds after the store came back. Sequence: heartbeats can't be written,
-    // entries lapse, the store returns without them. Cause: a missing entry was taken for a lost endpoint at once.
+  it('keeps entries that expired during a store outage for a grace period', () => {
+    // Guards against an empty fleet for two seconds after a store outage: entries expire while heartbeats cannot be
+    // written, and a missing entry was treated as a lost endpoint at once.
     const { store, clock, registry } = createRegistry()
     for (const id of ['w1', 'w2']) store.put(`endpoints/${id}`, createEndpoint(id, `10.0.0.1:${id.slice(1)}`))
     store.disconnect()
@@ -35,10 +35,11 @@
     expect([...registry.current.keys()]).to.deep.equal(['w1'])
   })
 
-  it('knows that an endpoint has ended when another one is listed at its address', () => {
-    // A VM that had died was listed for three more seconds, and its address had passed on. Questions to it were answered by
-    // its successor: "endpoint-reachable" i-e5932388f7, dead for a second, and "report i-b127ce5b8f: g1000129 rank 0 open", the
-    // place of another one. A sound group seemed to have a member too many, or another head, and was taken apart.
+  it('regards an endpoint as superseded when another one is listed at its address', () => {
+    // Guards against attributing a response to a dead endpoint. A dead VM stays listed for three more seconds; if a
+    // successor has its address, it answers the report requests meant for the dead one. Its membership was taken for
+    // the dead endpoint's, so that a healthy group seemed to have a member too many, or another head, and was
+    // dissolved.
     const { store, registry } = createRegistry()
     store.put('endpoints/dead', createEndpoint('dead', '10.0.0.1:1'))
     store.put('endpoints/heir', createEndpoint('heir', '10.0.0.1:1'))
@@ -47,9 +48,10 @@
     expect([...registry.current.keys()]).to.deep.equal(['heir'])
   })
 
-  it('tells of the end of a head whose address has passed on, as of any other', () => {
-    // The deciding node takes such a head off its list as soon as its successor registers, and passes on what concerns callers.
-    // The head's entry lapses later: unless that is passed on too, the other nodes would keep the head as one that takes requests.
+  it('forwards the removal of a superseded head like that of any other head', () => {
+    // The lease holder drops such a head as soon as its successor registers, and forwards changes that affect callers.
+    // The head's entry expires later: if that is not forwarded too, other nodes keep the head as one that accepts
+    // requests.
     const { store, registry } = createRegistry()
     const head = createEndpoint('dead', '10.0.0.1:1', { fabricDomain: 'd', membership: { group: 'g1', formation: 1, rank: 0, state: MemberState.Open } })
     store.put('endpoints/dead', head)
@@ -58,7 +60,7 @@
     expect(registry.concernsCallers({ key: 'endpoints/heir', version: 9, body: null, deleted: true })).to.equal(false)
   })
 
-  it('lets an entry of no declared service end nobody', () => {
+  it('lets an entry of an undeclared service supersede no endpoint', () => {
     const store = new MemoryStore()
     const registry = new EndpointRegistry(new ManualClock(), createLog(), (service) => service === 'plain')
     registry.follow(store)
@@ -67,7 +69,7 @@
     expect(registry.current.has('w1')).to.equal(true)
   })
 
-  it('takes of two that are read together at one address the one that was written later, until its entry goes', () => {
+  it('prefers the later written of two entries read together at one address, until that entry is removed', () => {
     const store = new MemoryStore()
     store.put('endpoints/w2', createEndpoint('w2', '10.0.0.1:1'))
     store.put('endpoints/w1', createEndpoint('w1', '10.0.0.1:1'))
@@ -81,10 +83,10 @@
     expect(registry.current.size).to.equal(0)
   })
 
-  it('lets the entry of an endpoint that has ended displace nobody when it is written again', () => {
-    // Where the entry that was written later goes first, half as many groups open. VMs restarted behind a cut;
-    // when it healed, a heartbeat of each dead one was carried out after its successor had registered, and the living one was dropped:
-    // "endpoint-unlisted" i-8744de55e8 "addressPassedOn":true, "endpoint-listed" i-8c0d295e5c, which had been unlisted before.
+  it('lets a rewritten entry of a superseded endpoint displace no endpoint', () => {
+    // Guards against dropping a live endpoint. VMs restart during a network partition; when it heals, a heartbeat of
+    // each dead endpoint is applied after its successor has registered. With the later written entry as the owner, the
+    // live endpoints were dropped and only half as many groups opened.
     const { store, registry } = createRegistry()
     store.put('endpoints/dead', createEndpoint('dead', '10.0.0.1:1'))
     store.drop('endpoints/dead')
@@ -96,9 +98,9 @@
     expect(registry.current.get('heir')?.model).to.equal('small')
   })
 
-  it('drops what was known under a name when a new life or somebody else writes there, also in the grace after an outage', () => {
-    // Symptom: a request waits at a worker that knows nothing of its group. Sequence: the store is out, a worker starts
-    // again under its id, the store returns. Cause: the entry of the former life was kept as one that may come back.
+  it('drops the former record of a key when a new incarnation or another writer replaces it, also during the grace period', () => {
+    // Guards against requests that wait at a restarted worker which does not know its former group: after a store
+    // outage, the entry of the former incarnation was kept as one that may return.
     const { store, clock, registry } = createRegistry()
     store.put('endpoints/w1', createEndpoint('w1~1', '10.0.0.1:1'))
     store.put('endpoints/w2', createEndpoint('w2~1', '10.0.0.2:1'))
@@ -116,9 +118,9 @@
     expect(registry.current.size).to.equal(0)
   })
 
-  it('commits a batch of changes once, and nothing for a word that says what is known', () => {
-    // Symptom: the deciding node of a fleet of 760 endpoints does nothing else for seconds. Sequence: each changes three
-    // times while groups form. Cause: the whole list was copied, and all listeners ran, for each change and each answer.
+  it('commits a batch of changes once, and nothing for a report without changes', () => {
+    // Guards against a lease holder that is busy for seconds in a fleet of 760 endpoints: each endpoint changes three
+    // times while groups form, and the list was copied and all listeners ran for each change and each report.
     const { store, registry } = createRegistry()
     let commits = 0
     registry.registerListener(() => { commits += 1 })
@@ -128,7 +130,7 @@
     expect(commits).to.equal(1)
   })
 
-  it('lets an endpoint\'s own word stand until the list has a later one', () => {
+  it('keeps an endpoint\'s own report until the list has a later version', () => {
     const { store, registry } = createRegistry()
     store.put('endpoints/w1', createEndpoint('w1', '10.0.0.1:1'))
     registry.noteReport('w1', { model: 'small', staged: ['small'], membership: null })
@@ -137,8 +139,8 @@
     expect(registry.current.get('w1')).to.deep.include({ leaving: true, model: null })
   })
 
-  // Guards against an entry written before the endpoint's word, and read after it, that brings the endpoint back.
-  it('takes an endpoint for leaving by its own word, until its life ends', () => {
+  // Guards against an entry that was written before the announcement, is read after it, and clears the leaving state.
+  it('treats an endpoint as leaving by its own announcement until its incarnation ends', () => {
     const { store, registry } = createRegistry()
     store.put('endpoints/w1', createEndpoint('w1', '10.0.0.1:1'))
     registry.noteLeaving(['w1', 'unknown'])
@@ -148,8 +150,8 @@
     expect(registry.current.get('w1~2')?.leaving).to.equal(false)
   })
 
-  // Guards against an entry that lapses, or that somebody else writes over, and is back for the same life.
-  it('takes it for leaving also after its entry was gone for a while', () => {
+  // Guards against an entry that expires or is overwritten by another writer, and returns for the same incarnation.
+  it('treats it as leaving also after its entry was gone for a while', () => {
     const { store, registry } = createRegistry()
     store.put('endpoints/w1', createEndpoint('w1', '10.0.0.1:1'))
     registry.noteLeaving(['w1'])
@@ -159,7 +161,7 @@
     expect(registry.current.get('w1')?.leaving).to.equal(true)
   })
 
-  it('keeps what an endpoint\'s place is known by when it says that it leaves', () => {
+  it('keeps the origin of an endpoint\'s record when it announces that it is leaving', () => {
     const { store, clock, registry } = createRegistry()
     store.put('endpoints/w1', createEndpoint('w1', '10.0.0.1:1'))
     const word = registry.recordOrigin('w1')
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FleetLease.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FleetLease.test.ts
@@ -12,9 +12,9 @@
     }
   }
 
-  it('goes to another node when its holder falls silent, under a higher number, and names the lapsed holder', async () => {
-    // Symptom: the directory names a dead node for more than six seconds. Sequence: the deciding node dies; its
-    // successor begins to look for signs of life only then. Cause: that the lease lapsed was not taken for a sign.
+  it('passes to another node under a higher fencing number when its holder falls silent, and reports the former holder', async () => {
+    // Guards against a directory that lists a dead node for more than six seconds: the lease holder dies, and its
+    // successor began to check its activity only then instead of treating the expired lease as evidence.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const lapsed: string[] = []
@@ -30,10 +30,9 @@
     expect(lapsed).to.deep.equal(['n1'])
   })
 
-  it('is taken at once by the next life of the node that held it', async () => {
-    // Symptom: no group is mended for more than two seconds after all processes were killed. Sequence: the holder starts
-    // again after half a second, and waits until the lease of its former life lapses. Cause: it took that life for another
-    // node, though it can only have started because that one had ended.
+  it('is taken at once by the next incarnation of its holder', async () => {
+    // Guards against more than two seconds without group repairs after all processes were killed: the restarted holder
+    // waited for the lease of its former incarnation to expire, although that incarnation must have ended.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const createLease = (node: string, incarnation: number): FleetLease => new FleetLease(store, { node, incarnation }, clock, createRandom(1), createLog(clock), () => {})
@@ -45,8 +44,8 @@
     expect(other.mayOrder()).to.equal(false)
   })
 
-  // Guards against a fleet that forgets what it has learned when all its nodes are killed at once.
-  it('hands what its holder remembers on to nodes of the next life, and to its successor', async () => {
+  // Guards against losing the fleet's learned state when all nodes are killed at once.
+  it('passes the holder\'s stored state on to the next incarnations of nodes and to its successor', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const seen = new Map<string, unknown>()
@@ -60,7 +59,7 @@
     expect(seen.get('n2')).to.equal('much')
   })
 
-  it('is written without waiting for its next renewal when what is kept with it has changed', async () => {
+  it('is written without waiting for the next renewal when the state stored with it has changed', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     let suspects: string[] = []
@@ -84,10 +83,10 @@
     expect(other.mayOrder()).to.equal(true)
   })
 
-  it('lets its last holder coordinate while the store is out for all, and not beside a successor', async () => {
-    // Symptom: in an outage of the store nodes refuse callers though groups have room, by loads that are five seconds old,
-    // and go on sending to groups that have stopped. Sequence: the lease lapses, nobody can take it, and the links over
-    // which loads are told go down with it. Cause: who tells what others have in flight was taken for who decides.
+  it('lets its last holder coordinate while the store is unavailable for all nodes, but not beside a successor', async () => {
+    // Guards against stale loads during a store outage: the lease expires and nobody can take it. If the links through
+    // which loads are exchanged close with it, nodes reject callers although groups have room, by loads that are five
+    // seconds old, and keep sending to stalled groups.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const [holder, other] = ['n1', 'n2'].map((node, index) => new FleetLease(store, { node, incarnation: 1 }, clock, createRandom(index), createLog(clock), () => {}))
@@ -104,9 +103,9 @@
     expect(holder!.isCoordinator()).to.equal(false)
   })
 
-  it('is asked for by nodes in turn, and ever more rarely while the store is out', async () => {
-    // Symptom: 8,278 priced calls on one day of 91 nodes. Sequence: the store is out for 8 s, the lease lapses, and each node
-    // tries to take it three times a second. Cause: pauses between tries took no account of how many try.
+  it('is requested by nodes one after another, and less and less often during a store outage', async () => {
+    // Guards against 8,278 billed store calls in a day of 91 nodes: in an outage of 8 s the lease expired and each node
+    // tried to take it three times a second, whatever the number of nodes.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const nodes = Array.from({ length: 40 }, (_unused, index) => new FleetLease(store, { node: `n${index}`, incarnation: 1 }, clock, createRandom(index), createLog(clock), () => {}, () => 40))
@@ -116,24 +115,24 @@
     await runSteps(clock, nodes, FLEET_LEASE_TIMING.ttlMs + 1_000)
     const before = store.calls
     await runSteps(clock, nodes, 8_000)
-    // Looks are one in 0.6 s a node; challenges stay below one a second.
+    // Each node reads once in 0.6 s; challenges stay below one a second.
     expect((store.calls - before) / (40 * 8)).to.be.below(3)
     store.reconnect()
     await runSteps(clock, nodes, 2_500)
     expect(nodes.filter((lease) => lease.mayOrder())).to.have.length(1)
   })
 
-  it('has a holder that is cut from the store told of its successor by those whom it still reaches', async () => {
-    // Symptom: for four seconds a third of all answers is late, of every model. Sequence: the store turns the deciding node
-    // away; another takes the lease and doesn't link to it, as its entry is gone; both add up and tell what all nodes see,
-    // each from a part of them. Cause: nobody who knew better told the former one.
+  it('lets the remaining peers inform a holder without store access of its successor', async () => {
+    // Guards against two coordinators. The store rejects the lease holder's calls, another node takes the lease and
+    // does not link to the former holder, whose entry is gone; both aggregate and broadcast partial observations. For
+    // four seconds a third of all responses were late.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const [former, next, third] = ['n1', 'n2', 'n3'].map((node, index) => new FleetLease(store, { node, incarnation: 1 }, clock, createRandom(index), createLog(clock), () => {}))
     await runSteps(clock, [former!], 600)
     const formerFencing = former!.coordinationFencing!
     expect(third!.leaseAfter(formerFencing)).to.equal(null)
-    // The former one no longer runs its steps against the store: its lease lapses unseen by it.
+    // The former holder no longer runs its steps, so its lease expires unnoticed by it.
     await runSteps(clock, [next!, third!], FLEET_LEASE_TIMING.ttlMs + 1_500)
     const successor = [next!, third!].find((lease) => lease.mayOrder())!
     const witness = successor === next ? third! : next!
@@ -144,7 +143,7 @@
     expect(witness.leaseAfter(later!.body.fencing)).to.equal(null)
   })
 
-  it('orders nothing once the store has been out for its time to live', async () => {
+  it('permits no orders once the store has been unavailable for the time to live', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const lease = new FleetLease(store, { node: 'n1', incarnation: 1 }, clock, createRandom(1), createLog(clock), () => {})
@@ -154,7 +153,7 @@
     expect(lease.mayOrder()).to.equal(false)
   })
 
-  it('orders nothing after a pause of its process until a renewal got through', async () => {
+  it('permits no orders after a process pause until a renewal succeeds', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const lease = new FleetLease(store, { node: 'n1', incarnation: 1 }, clock, createRandom(1), createLog(clock), () => {})
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FollowedStore.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FollowedStore.test.ts
@@ -15,13 +15,13 @@
 
 const BOUNDS: ChangeBounds = { drainMs: 2_000, manifestMs: 3_000 }
 
-/** Longer than any rest after an answer, shorter than the validity of a word. */
+/** Longer than any pause after a response, shorter than the validity of feed progress. */
 const PAUSE_OVER_MS = 600
 
-/** The body of an endpoint that takes no requests any more. */
+/** Body of an endpoint that accepts no more requests. */
 const LEAVING = 'leaving'
 
-/** A node that follows the endpoints: what it was told, and what it shares. */
+/** A node that follows a prefix, the events that it received and the updates that it shared. */
 interface FollowingNode {
   readonly followed: FollowedStore
   readonly seen: string[]
@@ -46,7 +46,7 @@
   return { contactAgeMs: followed.contactAgeMs, versions: followed.versions }
 }
 
-/** Lets everything that can go on without time passing go on. */
+/** Runs all pending promises without advancing time. */
 async function settle (): Promise<void> {
   for (let turn = 0; turn < 30; turn++) await Promise.resolve()
 }
@@ -62,9 +62,9 @@
 }
 
 describe('FollowedStore', () => {
-  it('follows a prefix by itself, lists again when its history is gone, and says when contact is lost', async () => {
-    // Symptom: a node serves the routes of an hour ago. Sequence: the store drops its history while a node is between
-    // two questions. Cause: the node went on asking from where it had stopped.
+  it('polls a prefix itself, lists again when the history is gone, and reports lost contact', async () => {
+    // Guards against serving outdated routes: the store drops its history between two polls, and the node kept polling
+    // from its old version.
     const answers: Array<Result<ChangeBatch, StoreError>> = [
       success({ objects: [{ key: 'endpoints/w1', version: 3, body: null, deleted: true }], version: 7 }),
       failed({ kind: StoreErrorKind.NotFound, key: '' }),
@@ -78,7 +78,7 @@
     expect(seen).to.deep.equal(['connected', 'listing', 'endpoints/w1 gone', 'connected', 'listing', 'disconnected', 'connected', 'listing'])
   })
 
-  it('asks the store nothing while the deciding node tells it all, and takes its news', async () => {
+  it('makes no store calls while the feed covers the prefix, and applies feed updates', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const holder = follow(store, clock, true)
@@ -101,11 +101,12 @@
     await pass(clock, PAUSE_OVER_MS)
     for (const update of holder.shared) node.followed.applyUpdate(update)
     expect(node.seen.slice(2)).to.deep.equal(['endpoints/w1 there', 'endpoints/w2 there', 'endpoints/w3 there'])
-    expect(asked(store).filter((call) => !call.endsWith(' 1000')), 'the decider waits 1 s a question').to.deep.equal([])
+    expect(asked(store).filter((call) => !call.endsWith(' 1000')), 'polls of the lease holder wait 1 s').to.deep.equal([])
   })
 
-  // Guards against an endpoint that the deciding node alone knows to leave: each change was judged by what was known before the batch.
-  it('passes on what undoes a change of the same batch that concerned callers', async () => {
+  // Guards against an endpoint that only the lease holder knows to be leaving: each change of a batch was judged by the
+  // state before the batch.
+  it('forwards a change that undoes one of the same batch that affected callers', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const holder = follow(store, clock, true)
@@ -120,9 +121,9 @@
     expect(shared).to.deep.equal(['endpoints/head-1 there', `endpoints/head-1 ${LEAVING}`])
   })
 
-  it('passes on only what concerns callers, and reads all of it once it decides itself', async () => {
-    // Symptom: before 195 nodes no group forms for a minute. Sequence: each of 760 endpoints changes three times while its
-    // group forms, and all of it goes to 194 nodes over one link. Cause: members were told of, which no caller needs.
+  it('forwards only changes that affect callers, and lists the whole prefix once it holds the lease itself', async () => {
+    // Guards against a fleet of 195 nodes without groups for a minute: each of 760 endpoints changes three times while
+    // its group forms, and all of it went to 194 nodes over one link, though callers need only the heads.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const holder = follow(store, clock, true)
@@ -131,7 +132,7 @@
     store.put('endpoints/head-0', {})
     await pass(clock, PAUSE_OVER_MS)
     node.followed.applyProgress(progressOf(holder))
-    // Ends the question that the node has under way; from here on it relies on the deciding node.
+    // Completes the node's pending poll; from here on the node relies on the feed.
     store.put('endpoints/head-1', {})
     await pass(clock, PAUSE_OVER_MS)
     for (const update of holder.shared.splice(0)) node.followed.applyUpdate(update)
@@ -152,9 +153,9 @@
     expect(node.followed.isComplete(ENDPOINT_PREFIX)).to.equal(true)
   })
 
-  it('waits for the deciding node\'s first word before it asks for changes, and not for ever', async () => {
-    // Symptom: 195 nodes that start make thousands of calls in three seconds. Sequence: each registers, and each of the
-    // others asks for that change. Cause: nodes that would soon be told everything followed the store themselves.
+  it('waits for the first feed progress before it polls, but not forever', async () => {
+    // Guards against thousands of calls in three seconds when 195 nodes start: each node registers, and each of the
+    // others polled for that change instead of waiting for the feed.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false, ENDPOINT_PREFIX, 500)
@@ -170,8 +171,8 @@
     expect(asked(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 0 3000`])
   })
 
-  // Guards against two calls a node for each start of the fleet, for manifests that the deciding node would tell of at once.
-  it('waits for that word with a manifest as well', async () => {
+  // Guards against two calls per node at each start of the fleet for a manifest whose version the feed carries anyway.
+  it('waits for feed progress with a manifest as well', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false, MANIFEST_PREFIX, 500)
@@ -185,8 +186,8 @@
     expect(asked(store)).to.deep.equal([])
   })
 
-  // Guards against a call of each node for each prefix whenever the deciding node is lost, which made 560 calls in a second.
-  it('asks for the list of nodes and the quarantine only when no successor of a lost deciding node has told of them', async () => {
+  // Guards against one call per node and prefix whenever the lease holder is lost, which made 560 calls in a second.
+  it('polls nodes and quarantine only when no successor of a lost lease holder has sent feed progress', async () => {
     for (const prefix of [NODE_PREFIX, QUARANTINE_PREFIX]) {
       const store = new MemoryStore()
       const clock = new ManualClock()
@@ -207,8 +208,9 @@
     }
   })
 
-  // Guards against a call of each node for each prefix when another one has changed: the store counts all changes together.
-  it('asks for nothing while only other prefixes have changed', async () => {
+  // Guards against one call per node and prefix when another prefix has changed: the store numbers changes of all
+  // prefixes together.
+  it('does not poll while only other prefixes have changed', async () => {
     const clock = new ManualClock()
     const store = new MemoryStore(clock)
     const holder = follow(store, clock, true, NODE_PREFIX)
@@ -228,7 +230,7 @@
     expect(node.seen.at(-1)).to.equal('nodes/n2 there')
   })
 
-  it('asks the store at once when a word goes further than its news', async () => {
+  it('polls the store at once when feed progress is ahead of the feed updates', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
@@ -244,9 +246,9 @@
     expect(node.seen.at(-1)).to.equal('endpoints/w2 there')
   })
 
-  it('goes back to the store when the deciding node has had no answer from it for too long', async () => {
-    // Symptom: requests go to an endpoint that left seconds ago. Sequence: the deciding node alone is cut from the store,
-    // but its links hold. Cause: the others took its words for news of the store.
+  it('polls the store when the lease holder has been without contact for too long', async () => {
+    // Guards against requests to an endpoint that left seconds ago: the lease holder alone is disconnected from the
+    // store, but its links still work, and the other nodes relied on its outdated progress.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
@@ -266,7 +268,7 @@
     expect(node.seen.at(-1)).to.equal('endpoints/w2 there')
   })
 
-  it('says once when the deciding node falls silent, and when it is heard again', async () => {
+  it('logs once when the lease holder falls silent, and once when it is heard again', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const lines: Array<Record<string, unknown>> = []
@@ -283,9 +285,9 @@
     ])
   })
 
-  it('does not bring back what an older answer still has', async () => {
-    // Symptom: callers are sent to a node that left. Sequence: a node asks for changes; its answer, in which an entry was
-    // just made, is held up; meanwhile news tell that the entry is gone. Cause: both were applied in order of arrival.
+  it('does not restore a deleted object from an older response', async () => {
+    // Guards against sending callers to a node that left: a delayed poll response contains a new entry, a feed update
+    // received meanwhile deletes it, and both were applied in order of arrival.
     const store = new MemoryStore()
     const clock = new ManualClock()
     let answer: (result: Result<ChangeBatch, StoreError>) => void = () => {}
@@ -299,9 +301,9 @@
     expect(node.seen.slice(2)).to.deep.equal(['endpoints/w1 there', 'endpoints/w1 gone'])
   })
 
-  it('does not take news while it lists', async () => {
-    // Symptom: a group that serves is unknown to one node for good. Sequence: while it reads the list anew, news come that
-    // are newer than the list. Cause: the list took them back, and versions kept them from being taken again.
+  it('applies no feed update during a listing', async () => {
+    // Guards against a serving group that stays unknown to a node: a feed update newer than the listing arrives during
+    // it, the listing undid the update, and the version check kept it from being applied again.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
@@ -310,9 +312,9 @@
     expect(node.seen).to.deep.equal(['connected', 'listing'])
   })
 
-  it('goes on by the feed while the store turns this node away', async () => {
-    // Symptom: a node sends requests to groups that are gone for nine seconds, though its links work. Sequence: the store
-    // turns it away while the feed has a gap; then the feed is whole again. Cause: only a new list was waited for.
+  it('continues by the feed while the store rejects this node', async () => {
+    // Guards against requests to removed groups for nine seconds: the store rejects the node while the feed has a gap,
+    // and after the feed recovered the node still waited for a new listing.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
@@ -328,8 +330,8 @@
     expect(asked(store)).to.deep.equal([])
   })
 
-  it('tries for all prefixes with one call while the store can\'t be reached', async () => {
-    // Symptom: an outage of 4.5 s costs a fleet of 63 nodes 2,500 refused calls. Cause: each follower of each node tried.
+  it('retries for all prefixes with one call while the store is unavailable', async () => {
+    // Guards against 2,500 failed calls of 63 nodes in an outage of 4.5 s, when each follower of each node retried.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
@@ -346,10 +348,9 @@
     expect(asked(store)).to.include.members([`list ${ENDPOINT_PREFIX}`, `list ${MANIFEST_PREFIX}`])
   })
 
-  it('goes on trying for a manifest while the feed tells it all endpoints', async () => {
-    // Symptom: three nodes refuse keys and routes that were declared seconds ago. Sequence: the store turns them away; the
-    // feed tells them the endpoints all the while; the store serves them again. Cause: only the follower of the endpoints
-    // tried to reach the store, and it had no reason to.
+  it('keeps retrying for a manifest while the feed covers the endpoints', async () => {
+    // Guards against rejecting keys and routes declared seconds ago: the store rejects the nodes' calls while the feed
+    // covers the endpoints; only the endpoints' follower retried, and it had no reason to.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false, MANIFEST_PREFIX)
@@ -369,7 +370,7 @@
     expect(node.seen.at(-1)).to.equal('listing')
   })
 
-  it('tells only the version of a manifest, which each node then reads itself', async () => {
+  it('forwards only the version of a manifest, which each node then reads itself', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const holder = follow(store, clock, true, MANIFEST_PREFIX)
@@ -390,9 +391,9 @@
     expect(node.seen.slice(-2)).to.deep.equal(['manifest/main there', 'manifest/main there'])
   })
 
-  it('takes an answer that was held up for a lost contact', async () => {
-    // Symptom: the fleet is empty for two seconds. Sequence: the store falls silent for less than a question waits, and
-    // entries lapse meanwhile; the question is answered with their deletions. Cause: nothing told that the store was out.
+  it('treats a delayed response as lost contact', async () => {
+    // Guards against an empty fleet for two seconds: the store falls silent for less than a long poll, entries expire
+    // meanwhile, and the delayed response delivers their deletions without any sign of the outage.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FormationController.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FormationController.test.ts
@@ -10,7 +10,7 @@
 
 const SILENT: EndpointControl = { order: async () => OrderReply.Unanswered, report: async () => ({ kind: ReportResultKind.Silent }) }
 
-/** A deciding node before one open group of two, whose second member it knows or not. */
+/** A lease holder with one open group of two, whose second member is missing from the list. */
 class ControllerWorld {
   readonly clock = new ManualClock()
   readonly stalled: string[] = []
@@ -54,17 +54,17 @@
   }
 }
 
-describe('FormationKeeper', () => {
-  it('tells that a group has stopped whose member is gone', async () => {
+describe('FormationController', () => {
+  it('reports a group as stalled whose member is gone', async () => {
     const world = new ControllerWorld()
     await world.run(1_500)
     expect(world.stalled).to.include('head')
   })
 
-  it('judges no group by a part of the endpoints', async () => {
-    // Symptom: after a takeover two thirds of all answers are late for six seconds. Sequence: the next deciding node was told
-    // only of heads; it takes the lease, and finds that all groups formed since its last list lack their members. Cause: it
-    // told all nodes that these have stopped before it had read the list.
+  it('judges no group by an incomplete endpoint list', async () => {
+    // Guards against late responses after a takeover: the new lease holder had received only heads through the feed,
+    // and reported all groups formed since its last listing as stalled before it had read the list. Two thirds of all
+    // responses were late for six seconds.
     const world = new ControllerWorld()
     world.hasAllEndpoints = false
     await world.run(1_500)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FormationRunner.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FormationRunner.test.ts
@@ -13,7 +13,7 @@
 const PLAN: FormationPlan = { group: 'g9', formation: 9, model: 'small', members: ['w1', 'w2'], former: [], joinTimeoutMs: 4_000 }
 const OPEN: EndpointOrder = { kind: EndpointOrderKind.Open, group: 'g9', formation: 9 }
 
-/** Two endpoints that carry out every order at once and write what they are to the list. */
+/** Two endpoints that carry out every order at once and write their state to the list. */
 class RunnerWorld {
   readonly store = new MemoryStore()
   readonly clock = new ManualClock()
@@ -23,7 +23,7 @@
   readonly reachability: Reachability
   /** Endpoints at whose address another one listens. */
   readonly superseded = new Set<string>()
-  /** The most orders that were under way together. */
+  /** Highest number of concurrent orders. */
   maxConcurrent = 0
   private concurrent = 0
   private readonly memberships = new Map<string, Membership>()
@@ -89,7 +89,7 @@
     expect(world.orders).to.deep.equal(['join w1', 'join w2', 'open w1'])
   })
 
-  it('keeps each question and order of a plan with its answer', async () => {
+  it('records each report request and order of a plan with its response', async () => {
     const world = new RunnerWorld()
     await world.takeLease()
     const history = new FormationHistory()
@@ -99,9 +99,10 @@
     ])
   })
 
-  it('asks an endpoint nothing more once another one has answered to an order for it', async () => {
-    // A VM had died, and nobody else was listed at its address yet. Its successor answered the questions that were meant for
-    // it, so that plan after plan began with it, and refused each order: "join i-b127ce5b8f g1000174: elsewhere".
+  it('queries an endpoint no more once another one has responded to an order for it', async () => {
+    // Guards against repeated plans with a dead endpoint: a successor at its address that is not listed yet answers the
+    // report requests meant for it, so that one plan after another began with it, and rejects each order as
+    // `elsewhere`.
     const world = new RunnerWorld()
     await world.takeLease()
     world.superseded.add('w2')
@@ -111,9 +112,9 @@
     expect(world.orders).to.deep.equal(['join w1', 'join w2'])
   })
 
-  it('sends the orders of many plans a few at a time', async () => {
-    // Symptom: before 195 nodes and 760 endpoints groups don't form for a minute. Sequence: 640 orders leave at once from a
-    // third of a core, run into their timeout before they are sent, and are sent again. Cause: nothing bounded them.
+  it('limits the concurrent orders of many plans', async () => {
+    // Guards against a minute without new groups in a fleet of 195 nodes and 760 endpoints: 640 orders sent at once
+    // from a third of a core exceeded their timeout before they were sent, and were sent again.
     const world = new RunnerWorld()
     await world.takeLease()
     const orders = Array.from({ length: 200 }, () => ({ endpoint: 'w1', order: OPEN, expectedOrders: null }))
@@ -122,9 +123,10 @@
     expect(world.maxConcurrent).to.be.within(2, 20)
   })
 
-  it('sends no order once its lease has lapsed', async () => {
-    // Symptom: two nodes order the same members about. Sequence: the store goes out in the middle of a plan, the lease
-    // lapses, another node takes it, and the first goes on. Cause: the lease was looked at only when the plan began.
+  it('sends no order once its lease has expired', async () => {
+    // Guards against two nodes that send orders to the same members: the store becomes unavailable in the middle of a
+    // plan, the lease expires, another node takes it, and the first one continued because it checked the lease only at
+    // the plan's start.
     const world = new RunnerWorld()
     await world.takeLease()
     world.store.disconnect()
--- a/packages/dotterelspur-gateway/src/__tests__/unit/Gateway.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/Gateway.test.ts
@@ -36,7 +36,7 @@
     await world.gateway.close()
   })
 
-  /** `body` is null where the answer was cut off. */
+  /** `body` is null if the response was cut off. */
   async function call (path: string, options: { method?: Dispatcher.HttpMethod, headers?: Record<string, string>, body?: string } = {}): Promise<Answer> {
     const { method = 'GET', headers = {}, body } = options
     const answer = await request(world.url(path), { method, body, headers: { host: 'a.example', 'x-request': 'r1', 'x-key': 'key-1', ...headers } })
@@ -48,14 +48,14 @@
     return endpoints.reduce((sum, { requests }) => sum + requests.length, 0)
   }
 
-  it('refuses with a time to come back while it knows no manifest, and is not ready', async () => {
+  it('rejects with a Retry-After while it has no manifest, and is not ready', async () => {
     const answer = await call('/read/x')
     expect(answer.status).to.equal(503)
     expect(Number(answer.headers['retry-after'])).to.be.greaterThan(0)
     expect((await request(world.url('/ready', world.readiness))).statusCode).to.equal(503)
   })
 
-  it('hands a request and its answer on unchanged, with the workspace in place of the key', async () => {
+  it('forwards a request and its response unchanged, with the workspace in place of the key', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), endpoints[0]!)
     let seen = ''
     endpoints[0]!.answerWith((_request, response, body) => {
@@ -72,7 +72,7 @@
     expect(seen).to.equal('claim')
   })
 
-  it('knows routes and keys', async () => {
+  it('checks routes and keys', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     expect((await call('/nowhere/x')).status).to.equal(404)
     expect((await call('/read/x', { headers: { 'x-key': 'stolen' } })).status).to.equal(401)
@@ -80,7 +80,7 @@
     expect(sent()).to.equal(0)
   })
 
-  it('takes a key away on a channel that stays open', async () => {
+  it('revokes a key on a connection that stays open', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     expect((await call('/read/x')).status).to.equal(200)
     world.store.put('manifest/main', createManifest(2, { routes: ROUTES, workspaces: [{ workspace: 'tradeline', keys: ['key-2'], priority: null }] }))
@@ -88,7 +88,7 @@
     expect((await call('/read/x')).status).to.equal(401)
   })
 
-  it('sends an idempotent request to another endpoint after a break', async () => {
+  it('retries an idempotent request at another endpoint after a broken connection', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     let first = true
     const dieOnce: StubHandler = (incoming, response, body) => {
@@ -101,16 +101,16 @@
     expect(sent()).to.equal(2)
   })
 
-  it('never sends a request again that may have run, and does not say that it has not', async () => {
-    // Symptom: a claim line is filed twice. Sequence: an endpoint dies with a request on its channel, another gets the
-    // request. Cause: a broken channel was taken for a request that did not run.
+  it('never retries a request that may have run, and does not report it as not executed', async () => {
+    // Guards against running a non-idempotent request twice: an endpoint dies with the request on its channel, and the
+    // broken channel was taken for a request that did not run.
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     endpoints.forEach((endpoint) => { endpoint.answerWith(dies) })
     expect((await call('/write/x', { method: 'POST', body: 'claim' })).status).to.equal(502)
     expect(sent()).to.equal(1)
   })
 
-  it('tries another endpoint after a refusal, and says not run when all refuse', async () => {
+  it('tries another endpoint after a rejection, and responds 503 when all reject', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     endpoints.forEach((endpoint) => { endpoint.answerWith(refuses) })
     const answer = await call('/write/x', { method: 'POST', body: 'claim' })
@@ -120,9 +120,9 @@
     expect(sent()).to.equal(2)
   })
 
-  it('goes on with a stream elsewhere after the last whole event, under the first head', async () => {
-    // Symptom: a stream with a half event, or one that comes twice. Sequence: an endpoint dies in the middle of its
-    // third event; another goes on. Cause: bytes were handed on as they came.
+  it('resumes a stream elsewhere after the last complete event, under the first response headers', async () => {
+    // Guards against a stream with a partial or duplicate event: an endpoint dies in the middle of its third event,
+    // another one continues, and bytes had been forwarded as they arrived.
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     let calls = 0
     const handler: StubHandler = (incoming, response, body) => {
@@ -138,7 +138,7 @@
     expect(endpoints.flatMap(({ requests }) => requests).map(({ headers }) => headers['last-event-id'])).to.have.members([undefined, '2'])
   })
 
-  it('cuts a stream off that can\'t be completed, in a way that can\'t be taken for its end', async () => {
+  it('aborts a stream that cannot be completed, distinguishably from a regular end', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     endpoints.forEach((endpoint) => { endpoint.answerWith(streamUpTo(2, (out) => { setTimeout(() => { out.destroy() }, 20) })) })
     const answer = await call('/stream-once/x', { method: 'POST', body: 'prompt' })
@@ -146,7 +146,7 @@
     expect(sent()).to.equal(1)
   })
 
-  it('closes the channel to the endpoint when the caller leaves', async () => {
+  it('closes the channel to the endpoint when the caller disconnects', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), endpoints[0]!)
     const leaving = new AbortController()
     const closed = new Promise<void>((resolve) => {
@@ -166,7 +166,7 @@
     expect((await call('/read/x')).status).to.equal(504)
   })
 
-  it('names itself in the directory until it stops, and finishes what is under way', async () => {
+  it('lists itself in the directory until it stops, and completes running requests', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), endpoints[0]!)
     const directory = async (): Promise<{ addresses: string[] }> => await (await request(world.url('/directory', world.directory))).body.json() as { addresses: string[] }
     expect((await directory()).addresses).to.deep.equal([`127.0.0.1:${world.callers.port}`])
@@ -189,14 +189,14 @@
     await stopped
   })
 
-  it('shows what it counts', async () => {
+  it('exposes its metrics', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     await call('/read/x')
     const page = await (await request(`http://${world.gateway.metricsAddress.host}:${world.gateway.metricsAddress.port}/metrics`)).body.text()
     expect(page).to.match(/dotterelspur_gateway_requests_total\{kind="idempotent",end="delivered"\} 1/)
   })
 
-  it('stops serving an endpoint as soon as it says that it leaves', async () => {
+  it('sends no more requests to an endpoint as soon as its entry is marked as leaving', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     world.store.put('endpoints/w1', { ...(await readEndpoint('w1')), leaving: true })
     await world.store.untilRead()
@@ -209,7 +209,7 @@
     return found.ok ? found.value.body : {}
   }
 
-  it('keeps an idle channel open for its caller', async () => {
+  it('keeps an idle caller connection open', async () => {
     await world.declare(createManifest(1, { routes: ROUTES }), ...endpoints)
     const answer = await call('/read/x')
     expect(answer.headers['keep-alive']).to.match(/timeout=7/)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/InitialSync.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/InitialSync.test.ts
@@ -7,7 +7,7 @@
 import { createLog, createManifest } from '../fixtures/builders.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
 
-describe('FirstKnowledge', () => {
+describe('InitialSync', () => {
   function createParts (): { clock: ManualClock, store: MemoryStore, manifest: ManifestFollower, endpoints: EndpointRegistry, quarantine: QuarantineKeeper, initialSync: InitialSync } {
     const clock = new ManualClock()
     const manifest = new ManifestFollower(createLog(clock))
@@ -18,9 +18,8 @@
   }
 
   it('lets a request wait until manifest, endpoints and quarantine have been read', async () => {
-    // Symptom: after all nodes were killed, callers that come back are refused though every group serves. Sequence: a
-    // node listens; a request comes before the node has read the manifest. Cause: it was refused at once, which took the
-    // caller's last attempt.
+    // Guards against rejecting callers that retry after all nodes were killed: a request that arrives before the node
+    // has read the manifest is often the caller's last attempt.
     const { store, manifest, endpoints, quarantine, initialSync } = createParts()
     store.put('manifest/main', createManifest(3))
     let over = false
@@ -37,9 +36,9 @@
     await initialSync.wait()
   })
 
-  it('lets nobody wait for a store that is out', async () => {
-    // Symptom: a node that starts while the store is out holds every request for nearly half a second, and then refuses
-    // it. Sequence: as said. Cause: it was waited for at each request, long after it could be known to be in vain.
+  it('lets no request wait for an unavailable store', async () => {
+    // Guards against holding every request for nearly half a second when a node starts during a store outage, long
+    // after waiting could have helped.
     const { clock, initialSync } = createParts()
     const waited = initialSync.wait()
     clock.advance(600)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/ManifestFollower.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/ManifestFollower.test.ts
@@ -3,10 +3,10 @@
 import { createLog, createManifest } from '../fixtures/builders.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
 
-describe('ManifestKeeper', () => {
-  it('never goes back to a lower version, whatever the store answers', () => {
-    // Symptom: a route that was dropped serves again. Sequence: a store that has lost its history is read again and
-    // answers from the past. Cause: the last answer was taken for the newest.
+describe('ManifestFollower', () => {
+  it('never returns to a lower version, whatever the store returns', () => {
+    // Guards against serving a removed route again: a store that lost its history returns stale data, and the last
+    // response was taken for the newest.
     const store = new MemoryStore()
     const follower = new ManifestFollower(createLog())
     const versions: number[] = []
@@ -16,7 +16,7 @@
     expect(versions).to.deep.equal([2, 5, 9])
   })
 
-  it('keeps the last version in force while the store is out, and after an entry that is gone', () => {
+  it('keeps the last version in force during a store outage and after the entry is deleted', () => {
     const store = new MemoryStore()
     const follower = new ManifestFollower(createLog())
     follower.follow(store)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/NodeRegistry.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/NodeRegistry.test.ts
@@ -4,11 +4,11 @@
 import { createLog } from '../fixtures/builders.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
 
-describe('NodeKeeper', () => {
+describe('NodeRegistry', () => {
   const SELF: NodeRecord = { node: 'n1', failureDomain: 'a', callers: '10.0.0.1:1', peers: '10.0.0.1:2', incarnation: 7 }
   const OTHER: NodeRecord = { ...SELF, node: 'n2', callers: '10.0.0.2:1' }
 
-  it('writes itself again when another node has taken its entry back', async () => {
+  it('registers again when another node has removed its entry', async () => {
     const store = new MemoryStore()
     const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
     registry.follow()
@@ -18,7 +18,7 @@
     expect((await store.get('nodes/n1')).ok).to.equal(true)
   })
 
-  it('is not named any more once it leaves, here and elsewhere', async () => {
+  it('is no longer listed after leaving, in this registry and in the store', async () => {
     const store = new MemoryStore()
     const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
     registry.follow()
@@ -29,7 +29,7 @@
     expect((await store.get('nodes/n1')).ok).to.equal(false)
   })
 
-  it('drops only the life of a node that gave no sign', async () => {
+  it('drops only the inactive incarnation of a node', async () => {
     const store = new MemoryStore()
     const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
     registry.follow()
@@ -40,8 +40,8 @@
     expect(registry.nodes()).to.have.length(1)
   })
 
-  // Guards against a directory that names a lost node for as long as the store turns away who knows that it is lost.
-  it('names a node no more that gave no sign, also while the store turns this one away', async () => {
+  // Guards against a directory that lists a lost node for as long as the store rejects the node that detected the loss.
+  it('no longer lists an inactive node, also while the store rejects this node', async () => {
     const store = new MemoryStore()
     const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
     registry.follow()
--- a/packages/dotterelspur-gateway/src/__tests__/unit/Reachability.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/Reachability.test.ts
@@ -9,7 +9,7 @@
 const ANSWERED: ReportResult = { kind: ReportResultKind.Answered, report: { membership: null, model: null, staged: [], running: 0, waiting: 0, orderCount: null } }
 const GONE: ReportResult = { kind: ReportResultKind.Gone }
 
-/** An endpoint that answers its n-th probe after a while, or never. */
+/** An endpoint that answers its n-th probe after a delay, or never. */
 class ProbedWorld {
   readonly clock = new ManualClock()
   readonly probedAtMs: number[] = []
@@ -28,7 +28,7 @@
     this.reachability = new Reachability({ report }, this.clock, createLog(this.clock), () => { this.decidedAtMs ??= this.clock.nowMs() })
   }
 
-  /** Resolves after a second, in steps that let promises run. */
+  /** Starts a probe and advances one second, in steps that let promises run. */
   async suspect (): Promise<this> {
     this.reachability.suspect(PLACE)
     for (let step = 0; step < 100; step++) {
@@ -40,23 +40,23 @@
 }
 
 describe('Reachability', () => {
-  it('knows of a dead endpoint after one wait, not two', async () => {
-    // Symptom: a group that lost a member takes requests for half a second after it was suspected, and is mended that much
-    // later. Sequence: the member is asked twice, and each question waits its whole time. Cause: one after the other.
+  it('detects a dead endpoint after one timeout, not two', async () => {
+    // Guards against two consecutive probe timeouts, which let a group that lost a member accept requests for half a
+    // second after it was suspected, and delayed its repair by as much.
     const world = await new ProbedWorld([]).suspect()
     expect(world.reachability.isUnreachable('w1')).to.equal(true)
     expect(world.probedAtMs).to.have.length(2)
     expect(world.decidedAtMs).to.be.within(300, 400)
   })
 
-  it('takes an endpoint for living that answers the second probe, or the first one late', async () => {
+  it('regards an endpoint as reachable that answers the second probe, or the first one late', async () => {
     const second = await new ProbedWorld([{ afterMs: Infinity, end: GONE }, { afterMs: 5, end: ANSWERED }]).suspect()
     expect(second.reachability.isReachable('w1')).to.equal(true)
     const late = await new ProbedWorld([{ afterMs: 300, end: ANSWERED }, { afterMs: Infinity, end: GONE }]).suspect()
     expect(late.reachability.isReachable('w1')).to.equal(true)
   })
 
-  it('asks a living endpoint once, and one that is gone as well', async () => {
+  it('probes a responsive endpoint once, and a superseded one as well', async () => {
     const living = await new ProbedWorld([{ afterMs: 5, end: ANSWERED }]).suspect()
     expect(living.probedAtMs).to.have.length(1)
     const gone = await new ProbedWorld([{ afterMs: 5, end: GONE }]).suspect()
--- a/packages/dotterelspur-gateway/src/__tests__/unit/StallDetector.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/StallDetector.test.ts
@@ -11,7 +11,7 @@
   return { endpoint, service: 'llm', address: '10.0.0.1:1', failureDomain: 'a', model: 'large', slots: 12 }
 }
 
-/** A watch, what it told, and the requests that it gave up. */
+/** A detector, its reports, and the requests that it abandoned. */
 class DetectorWorld {
   readonly clock = new ManualClock()
   readonly stalled: string[] = []
@@ -33,7 +33,7 @@
     return this.detector.begin(createTarget(endpoint), ROUTE, mayMove, () => { this.abandoned.push(name) })
   }
 
-  /** A stream that has begun and goes on for `passes`. */
+  /** Starts a stream and lets it continue for `passes` steps. */
   stream (name: string, endpoint: string, passes: number): ExchangeHandle {
     const handle = this.send(name, endpoint)
     for (let pass = 0; pass < passes; pass++) {
@@ -43,17 +43,17 @@
     return handle
   }
 
-  /** Time goes on in steps, as timers see it in a process that runs. */
+  /** Advances time in steps, as timers observe it in a running process. */
   pass (durationMs: number): void {
     for (let left = durationMs; left > 0; left -= 10) this.clock.advance(10)
   }
 }
 
-describe('ExchangeWatch', () => {
-  it('sends what waits at a stopped group elsewhere while it can still be on time', () => {
-    // Symptom: requests that meet a group without one of its members are answered after 1.2 to 1.8 s, though others are
-    // idle. Sequence: a member dies; the head takes requests and sends nothing; each waits for its own first event for
-    // three times its target. Cause: that the group's other streams had stopped as well was not looked at.
+describe('StallDetector', () => {
+  it('moves waiting requests away from a stalled group while they can still be on time', () => {
+    // Guards against responses after 1.2 to 1.8 s from a group that lost a member although other groups are idle: the
+    // head accepts requests and sends nothing, and each request waited for its own first event for three times its
+    // target latency, regardless of the group's other stalled streams.
     const world = new DetectorWorld()
     world.stream('begun', 'g1', 4)
     world.send('waiting', 'g1')
@@ -63,7 +63,7 @@
     expect(world.abandoned).to.deep.equal(['waiting'])
   })
 
-  it('tells of a stop once, and again after the group has worked', () => {
+  it('reports a stall once, and again after the group has made progress', () => {
     const world = new DetectorWorld()
     const stream = world.stream('begun', 'g1', 2)
     world.pass(2 * LIMIT_MS)
@@ -73,17 +73,17 @@
     expect(world.stalled).to.deep.equal(['g1', 'g1'])
   })
 
-  it('doubts nothing while another stream of the group goes on', () => {
+  it('suspects no group of which another stream makes progress', () => {
     const world = new DetectorWorld()
     world.stream('slow', 'g1', 1)
     world.stream('other', 'g1', 8)
     expect(world.stalled).to.deep.equal([])
   })
 
-  it('takes its own pause for nobody else\'s', () => {
-    // Symptom: a node that was short of processor time sends every request a second time. Sequence: its process stands
-    // still for a quarter of a second; when it goes on, its timers run before what came meanwhile is read. Cause: the
-    // time in which it could read nothing counted as the endpoints' silence.
+  it('does not attribute a pause of its own process to endpoints', () => {
+    // Guards against a node that sends every request twice when it is short of processor time: after its process is
+    // suspended for a quarter of a second, timers run before buffered data is read, and that time counted as the
+    // endpoints' silence.
     const world = new DetectorWorld()
     const stream = world.stream('begun', 'g1', 4)
     world.clock.pause(2 * LIMIT_MS)
@@ -92,7 +92,7 @@
     expect(world.stalled).to.deep.equal([])
   })
 
-  it('takes a caller that doesn\'t read for no sign of a stop', () => {
+  it('does not treat a caller that stops reading as a stall', () => {
     const world = new DetectorWorld()
     const stream = world.stream('begun', 'g1', 2)
     stream.noteHeld(true)
@@ -104,7 +104,7 @@
     expect(world.gapsMs.every((gapMs) => gapMs <= STEP_MS)).to.equal(true)
   })
 
-  it('takes another node\'s word on a group of which it has no newer sign', () => {
+  it('accepts another node\'s report on a group from which it has no newer data', () => {
     const world = new DetectorWorld()
     world.stream('begun', 'g1', 2)
     world.send('waiting', 'g2')
@@ -116,10 +116,10 @@
     expect(world.detector.noteStalled('g3', StallCertainty.Confirmed)).to.equal(false)
   })
 
-  it('leaves a request where it is that could not be sent elsewhere', () => {
-    // Symptom: three times as many requests end without an answer while two fifths of the groups are twelve times slower
-    // than before. Sequence: a slow group looks stopped, its requests go to another one, that looks stopped as well,
-    // and the attempts or the budget of repeats are spent. Cause: what could only be lost was given up early.
+  it('keeps a request in place that could not be sent elsewhere', () => {
+    // Guards against lost requests when many groups are slow. With two fifths of the groups twelve times slower,
+    // requests moved from one apparently stalled group to the next until their attempts or the retry budget were spent,
+    // and three times as many ended without a response.
     const world = new DetectorWorld()
     world.stream('begun', 'g1', 2)
     world.send('last attempt', 'g1', false)
@@ -133,7 +133,7 @@
     expect(world.abandoned).not.to.include('no budget')
   })
 
-  it('gives streams up that have begun only when the loss of a member is known', () => {
+  it('abandons started streams only when the loss of a member is confirmed', () => {
     const world = new DetectorWorld()
     world.stream('begun', 'g1', 3)
     world.pass(LIMIT_MS - STEP_MS)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/VerifiedReportClient.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/VerifiedReportClient.test.ts
@@ -10,7 +10,7 @@
   return { kind: ReportResultKind.Answered, report: { membership: null, model: null, staged: [], running: 0, waiting: 0, orderCount } }
 }
 
-/** Answers come in the sequence in which `answers` has them. */
+/** Reports are answered with `answers` in order. */
 function createClient (answers: ReportResult[]): { client: VerifiedReportClient, ended: Set<string> } {
   const ended = new Set<string>()
   const control = { order: async () => OrderReply.Unanswered, report: async () => answers.shift()! }
@@ -23,21 +23,22 @@
   return kinds
 }
 
-describe('EndpointQuestions', () => {
-  it('takes no answer for the word of an endpoint whose count of orders has gone back', async () => {
-    // A VM died, another one started at its address, and was listed a quarter of a second later. A question of that time was
-    // answered by the new one, "in no group" after two orders, and the dead one was planned with. A count only rises in one life.
+describe('VerifiedReportClient', () => {
+  it('rejects a report whose order count has decreased', async () => {
+    // Guards against planning with a dead endpoint. A new VM starts at the dead one's address and answers its report
+    // requests before it is listed; only its order count, which never decreases within one incarnation, shows the
+    // difference.
     const { client } = createClient([answered(2), answered(3), answered(0), answered(0)])
     expect(await ask(client, 4)).to.deep.equal([ReportResultKind.Answered, ReportResultKind.Answered, ReportResultKind.Gone, ReportResultKind.Answered])
   })
 
-  it('compares with counts that were known when the question was sent', async () => {
+  it('compares with the counts known when the request was sent', async () => {
     const { client } = createClient([answered(3), answered(2)])
     const ends = await Promise.all([client.report(PLACE, TIMEOUT_MS), client.report(PLACE, TIMEOUT_MS)])
     expect(ends.map(({ kind }) => kind)).to.deep.equal([ReportResultKind.Answered, ReportResultKind.Answered])
   })
 
-  it('asks nobody whose address another one has, or has answered at', async () => {
+  it('queries no endpoint at whose address another one is listed or has responded', async () => {
     const { client, ended } = createClient([answered(null), answered(null)])
     ended.add('w1')
     expect(await ask(client, 1)).to.deep.equal([ReportResultKind.Gone])
--- a/packages/dotterelspur-gateway/src/__tests__/unit/WeightLoadTracker.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/WeightLoadTracker.test.ts
@@ -5,8 +5,8 @@
 const MODEL = { model: 'large', size: 4, pace: 1, share: 1, loadMs: 16_000, warmMs: 1_600 }
 const RATES = { loadsPerSecond: 5, loadsAtOnce: 7 }
 
-describe('LoadMeter', () => {
-  it('keeps to the loads at once and to those that begin in a second', () => {
+describe('WeightLoadTracker', () => {
+  it('respects the limits of concurrent loads and of loads started per second', () => {
     const tracker = new WeightLoadTracker()
     expect(tracker.allowance(RATES, 0)).to.equal(5)
     for (let count = 0; count < 5; count++) tracker.begin(`w${count}`, MODEL, 0)
@@ -16,9 +16,9 @@
     expect(tracker.allowance(RATES, 1_000)).to.equal(3)
   })
 
-  it('counts what the node that decided before has begun', () => {
-    // Symptom: all loads take twice as long for half a minute. Sequence: the deciding node is killed while seven loads are
-    // under way; its successor begins seven more. Cause: the list shows loads only when they have ended.
+  it('counts the loads started by the former lease holder', () => {
+    // Guards against loads that take twice as long for half a minute: the lease holder is killed with seven loads in
+    // progress, which the list does not show before they complete, and its successor started seven more.
     const former = new WeightLoadTracker()
     for (let count = 0; count < 7; count++) former.begin(`w${count}`, MODEL, 1_000)
     const successor = new WeightLoadTracker()
@@ -28,7 +28,7 @@
     expect(successor.allowance(RATES, 500_000 + 24_000)).to.equal(5)
   })
 
-  it('gives a host another try soon when nobody knows whether its load began', () => {
+  it('frees a host soon if its load may not have started', () => {
     const tracker = new WeightLoadTracker()
     tracker.begin('w0', MODEL, 0)
     tracker.markUncertain('w0', 1_000)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/endpointRateLimits.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/endpointRateLimits.test.ts
@@ -7,7 +7,7 @@
 import { StubEndpoint, type StubHandler } from '../fixtures/StubEndpoint.js'
 
 const LIMIT_PER_SECOND = 1
-/** What operators allow in a window: one and a half times the limit, and five requests. */
+/** Operators' limit per window: one and a half times the rate limit, plus five requests. */
 const WINDOW_S = 4
 const MAX_IN_WINDOW = 1.5 * LIMIT_PER_SECOND * WINDOW_S + 5
 const ROUNDS = 50
@@ -16,7 +16,7 @@
 const ok: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal' }).end('whole') }
 const okWithRateLimit: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal', 'x-limit': String(LIMIT_PER_SECOND) }).end('whole') }
 
-describe('An endpoint that names a limit', () => {
+describe('An endpoint that states a rate limit', () => {
   let store: MemoryStore
   let worlds: GatewayWorld[]
   let limited: StubEndpoint
@@ -53,14 +53,17 @@
     return answer.statusCode
   }
 
-  /** Every node hears the limit with an answer of its own. */
+  /** Calls each node until it has received the rate limit in a response of its own. */
   async function untilRateLimitReceived (): Promise<void> {
     for (const world of worlds) {
       for (let attempt = 0; await world.gauge('limited_endpoints') === 0; attempt++) await call(world, `h${attempt}`)
     }
   }
 
-  /** Calls every node in turn; returns the statuses, and what operators allow the limited endpoint to get meanwhile. */
+  /**
+   * Calls every node in turn; returns the status codes, the requests that operators allow the limited endpoint in that
+   * time, and those that it received.
+   */
   async function callAll (): Promise<{ readonly statuses: Set<number>, readonly allowed: number, readonly reached: number }> {
     const statuses = new Set<number>()
     const before = limited.requests.length
@@ -72,8 +75,8 @@
     return { statuses, allowed: MAX_IN_WINDOW * windows, reached: limited.requests.length - before }
   }
 
-  // Guards against a limit that no node reads.
-  it('gets no more than it from one node, and the others take the rest', async () => {
+  // Guards against a rate limit that no node reads.
+  it('receives no more requests than that from one node, and the other endpoints serve the rest', async () => {
     await startNodes('n1')
     await untilRateLimitReceived()
     const { statuses, allowed, reached } = await callAll()
@@ -81,8 +84,8 @@
     expect([...statuses]).to.deep.equal([200])
   }).timeout(20_000)
 
-  // Guards against a limit that each node keeps to alone.
-  it('gets no more than it from several nodes together', async () => {
+  // Guards against a rate limit that each node respects on its own.
+  it('receives no more requests than that from several nodes together', async () => {
     await startNodes('n1', 'n2', 'n3')
     await untilRateLimitReceived()
     const { statuses, allowed, reached } = await callAll()
--- a/packages/dotterelspur-gateway/src/__tests__/unit/leavingEndpoints.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/leavingEndpoints.test.ts
@@ -12,7 +12,7 @@
 const ok: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal' }).end('whole') }
 const okAndLeaving: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal', 'x-leaving': '1' }).end('whole') }
 
-describe('An endpoint that says in its answers that it leaves', () => {
+describe('An endpoint that announces in its responses that it is leaving', () => {
   let store: MemoryStore
   let worlds: GatewayWorld[]
   let leaving: StubEndpoint
@@ -42,20 +42,20 @@
     return answer.statusCode
   }
 
-  /** Until the endpoint has told this node that it leaves. */
+  /** Calls the node until the endpoint has announced to it that it is leaving. */
   async function untilNotified (world: GatewayWorld): Promise<void> {
     for (let attempt = 0; leaving.requests.length === 0; attempt++) await call(world, `t${attempt}`)
   }
 
-  // Guards against a word in answers that only its entry in the list is believed for.
-  it('gets no more requests from the node that it told', async () => {
+  // Guards against ignoring the announcement in responses until the endpoint's list entry confirms it.
+  it('receives no more requests from the node that it notified', async () => {
     await startNodes('n1')
     await untilNotified(worlds[0]!)
     for (let index = 0; index < CALLS; index++) expect(await call(worlds[0]!, `r${index}`)).to.equal(200)
     expect(leaving.requests).to.have.length(1)
   })
 
-  it('gets no more requests from nodes that others have told', async () => {
+  it('receives no more requests from nodes that were notified by other nodes', async () => {
     await startNodes('n1', 'n2')
     await untilNotified(worlds[0]!)
     while (await worlds[1]!.gauge('leaving_endpoints') !== 1) await new Promise((resolve) => { setTimeout(resolve, POLL_MS) })
@@ -64,7 +64,7 @@
   }).timeout(10_000)
 
   // Guards against callers that are refused although the endpoint that leaves was never asked to take more.
-  it('serves no caller as the last one either, who is refused at once instead', async () => {
+  it('receives no requests even as the last endpoint; callers are rejected at once', async () => {
     await startNodes('n1')
     staying.close()
     store.drop('endpoints/staying')
--- a/packages/dotterelspur-gateway/src/__tests__/unit/poisonRequests.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/poisonRequests.test.ts
@@ -7,7 +7,7 @@
 import { StubEndpoint, type StubHandler } from '../fixtures/StubEndpoint.js'
 
 const POISON = 'ends who reads it'
-/** The ends by which a request shows what it does, and the sends that operators allow after them. */
+/** Terminations that put a request in quarantine, plus the further requests that operators allow. */
 const MAX_TERMINATIONS = 6
 const ENDPOINTS = 16
 const ATTEMPTS = 24
@@ -15,13 +15,11 @@
 
 const ok: StubHandler = (_request, response) => { response.writeHead(200, { 'x-seal': 'seal' }).end('whole') }
 
-describe('Requests that end each endpoint that runs them', () => {
-  // Symptom: 36 endpoints of one service had ended within seconds, and the same request was sent to the next ones. Sequence: a
-  // caller sends it again and again, to any node; each node sends it to an endpoint, which ends, and then to a second one,
-  // which ends as well. Cause: what was lost was held against the endpoint alone. Nothing remembered a request beyond its
-  // one dispatch, neither in a node nor among them, so each arrival was a first one. The lines that settled it (shortened):
-  //   request-ended request=64bb… end=unknown lastExchange=broken-off targets=[i-f512…,i-8ffe…]   both had ended
-  //   of 265 requests that lost their endpoint 197 had gone on to a second one, and all of these had ended
+describe('Poison requests', () => {
+  // Guards against a poison request that crashes one endpoint after another. Its caller retries it at any node; each
+  // node sent it to one endpoint, which terminated, and then to a second one. Lost exchanges counted only against the
+  // endpoint, and no node remembered the request beyond one dispatch, so 36 endpoints of one service terminated within
+  // seconds. Of 265 requests that lost their endpoint 197 went on to a second one, and all of those terminated too.
   let store: MemoryStore
   let worlds: GatewayWorld[]
   let endpoints: StubEndpoint[]
@@ -39,7 +37,7 @@
     for (const { gateway } of worlds) await gateway.close()
   })
 
-  /** Ends when it gets the poison, and answers everything else. */
+  /** Terminates on the poison request, and responds to everything else. */
   function createEndpoint (name: string): StubEndpoint {
     const endpoint: StubEndpoint = new StubEndpoint(name, (request, response, body) => {
       if (body !== POISON) return ok(request, response, body)
@@ -70,7 +68,7 @@
     }
   }
 
-  /** The lease has been written with a suspect. */
+  /** Waits until the lease has been written with a suspect. */
   async function untilKept (): Promise<void> {
     for (;;) {
       const lease = await store.get<{ memory?: { suspects?: unknown[] } }>('leases/fleet')
@@ -96,7 +94,7 @@
     expect(await call(worlds[2]!, 'usual', 'usual')).to.equal(200)
   }).timeout(20_000)
 
-  it('are still known when all nodes are killed and start again', async () => {
+  it('are still quarantined after all nodes are killed and restarted', async () => {
     const world = await startNode('n1')
     await world.declare(createManifest(1), ...endpoints)
     await untilLinked()
@@ -109,8 +107,8 @@
     expect(terminated.size).to.be.within(1, MAX_TERMINATIONS)
   }).timeout(20_000)
 
-  // Guards against a count that begins anew whenever all nodes are killed before the third end.
-  it('are counted on when all nodes are killed after the second end', async () => {
+  // Guards against a count that restarts from zero whenever all nodes are killed before the third termination.
+  it('keep their count when all nodes are killed after the second termination', async () => {
     const world = await startNode('n1')
     await world.declare(createManifest(1), ...endpoints)
     await untilLinked()
--- a/packages/dotterelspur-gateway/src/process/AddressOwners.ts
+++ b/packages/dotterelspur-gateway/src/process/AddressOwners.ts
@@ -1,48 +1,49 @@
 import type { EndpointId, EndpointRecord, ServiceId } from 'dotterelspur'
 
-/** Former owners of an address that are remembered: an entry of one that has ended may be written again seconds later. */
+/** Previous owners of an address that are kept: the entry of a terminated endpoint may be written again seconds later. */
 const MAX_PREVIOUS_OWNERS = 8
-/** Several times the endpoints of the largest fleet, so that addresses are remembered over many restarts. */
+/** Several times the endpoint count of the largest fleet, so that addresses are kept across many restarts. */
 const MAX_ADDRESSES = 8_192
 
 interface AddressState {
   owner: EndpointRecord
-  /** Whether the owner's entry stands. An owner without one keeps the address until somebody else is seen there. */
+  /** Whether the owner's entry is in the store. An owner without an entry keeps the address until another endpoint registers there. */
   isListed: boolean
-  /** Those who had it before, the last of them at the end. */
+  /** Previous owners, the most recent one last. */
   previousOwners: readonly EndpointId[]
-  /** Another one that is listed there; it gets the address if the owner's entry goes first. */
+  /** Another endpoint listed at the address; it becomes the owner if the owner's entry is removed first. */
   nextOwner: EndpointRecord | null
 }
 
 export interface AddressClaim {
   readonly isOwner: boolean
-  /** Who had the address before, whether its entry stands or not. */
+  /** The previous owner, whether its entry is in the store or not. */
   readonly displaced: EndpointId | null
 }
 
 const OWNED: AddressClaim = { isOwner: true, displaced: null }
 
 /**
- * Who has which address. One process listens at an address, so of two endpoints that are listed at one the elder has
- * ended, though its entry stays for up to three heartbeats. Whatever is asked there meanwhile is answered by its successor:
- * taken for the elder's word it gave a sound group a member too many, and the group was taken apart.
+ * Tracks which endpoint owns each address. One process listens at an address, so of two endpoints listed at the same
+ * address the older one has terminated, although its entry stays for up to three heartbeats. Requests sent to that
+ * address meanwhile are answered by the successor. Attributing such a response to the terminated endpoint gave a
+ * healthy group a member too many, and the group was dissolved.
  *
- * The elder is the one that was seen at the address first, not the one whose entry was written first: a heartbeat of an
- * endpoint that has ended may be carried out after its successor registered.
+ * The older endpoint is the one first observed at the address, not the one whose entry was written first: a heartbeat
+ * of a terminated endpoint may be applied after its successor has registered.
  */
 export class AddressOwners {
   private readonly addresses = new Map<string, AddressState>()
 
-  /** @param isServed whether the manifest names a service: an entry of no service shows nothing about others. */
+  /** @param isServed whether the manifest names a service; an entry of an unknown service is no evidence about other endpoints. */
   constructor (private readonly isServed: (service: ServiceId) => boolean) {}
 
-  /** Whether another endpoint has the address of this one. */
+  /** Whether another endpoint has taken over the address of this one. */
   isSuperseded ({ endpoint, address }: Pick<EndpointRecord, 'endpoint' | 'address'>): boolean {
     return this.addresses.get(address)?.previousOwners.includes(endpoint) ?? false
   }
 
-  /** An endpoint is listed. */
+  /** Records that an endpoint is listed at its address. */
   claim (record: EndpointRecord): AddressClaim {
     const state = this.addresses.get(record.address)
     if (state === undefined) return this.add(record)
@@ -51,7 +52,10 @@
     return this.isServed(record.service) ? takeOver(state, record) : OWNED
   }
 
-  /** The endpoint's entry is gone; returns who has its address from now on, if somebody else is listed there. */
+  /**
+   * Records that the endpoint's entry was removed; returns the endpoint that owns the address from now on, if another
+   * one is listed there.
+   */
   release ({ endpoint, address }: EndpointRecord): EndpointRecord | null {
     const state = this.addresses.get(address)
     if (state === undefined) return null
@@ -69,7 +73,7 @@
     return OWNED
   }
 
-  /** Addresses come and go with the VMs; the oldest ones at which nobody is listed are forgotten. */
+  /** Evicts the oldest address without a listed endpoint, because addresses change as VMs are replaced. */
   private prune (): void {
     if (this.addresses.size <= MAX_ADDRESSES) return
     for (const [address, { isListed }] of this.addresses) {
@@ -86,7 +90,7 @@
   return OWNED
 }
 
-/** One that has ended is listed again: it waits, in case that was wrong. */
+/** A superseded endpoint is listed again: it is kept as the next owner, in case the earlier conclusion was wrong. */
 function refuse (state: AddressState, record: EndpointRecord): AddressClaim {
   state.nextOwner = record
   return { isOwner: false, displaced: null }
--- a/packages/dotterelspur-gateway/src/process/BackpressureLog.ts
+++ b/packages/dotterelspur-gateway/src/process/BackpressureLog.ts
@@ -1,13 +1,13 @@
 import type { Clock, EndpointId, StatedNeed } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
-/** Sends to an endpoint that names a limit are summed over this time for one line. */
+/** Window over which requests to a rate-limited endpoint are summed into one log line. */
 const WINDOW_MS = 4_000
 
 interface BackingOffEndpoint {
   readonly untilMs: number
   readonly restMs: number
-  /** Sent while it rests: requests that came to this node, and those that another endpoint had not served. */
+  /** Requests sent during the back-off: first attempts, and retries of requests that another endpoint had not served. */
   firstAttempts: number
   repeats: number
 }
@@ -18,7 +18,7 @@
   sentInWindow: number
 }
 
-/** Writes what endpoints say of their need, and what this node sends them meanwhile. Nothing is decided by it. */
+/** Logs the backpressure that endpoints state, and the requests that this node sends them meanwhile. No decision depends on it. */
 export class BackpressureLog {
   private readonly limited = new Map<EndpointId, RateLimitedEndpoint>()
   private readonly backingOff = new Map<EndpointId, BackingOffEndpoint>()
@@ -28,17 +28,17 @@
 
   constructor (private readonly clock: Clock, private readonly log: DecisionLog) {}
 
-  /** Endpoints whose last answer to this node named a limit. */
+  /** Endpoints whose last response to this node stated a rate limit. */
   get limitedEndpoints (): number {
     return this.limited.size
   }
 
-  /** Requests that this node has sent to endpoints after they had named it a limit. */
+  /** Requests that this node has sent to endpoints after they had stated a rate limit. */
   get sentToLimited (): number {
     return this.sentTotal
   }
 
-  /** Requests that this node has sent to endpoints that had asked it for rest. */
+  /** Requests that this node has sent to endpoints during a back-off that they had asked it for. */
   get sentDuringBackoff (): number {
     return this.sentDuringBackoffTotal
   }
@@ -69,7 +69,7 @@
     this.log.write(LogKind.EndpointRest, { endpoint, restMs: Math.round(restMs) })
   }
 
-  /** A rest that is over has its line once somebody asks for it. */
+  /** The current back-off, or null. Logs an expired back-off when it is next queried. */
   private currentBackoff (endpoint: EndpointId): BackingOffEndpoint | null {
     const resting = this.backingOff.get(endpoint)
     if (resting === undefined) return null
@@ -97,7 +97,7 @@
     this.sentTotal += 1
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Evicts endpoints that are no longer listed. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     for (const map of [this.limited, this.backingOff, this.leaving]) {
       for (const endpoint of map.keys()) {
--- a/packages/dotterelspur-gateway/src/process/DecisionLog.ts
+++ b/packages/dotterelspur-gateway/src/process/DecisionLog.ts
@@ -1,17 +1,17 @@
 import pino, { type Logger } from 'pino'
 import { TokenBucket, type Clock } from 'dotterelspur'
 
-/** Lines a second that a process may write in the long run; a busy node ends about 30 requests a second. */
+/** Sustained rate of log lines per process; a busy node completes about 30 requests a second. */
 const LINES_PER_SECOND = 150
-/** Lines that may come at once, as when a fault ends many requests together. */
+/** Burst of log lines allowed, for example when one fault ends many requests together. */
 const LINE_BURST = 600
-/** Bytes gathered before a write; one system call for about twenty lines. */
+/** Bytes buffered before a write; one system call for about twenty lines. */
 const WRITE_BYTES = 4_096
-/** Bytes that may wait while nobody reads; more are dropped, and memory stays bounded. */
+/** Bytes buffered while standard output is not read; further lines are dropped to bound memory. */
 const BACKLOG_BYTES = 1_048_576
 const FLUSH_INTERVAL_MS = 500
 
-/** What happened. Each kind has the same fields on every line; docs/OPERATIONS.md lists them. */
+/** Kinds of log events. Each kind has the same fields on every line; docs/OPERATIONS.md lists them. */
 export enum LogKind {
   Start = 'start',
   Stop = 'stop',
@@ -21,37 +21,37 @@
   ManifestInForce = 'manifest-in-force',
   ManifestRejected = 'manifest-rejected',
   RequestEnded = 'request-ended',
-  /** An exchange broke off: what was sent, where, and whether the endpoint has ended. */
+  /** An exchange with an endpoint broke off: what was sent, where, and whether the endpoint has terminated. */
   ExchangeLost = 'exchange-lost',
-  /** What is believed of a request that lost endpoints has changed. */
+  /** The poison state of a request that lost endpoints has changed. */
   RequestJudged = 'request-judged',
   LeaseTaken = 'lease-taken',
   LeaseLost = 'lease-lost',
   FormationBegun = 'formation-begun',
   FormationEnded = 'formation-ended',
   HostStaged = 'host-staged',
-  /** Now and then: what the fleet is made of, as the deciding node sees it. */
+  /** Periodic summary of the fleet, as the lease holder observes it. */
   FleetState = 'fleet-state',
-  /** Somebody else's entry stands where an endpoint's or a node's should. */
+  /** An entry that does not belong to an endpoint or a node is stored under an endpoint's or a node's key. */
   EntryRejected = 'entry-rejected',
-  /** The list as it was when the process first read it; from then on each change has its line. */
+  /** Size of the endpoint list when the process first read it; each later change is logged separately. */
   EndpointsRead = 'endpoints-read',
   EndpointListed = 'endpoint-listed',
   EndpointUnlisted = 'endpoint-unlisted',
   EndpointUnreachable = 'endpoint-unreachable',
   EndpointReachable = 'endpoint-reachable',
   GroupSuspected = 'group-suspected',
-  /** This node no longer sends to a group while another takes its requests. */
+  /** This node stops sending requests to a stalled group while another group can take them. */
   GroupStopped = 'group-stopped',
-  /** An endpoint has named another limit, or none any more. */
+  /** An endpoint has stated a new rate limit, or none any more. */
   EndpointLimit = 'endpoint-limit',
-  /** What this node sent to an endpoint while it named a limit. */
+  /** Requests that this node sent to an endpoint while the endpoint stated a rate limit. */
   SentUnderLimit = 'sent-under-limit',
-  /** An endpoint has turned a request away and asked this node for rest. */
+  /** An endpoint has rejected a request and asked this node to back off. */
   EndpointRest = 'endpoint-rest',
-  /** What this node sent to an endpoint during the rest that it had asked for. */
+  /** Requests that this node sent to an endpoint during the back-off that it had asked for. */
   SentInRest = 'sent-in-rest',
-  /** An endpoint has said in an answer to this node that it leaves. */
+  /** An endpoint has stated in a response to this node that it is leaving. */
   EndpointLeaving = 'endpoint-leaving',
   NodeListed = 'node-listed',
   NodeUnlisted = 'node-unlisted',
@@ -62,8 +62,8 @@
 export type LogFields = Readonly<Record<string, unknown>>
 
 /**
- * One JSON line for each decision, on standard output. Writes are gathered and never waited for; beyond its rate a
- * process drops lines, counts them, and says so.
+ * Writes one JSON line for each decision to standard output. Writes are buffered and never awaited. Lines beyond the
+ * rate limit are dropped, counted and reported.
  */
 export class DecisionLog {
   private readonly bucket: TokenBucket
@@ -73,7 +73,7 @@
     this.bucket = new TokenBucket(LINES_PER_SECOND, LINE_BURST, clock.nowMs())
   }
 
-  /** Lines dropped since the start. */
+  /** Log lines dropped since the process started. */
   get dropped (): number {
     return this.droppedLines
   }
@@ -88,17 +88,17 @@
     this.logger.info({ atMs: Math.round(nowMs), event: kind, ...fields })
   }
 
-  /** Says how many lines are missing, if any are. Called now and then. */
+  /** Logs the number of dropped lines, if any. Called periodically. */
   reportDropped (): void {
     if (this.droppedLines > 0) this.logger.info({ event: LogKind.LinesDropped, total: this.droppedLines })
   }
 
-  /** Writes out what waits. */
+  /** Flushes buffered lines. */
   flush (): void {
     this.logger.flush()
   }
 
-  /** Resolves once all is written: a process that ends before loses its last lines. */
+  /** Resolves once all buffered lines are written; a process that exits earlier loses its last lines. */
   async flushed (): Promise<void> {
     await new Promise<void>((resolve) => { this.logger.flush(() => { resolve() }) })
   }
--- a/packages/dotterelspur-gateway/src/process/Dispatch.ts
+++ b/packages/dotterelspur-gateway/src/process/Dispatch.ts
@@ -15,7 +15,7 @@
 import { Suspicion } from '../connection/PeerFrame.js'
 import type { EndpointRegistry } from './EndpointRegistry.js'
 
-/** Callers' output limits are far above what is written; this part of them is usual. */
+/** Callers set output limits far above what is generated; this share of the limit is typical. */
 const USUAL_ANSWER_SHARE = 0.5
 
 export interface DispatchParts {
@@ -27,11 +27,11 @@
   readonly manifest: ManifestFollower
   readonly endpoints: EndpointRegistry
   readonly retries: RetryWindowOptions
-  /** The whole system starts for the first time: no repeats of an earlier life can be in the window. */
+  /** The whole system starts for the first time, so no retries of an earlier process incarnation can fall into the window. */
   readonly firstStart: boolean
-  /** Nodes that send requests, this one included; the same array until they change. */
+  /** Nodes that send requests, including this one; the same array instance until the set changes. */
   readonly senders: () => readonly Sender[]
-  /** A group seems to stand still. */
+  /** Called when a group appears stalled. */
   readonly onSuspect: (head: EndpointId, suspicion: Suspicion) => void
 }
 
@@ -41,17 +41,17 @@
   readonly head: CallerHeaders
   readonly excluded: readonly DispatchTarget[]
   readonly leftMs: number
-  /** What the caller has spent of its time before it came here, and here so far. */
+  /** Time that the caller has already waited, before the request arrived at this node and since. */
   readonly spentMs: number
 }
 
-/** One exchange with an endpoint, while it lasts. */
+/** An exchange in progress with an endpoint. */
 export interface DispatchExchange extends ExchangeHandle {
-  /** The first event of the answer came. */
+  /** Records the arrival of the response's first event. */
   noteFirstEvent (): void
 }
 
-/** What this node knows in order to place requests, and the channels on which it sends them. */
+/** Selects endpoints for requests from this node's view of the fleet, and owns the channels on which requests are sent. */
 export class Dispatch {
   readonly fleetView: FleetView
   readonly backpressureLog: BackpressureLog
@@ -98,18 +98,18 @@
     this.channels.close()
   }
 
-  /** Whether any caller's request has come to this node. */
+  /** Whether this node has received any caller's request. */
   get hasReceivedRequests (): boolean {
     return this.requestReceived
   }
 
-  /** Group time that callers of the whole fleet ask for, by model; without models of which too little is known. */
+  /** Group time that callers of the whole fleet demand, by model; omits models with too little data. */
   demand (): Map<ModelId, number> {
     this.fleetView.checkFreshness()
     return this.fleetView.demand.demand(this.parts.clock.nowMs())
   }
 
-  /** Takes in that a request came, whatever becomes of it; returns what its caller has spent of its time elsewhere. */
+  /** Records the arrival of a request, whatever its outcome; returns how long its caller has already waited elsewhere. */
   noteRequest (service: ServiceId, route: Route, head: CallerHeaders): number {
     const nowMs = this.parts.clock.nowMs()
     const spentMs = this.elapsedMs(route, head)
@@ -120,18 +120,21 @@
     return spentMs
   }
 
-  /** A caller was refused, and may come back. */
+  /** Records that a caller was rejected and may retry. */
   noteRejection ({ name }: Route): void {
     this.fleetView.deadlines.noteSentAway(name)
   }
 
-  /** A caller that goes on with a stream has waited for more than the target before it gave up. */
+  /** A caller that resumes a stream has waited for longer than the target latency before it gave up. */
   private elapsedMs (route: Route, { deadlineMs, lastEventId }: CallerHeaders): number {
     const statedMs = deadlineMs === null ? 0 : this.fleetView.deadlines.noteSpentMs(route.name, deadlineMs)
     return lastEventId === null ? statedMs : Math.max(statedMs, route.targetLatencyMs)
   }
 
-  /** Who comes back isn't counted again: else the model whose callers are refused most would seem to be asked for most. */
+  /**
+   * Retrying callers are not counted again; otherwise the model whose callers are rejected most would appear to have
+   * the highest demand.
+   */
   private noteDemand (service: ServiceId, head: CallerHeaders, nowMs: number): void {
     const engine = this.engineTiming.engine(service)
     if (engine === null || head.model === null) return
@@ -193,7 +196,7 @@
     }
   }
 
-  /** This node's requests under way at an endpoint. */
+  /** Requests of this node that are in flight at an endpoint. */
   ownInFlight ({ endpoint }: DispatchTarget): number {
     return this.fleetView.load.ownInFlight(endpoint)
   }
@@ -202,7 +205,7 @@
     this.fleetView.load.end(poolOf(target), target.endpoint, this.parts.clock.nowMs())
   }
 
-  /** An exchange ended in a way that speaks against the endpoint or its group. */
+  /** Records an exchange that ended in a failure attributable to the endpoint or its group. */
   noteFailure ({ endpoint }: DispatchTarget, end: ExchangeEnd): void {
     const nowMs = this.parts.clock.nowMs()
     if (end === ExchangeEnd.Silent) this.health.noteSilence(endpoint, nowMs)
@@ -210,7 +213,7 @@
     this.parts.onSuspect(endpoint, end === ExchangeEnd.Silent ? Suspicion.Paused : Suspicion.Refused)
   }
 
-  /** The deciding node says that groups have stopped, by their heads. */
+  /** Handles the coordinator's report of stalled groups, identified by their heads. */
   noteStalledGroups (heads: readonly EndpointId[], certainty: StallCertainty): void {
     for (const head of heads) {
       if (this.stallDetector.noteStalled(head, certainty)) this.suspectGroup(head, { by: certainty })
@@ -221,10 +224,10 @@
     return this.retryWindow.trySpend(service, this.parts.senders().length, this.parts.clock.nowMs())
   }
 
-  /** The word on a group comes several times a second while it lasts: only the first is a change. */
+  /** The report about a group is repeated several times a second while the stall lasts; only the first one is logged. */
   private suspectGroup (head: EndpointId, basis: LogFields): void {
     const nowMs = this.parts.clock.nowMs()
-    // All nodes are told of each group: only those that have requests there have anything to say of it.
+    // The report goes to all nodes, but only nodes with requests in flight at the group log it.
     if (!this.health.isHeldOff(head, nowMs) && this.fleetView.load.ownInFlight(head) > 0) this.parts.log.write(LogKind.GroupStopped, { head, ...basis })
     this.health.noteDoubt(head, nowMs)
   }
@@ -275,7 +278,7 @@
   }
 }
 
-/** Whether a caller has spent so much elsewhere that its answer will hardly be on time. */
+/** Whether a caller has waited so long elsewhere that its response will probably miss the target. */
 function isLikelyLate (spentMs: number, { targetLatencyMs }: Route): boolean {
   return spentMs > targetLatencyMs / 2
 }
--- a/packages/dotterelspur-gateway/src/process/EndpointRegistry.ts
+++ b/packages/dotterelspur-gateway/src/process/EndpointRegistry.ts
@@ -2,24 +2,24 @@
 import { AddressOwners } from './AddressOwners.js'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
-/** Where endpoints register, in the product's names. */
+/** Key prefix under which endpoints register, in the store's native naming. */
 export const ENDPOINT_PREFIX = 'endpoints/'
 
 /**
- * After the store was out, entries of living endpoints may be missing for a moment: they lapse while heartbeats
- * can't be written, and are back within about two seconds. Dropping them at once would empty the fleet.
+ * After a store outage, entries of live endpoints may be missing for a moment: they expire while heartbeats cannot be
+ * written, and return within about two seconds. Dropping them at once would empty the fleet.
  */
 const RETURN_GRACE_MS = 2_500
 
-/** Where what is known of an endpoint's place comes from. */
+/** The source of an endpoint's record. */
 export enum RecordSource {
-  /** Its entry in the list. */
+  /** The endpoint's entry in the store. */
   List = 'list',
-  /** Its own answer to a direct question. */
+  /** The endpoint's own response to a direct report request. */
   Report = 'report'
 }
 
-/** The last word on an endpoint. */
+/** Source and time of the latest record of an endpoint. */
 export interface RecordOrigin {
   readonly source: RecordSource
   readonly atMs: number
@@ -27,22 +27,25 @@
 
 export type EndpointListener = (endpoints: ReadonlyMap<EndpointId, EndpointRecord>) => void
 
-/** Keeps the list of endpoints as an immutable snapshot; listeners run after each change. */
+/** Maintains the list of endpoints as an immutable snapshot; listeners run after each change. */
 export class EndpointRegistry {
   private snapshot: ReadonlyMap<EndpointId, EndpointRecord> = new Map()
-  /** Changes of a batch that isn't whole yet. A copy and a round of listeners for each change of 760 endpoints took seconds. */
+  /**
+   * Changes of an incomplete batch. Copying the snapshot and running the listeners for each single change of 760
+   * endpoints took seconds.
+   */
   private pending: Map<EndpointId, EndpointRecord> | null = null
-  /** By the entry's name: a worker that starts again has a new id, and its former entry's name. */
+  /** By entry name: a restarted worker has a new endpoint id but keeps the entry name. */
   private readonly versions = new Map<string, number>()
   private readonly entries = new Map<string, EndpointRecord>()
   private readonly origins = new Map<EndpointId, RecordOrigin>()
-  /** When endpoints were last said to leave by their own word, whatever their entries say. */
+  /** When each endpoint last announced in a response that it is leaving, regardless of its entry. */
   private readonly leaving = new Map<EndpointId, number>()
   private readonly listeners = new Set<EndpointListener>()
   private wasDisconnected = false
   private listed = false
   private graceUntilMs = -Infinity
-  /** Names of entries that lapsed while the store was out. */
+  /** Names of entries that expired while the store was unavailable. */
   private readonly missing = new Set<string>()
   private cancelGrace: Teardown = () => {}
   private readonly addresses: AddressOwners
@@ -55,7 +58,7 @@
     return this.snapshot
   }
 
-  /** Whether the list has been read at least once. */
+  /** Whether the endpoint list has been read at least once. */
   get isSynced (): boolean {
     return this.listed
   }
@@ -65,19 +68,19 @@
     return () => { this.listeners.delete(listener) }
   }
 
-  /** Whether another endpoint is known to have this one's address; its entry may still stand. */
+  /** Whether another endpoint has taken over this one's address; its entry may still be in the store. */
   isSuperseded (place: Pick<EndpointRecord, 'endpoint' | 'address'>): boolean {
     return this.addresses.isSuperseded(place)
   }
 
-  /** What the record of an endpoint rests on; undefined where there is none. */
+  /** The origin of an endpoint's record; undefined if there is no record. */
   recordOrigin (endpoint: EndpointId): RecordOrigin | undefined {
     return this.origins.get(endpoint)
   }
 
   /**
-   * Takes in an endpoint's own word, which is newer than the list when the store was out. It stands until the list has
-   * a later version of the entry.
+   * Applies an endpoint's own report, which is newer than the list after a store outage. It is valid until the store
+   * has a later version of the entry.
    */
   noteReport (endpoint: EndpointId, { membership, model, staged }: Pick<EndpointRecord, 'membership' | 'model' | 'staged'>): void {
     const record = this.snapshot.get(endpoint)
@@ -88,7 +91,10 @@
     this.commit(pending)
   }
 
-  /** Endpoints say that they leave. Their word is as good as their entries, which may come later; it holds for their life. */
+  /**
+   * Marks endpoints as leaving by their own announcement. It counts as much as their entries, which may arrive later,
+   * and holds for the rest of the endpoint's incarnation.
+   */
   noteLeaving (endpoints: readonly EndpointId[]): void {
     const newlyLeaving = endpoints.map((endpoint) => this.snapshot.get(endpoint)).filter((record) => record !== undefined).filter(({ leaving }) => !leaving)
     if (newlyLeaving.length === 0) return
@@ -96,24 +102,25 @@
     const pending = new Map(this.snapshot)
     for (const record of newlyLeaving) {
       this.leaving.set(record.endpoint, this.clock.nowMs())
-      // What is known of its place rests on the same word as before.
+      // The announcement does not change the origin of the record's membership.
       pending.set(record.endpoint, { ...record, leaving: true })
       this.logListed(pending.get(record.endpoint)!)
     }
     this.commit(pending)
   }
 
-  /** An entry that lapsed may be back for the same life. */
+  /** Keeps announcements for a while after the entry is gone, because an expired entry may return for the same incarnation. */
   private pruneLeaving (): void {
     for (const [endpoint, saidAtMs] of this.leaving) {
       if (!this.snapshot.has(endpoint) && this.clock.nowMs() - saidAtMs > NEED_MEMORY_MS) this.leaving.delete(endpoint)
     }
   }
 
-  /** Whether a change, not taken in yet, concerns those who send requests: it is, or was, about one that takes them. */
+  /** Whether a change that has not been applied yet affects request dispatch: the entry accepts requests, or did so before. */
   concernsCallers ({ key, body, deleted }: StoredObject<EndpointRecord | null>): boolean {
     const entry = this.entries.get(nameOf(key))
-    // The entry as well as what is known: a head whose address has passed on is off this list, and still on those of others.
+    // Checks the stored entry as well as the snapshot: a head whose address was taken over is no longer in this node's
+    // snapshot, but still in those of other nodes.
     const known = entry === undefined ? undefined : this.snapshot.get(entry.endpoint)
     return [entry, known, deleted ? null : body].some((record) => record != null && takesRequests(record))
   }
@@ -146,7 +153,7 @@
   private applyObject (pending: Map<EndpointId, EndpointRecord>, object: StoredObject<EndpointRecord | null>): boolean {
     const name = nameOf(object.key)
     const knownVersion = this.versions.get(name) ?? 0
-    // A deletion may carry the version of the object that was deleted.
+    // A deletion may carry the version of the deleted object.
     if (object.deleted ? object.version < knownVersion : object.version <= knownVersion) return false
     this.versions.set(name, object.version)
     this.missing.delete(name)
@@ -159,7 +166,7 @@
   private handleListing (listing: ObjectListing<EndpointRecord | null>): void {
     const pending = new Map(this.snapshot)
     const found = new Set<string>()
-    // Of two at one address that are both new here, the one whose entry was written later is taken for the one that is there.
+    // If two new entries share an address, the one written later is taken as the current owner.
     const inSequence = [...listing.objects].sort((left, right) => left.version - right.version)
     for (const object of inSequence) {
       const name = nameOf(object.key)
@@ -195,7 +202,10 @@
     this.missing.clear()
   }
 
-  /** An entry that is not a worker's names no endpoint, and one of another life ends the former: neither waits for the grace. */
+  /**
+   * An entry that is not a worker's names no endpoint, and an entry of a new incarnation replaces the former one;
+   * neither waits for the grace period.
+   */
   private putEntry (pending: Map<EndpointId, EndpointRecord>, name: string, record: EndpointRecord | null): void {
     const former = this.entries.get(name)
     if (former !== undefined && (former.endpoint !== record?.endpoint || former.address !== record.address)) this.dropEntry(pending, name)
--- a/packages/dotterelspur-gateway/src/process/EngineTiming.ts
+++ b/packages/dotterelspur-gateway/src/process/EngineTiming.ts
@@ -2,7 +2,7 @@
 import type { FleetView } from './FleetView.js'
 import type { ManifestFollower } from './ManifestFollower.js'
 
-/** What an endpoint's engine should need for its events, at the load and the speed that the endpoint has now. */
+/** Expected time between an endpoint's events, at its current load and measured speed. */
 export class EngineTiming {
   constructor (private readonly manifest: ManifestFollower, private readonly fleetView: FleetView) {}
 
@@ -18,14 +18,14 @@
     return declaredFirstEventMs(engine, this.currentPace(engine, target, nowMs), this.currentLoad(target, nowMs), promptTokens)
   }
 
-  /** How long all streams of an endpoint may pause at once while it works. */
+  /** Longest pause of all streams of a working endpoint at the same time. */
   pauseLimitMs (target: DispatchTarget, nowMs: number): number {
     const engine = this.engine(target.service)
     if (engine === null || target.model === null) return Infinity
     return this.fleetView.pauses.limitMs(target.model, engine, this.currentPace(engine, target, nowMs), this.currentLoad(target, nowMs), nowMs)
   }
 
-  /** Takes in a pause between two events of one stream. */
+  /** Records the gap between two events of one stream. */
   noteGap (target: DispatchTarget, gapMs: number, nowMs: number): void {
     const engine = this.engine(target.service)
     if (engine === null || target.model === null) return
@@ -33,7 +33,7 @@
     this.fleetView.speeds.noteGap(target.endpoint, gapMs, eventGapMs(engine, paceOf(engine, target), this.currentLoad(target, nowMs)), nowMs)
   }
 
-  /** A slow endpoint's times are multiples of those that its engine declares; a fast one is taken for sound. */
+  /** Scales the declared pace by a slow endpoint's measured slowness; an endpoint faster than declared counts as normal. */
   private currentPace (engine: EngineSpec, target: DispatchTarget, nowMs: number): number {
     return paceOf(engine, target) * Math.max(1, this.fleetView.speeds.slowness(target.endpoint, nowMs))
   }
--- a/packages/dotterelspur-gateway/src/process/FleetLease.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetLease.ts
@@ -5,41 +5,41 @@
 } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
-/** The one lease: its holder decides for all groups. */
+/** Name of the fleet's only lease; its holder decides for all groups. */
 const FLEET_LEASE_NAME = 'fleet'
 
 /**
- * Shorter than a failure domain's lease of the mesh: groups lose members every few seconds, and nothing is mended
- * while nobody holds the lease. Its renewals are one or two calls a second for the whole fleet.
+ * Shorter than a failure domain's lease of the mesh: groups lose members every few seconds and are not repaired while
+ * nobody holds the lease. Renewals cost one or two store calls a second for the whole fleet.
  */
 export const FLEET_LEASE_TIMING: LeaseTiming = { ttlMs: 2_000, renewMs: 700, marginMs: 350, staggerMs: 0, retryMs: 250 }
 
-/** Waiting nodes look at the lease this often, by reads that may be stale and are cheap for it. */
+/** Interval at which nodes that do not hold the lease read it, by cheap reads that may be stale. */
 const READ_INTERVAL_MS = 600
 
-/** How far apart nodes that find the lease open try for it, by chance. */
+/** Random spread of the attempts of nodes that find the lease free at their start. */
 const CHALLENGE_SPREAD_MS = 300
 /**
- * When the lease lapses, nodes try to take it in turn, spread over this time for each of them: who takes it tells the others
- * within 0.2 s, and each try is a priced call.
+ * When the lease expires, nodes try to take it one after another, spread over this time per node: the new holder
+ * notifies the others within 0.2 s, and each attempt is a billed store call.
  */
 const CHALLENGE_SPREAD_PER_NODE_MS = 20
 const RETRY_GROWTH = 1.5
 
-/** The lease as it stands in the store: its holder adds what the fleet should know when all nodes start anew, at no call more. */
+/** The lease as stored. Its holder adds state that the fleet needs after all nodes restart, at no extra call. */
 interface StoredLease extends LeaseObject {
   readonly memory?: LeasePayload | null
 }
 
-/** What is kept with the lease. Others may write there as well, so each part is checked by who takes it. */
+/** State stored with the lease. Other writers may change it, so each reader validates its part. */
 export interface LeasePayload {
-  /** What the fleet has learned of its callers and engines. */
+  /** What the fleet has learned about its callers and engines. */
   readonly learned?: unknown
-  /** Requests that seem to end their endpoints. */
+  /** Requests suspected of crashing their endpoints. */
   readonly suspects?: unknown
 }
 
-/** What goes with the lease into the store, and comes out of it again. */
+/** Supplies the state that is stored with the lease, and receives it when the lease is read. */
 export interface LeasePayloadSource {
   read (): LeasePayload
   restore (memory: LeasePayload): void
@@ -47,21 +47,21 @@
 
 const NO_PAYLOAD: LeasePayloadSource = { read: () => ({}), restore: () => {} }
 
-/** Takes, renews, watches and gives up the fleet's lease; `step` is called several times a second. */
+/** Acquires, renews, observes and releases the fleet's lease; `step` is called several times a second. */
 export class FleetLease {
   private sighting: LeaseSighting = NO_SIGHTING
   private held: LeaseTerm | null = null
-  /** Fencing number of the term that lapsed here last; null where another node is known to have taken over. */
+  /** Fencing number of this node's last term if it expired; null once another node is known to have taken over. */
   private lapsedFencing: number | null = null
   private running: Promise<void> | null = null
-  /** The lease of the latest holder that is known, in the store or by its own word. */
+  /** The newest lease observed, in the store or in the holder's broadcast. */
   private latestLease: StoredObject<LeaseObject> | null = null
   private nextReadAtMs = 0
   private notBeforeMs = -Infinity
-  /** Nodes that start together don't all ask for the lease at once. */
+  /** Nodes that start together do not all request the lease at once. */
   private readonly challengeFromMs: number
   private renewals = 0
-  /** When this node's turn to take a lapsed lease comes; null while it hasn't lapsed. */
+  /** When this node may try to take an expired lease; null while the lease is valid. */
   private challengeAtMs: number | null = null
   private failedChallenges = 0
   private stopped = false
@@ -70,7 +70,10 @@
 
   constructor (
     private readonly store: ObjectStore, private readonly self: LeaseIdentity, private readonly clock: Clock, private readonly random: Random, private readonly log: DecisionLog,
-    /** The lease was taken from a holder that let it lapse: it has given no sign of life for the whole time to live. */
+    /**
+     * Called when the lease was taken from a holder that let it expire, and that has therefore shown no activity for
+     * the whole time to live.
+     */
     private readonly onLapsedHolder: (holder: LeaseIdentity) => void,
     private readonly nodeCount: () => number = () => 1,
     private readonly memory: LeasePayloadSource = NO_PAYLOAD
@@ -78,67 +81,67 @@
     this.challengeFromMs = clock.nowMs() + random.next() * CHALLENGE_SPREAD_MS
   }
 
-  /** Whether the store has said who holds the lease, or that nobody does. */
+  /** Whether the store has returned the lease or confirmed that there is none. */
   get isKnown (): boolean {
     return this.sighting.firstSeenAtMs !== null
   }
 
-  /** The listener runs once that is known. */
+  /** Registers a listener that runs once the state of the lease is known. */
   registerKnown (listener: () => void): Teardown {
     this.knownListeners.add(listener)
     return () => { this.knownListeners.delete(listener) }
   }
 
-  /** What is kept with the lease has changed: its holder writes it without waiting for the next renewal. */
+  /** Makes the holder write the lease without waiting for the next renewal, because the state stored with it has changed. */
   requestRenewal (): void {
     this.isRenewalRequested = this.held !== null
   }
 
-  /** Asked right before each order. */
+  /** Whether this node may issue orders. Checked right before each order. */
   mayOrder (): boolean {
     return this.held !== null && mayOrder(this.held, FLEET_LEASE_TIMING, this.clock.nowMs())
   }
 
   /**
-   * Whether other nodes turn to this one: as the holder, or as the one whose lease lapsed while nobody is known to have
-   * taken over, as with the store out for all. It orders nothing then, but what nodes tell each other through it,
-   * loads and stopped groups, needs no agreement.
+   * Whether this node is the coordinator: the holder, or the last holder whose lease expired while no successor is
+   * known, as when the store is unavailable for all nodes. It issues no orders then, but exchanging loads and stalled
+   * groups through it needs no agreement.
    */
   isCoordinator (): boolean {
     if (this.held !== null) return true
     return this.lapsedFencing !== null && (this.sighting.lease?.fencing ?? 0) <= this.lapsedFencing
   }
 
-  /** Rises at each takeover; null while another node holds the lease. */
+  /** Fencing number of the held term, which rises with each takeover; null while another node holds the lease. */
   get fencing (): number | null {
     return this.held?.fencing ?? null
   }
 
-  /** The number under which this node coordinates, as the holder or as the last one; null where it doesn't. */
+  /** Fencing number under which this node coordinates, as the holder or the last holder; null if it does not coordinate. */
   get coordinationFencing (): number | null {
     return this.isCoordinator() ? this.held?.fencing ?? this.lapsedFencing : null
   }
 
-  /** The lease of a later holder than the one of this number; null where none is known. */
+  /** The lease of a later holder than the one with this fencing number; null if none is known. */
   leaseAfter (fencing: number): StoredObject<LeaseObject> | null {
     const latest = this.heldLease ?? this.latestLease
     return latest !== null && latest.body.fencing > fencing ? latest : null
   }
 
-  /** The lease as this node holds it; null while another one does. */
+  /** The lease as this node holds it; null while another node holds it. */
   get heldLease (): StoredObject<LeaseObject> | null {
     if (this.held === null) return null
     return { key: leaseKey(FLEET_LEASE_NAME), version: this.held.version, body: composeLease(this.held, FLEET_LEASE_TIMING), deleted: false }
   }
 
-  /** The holder told of its lease: as good as a look at the store, and no call. */
+  /** Handles the lease received in the holder's broadcast, which counts as much as a read from the store and saves the call. */
   noteLease (lease: StoredObject<LeaseObject>): void {
     if (this.held !== null) return
     this.observe(lease)
     this.nextReadAtMs = this.clock.nowMs() + READ_INTERVAL_MS
   }
 
-  /** This process did not run for a while: someone else may hold the lease now. */
+  /** Suspends the term after this process was paused, since another node may hold the lease now. */
   notePause (): void {
     if (this.held !== null) this.held = suspendTerm(this.held, this.clock.nowMs())
   }
@@ -153,7 +156,7 @@
     }
   }
 
-  /** Gives the lease up, so that another node need not wait until it lapses. */
+  /** Releases the lease, so that another node need not wait until it expires. */
   async release (): Promise<void> {
     this.stopped = true
     await this.running
@@ -170,7 +173,10 @@
     await this.challenge(nowMs)
   }
 
-  /** An earlier life of this node holds the lease: nobody else may take it soon, and this one at once. */
+  /**
+   * Whether an earlier incarnation of this node holds the lease; other nodes must wait until it expires, but this one
+   * may take it at once.
+   */
   private isHeldByFormerIncarnation (): boolean {
     return this.sighting.lease?.holder === this.self.node
   }
@@ -211,7 +217,7 @@
     this.nextReadAtMs = 0
   }
 
-  /** Longer with each try that didn't reach the store, as far as the size of the fleet asks for it. */
+  /** Grows with each attempt that did not reach the store, up to a limit that depends on the size of the fleet. */
   private retryPauseMs (): number {
     const { retryMs } = FLEET_LEASE_TIMING
     const limitMs = Math.max(retryMs, CHALLENGE_SPREAD_PER_NODE_MS * this.nodeCount())
--- a/packages/dotterelspur-gateway/src/process/FleetStateLog.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetStateLog.ts
@@ -1,23 +1,23 @@
 import { MemberState, type Clock, type EndpointRecord, type EngineSpec, type FormationPlan, type ModelId, type ServiceId } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
-/** How often the deciding node says what the fleet is made of. */
+/** Interval between summaries by the lease holder. */
 const LOG_INTERVAL_MS = 2_000
 
-/** What the deciding node knows of one model service. */
+/** The lease holder's view of one model service. */
 export interface FleetState {
   readonly service: ServiceId
   readonly engine: EngineSpec
   readonly endpoints: readonly EndpointRecord[]
   readonly unreachable: number
-  /** Endpoints that a plan under way needs. */
+  /** Endpoints used by a plan in progress. */
   readonly engaged: number
   readonly forming: readonly FormationPlan[]
-  /** Group time that callers ask for, by model. */
+  /** Group time that callers demand, by model. */
   readonly demand: ReadonlyMap<ModelId, number>
 }
 
-/** Writes now and then what the fleet is made of: the first thing to look at when a caller was refused. */
+/** Logs a periodic summary of the fleet, the first thing to check when a caller was rejected. */
 export class FleetStateLog {
   private loggedAtMs = -Infinity
 
@@ -50,7 +50,7 @@
   }
 }
 
-/** Whether the endpoint is a head that takes requests, or still finishes some. */
+/** Whether the endpoint is a head that accepts requests or still completes some. */
 export function isServingHead ({ membership }: EndpointRecord): boolean {
   return membership !== null && membership.rank === 0 && (membership.state === MemberState.Open || membership.state === MemberState.Closing)
 }
--- a/packages/dotterelspur-gateway/src/process/FleetView.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetView.ts
@@ -4,7 +4,10 @@
 } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
-/** What a node knows of the fleet's load, speeds, needs, pauses, demand and callers' deadlines: what it sees itself, and what all nodes are told. */
+/**
+ * A node's view of the fleet's load, speeds, backpressure, pauses, demand and callers' deadlines, built from its own
+ * observations and the broadcast observations of all nodes.
+ */
 export class FleetView {
   readonly load = new TargetLoad()
   readonly speeds = new EndpointSpeeds()
@@ -22,18 +25,18 @@
     this.deadlines = new DeadlineHistory(clock.nowMs())
   }
 
-  /** What the fleet has learned, for nodes that start later. */
+  /** State that the fleet has learned, kept for nodes that start later. */
   get memory (): FleetMemory {
     return this.fleetMemory
   }
 
-  /** What the fleet had learned by the lease of its deciding node; what this node was told itself is newer. */
+  /** Merges the state stored with the lease; observations that this node has received itself are newer and take precedence. */
   mergeMemory (written: unknown): void {
     const memory = readFleetMemory(written)
     if (memory !== null) this.applyMemory(remember(memory, this.fleetMemory))
   }
 
-  /** What this node sees, to be told to the others. */
+  /** This node's observations, for broadcast to the other nodes. */
   observe (): NodeObservation {
     const nowMs = this.clock.nowMs()
     return {
@@ -50,7 +53,7 @@
     }
   }
 
-  /** Takes in what all nodes together see. */
+  /** Applies the aggregated observations of all nodes. */
   applyFleetObservation (fleet: FleetObservation): void {
     const nowMs = this.clock.nowMs()
     this.load.noteTold(fleet, nowMs)
@@ -70,21 +73,21 @@
     this.deadlines.noteTold(memory.deadlines)
   }
 
-  /** Forecasts the load of the pools as they are now. */
+  /** Recomputes the load forecast for the current pools. */
   updatePools (pools: readonly TargetPool[]): void {
     this.pools = pools
     const nowMs = this.clock.nowMs()
     this.load.arrange(pools.map((pool) => loadPool(pool, this.speeds, this.backpressure, nowMs)), nowMs)
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Evicts endpoints that are no longer listed. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     this.load.retain(endpoints)
     this.speeds.retain(endpoints)
     this.backpressure.retain(endpoints, this.clock.nowMs())
   }
 
-  /** Called before it is relied on: without fresh word of the fleet a node goes by what it sees itself. */
+  /** Called before the view is used: without fresh fleet observations a node falls back to its own. */
   checkFreshness (): void {
     const nowMs = this.clock.nowMs()
     const isTold = this.load.isTold(nowMs)
--- a/packages/dotterelspur-gateway/src/process/FollowRules.ts
+++ b/packages/dotterelspur-gateway/src/process/FollowRules.ts
@@ -4,51 +4,50 @@
 import { NODE_PREFIX } from './NodeRegistry.js'
 import { PROGRESS_VALID_MS } from './StoreFeed.js'
 
-/** How soon changes of the store must be known to all nodes. */
+/** Time limits within which changes in the store must reach all nodes. */
 export interface ChangeBounds {
-  /** An endpoint that says it leaves serves for so long. */
+  /** How long an endpoint serves after announcing that it is leaving. */
   readonly drainMs: number
-  /** A manifest that the store has acknowledged is in force after this time. */
+  /** Time after which a manifest acknowledged by the store must be in force. */
   readonly manifestMs: number
 }
 
-/** The part of a bound for which a node goes on without the deciding node's word; the rest is for its own question. */
+/** Share of a limit for which a node relies on the lease holder's last feed progress; the rest is left for its own poll. */
 const VALID_SHARE = 0.7
-/** A lost deciding node has a successor within this time, whose word then covers what nothing depends on sooner. */
+/** A lost lease holder has a successor within this time, whose feed then covers prefixes that are not urgent. */
 const SUCCESSOR_PROGRESS_MS = 4_000
 
-/** How a prefix of the store is followed. */
+/** How one prefix of the store is followed. */
 export interface FollowRule {
-  /**
-   * How long one question may wait. A channel that falls silent without a reset is noticed after it.
-   */
+  /** Long-poll timeout. A connection that falls silent without a reset is noticed after this time. */
   readonly pollTimeoutMs: number
-  /** The same for the node that decides: all others see through its eyes. A manifest has two seconds to be in force. */
+  /** Long-poll timeout of the lease holder, through which all other nodes see the store. A manifest must be in force within two seconds. */
   readonly holderPollTimeoutMs: number
-  /** Rest after each answer with changes: they come in bursts, and each answer is a call. */
+  /** Pause after each response with changes: changes come in bursts, and each response costs a call. */
   readonly restMs: number
   /**
-   * Whether the deciding node passes on only what concerns those who send requests. Each member of a forming group changes
-   * three times: all of that, told to all nodes, would fill a small link.
+   * Whether the lease holder forwards only changes that affect request dispatch. Each member of a forming group changes
+   * three times; forwarding all of it to all nodes would fill a small link.
    */
   readonly isFiltered: boolean
   /**
-   * Whether the deciding node passes the changes themselves on. A manifest of hundreds of routes would take seconds over a
-   * small link: of it only the version is told, and each node reads it from the store.
+   * Whether the lease holder forwards the changes themselves. A manifest with hundreds of routes would take seconds on
+   * a small link, so only its version is sent and each node reads it from the store.
    */
   readonly isForwarded: boolean
-  /** Rest of a node that doesn't decide, for each node of the fleet: together they ask about as often as a small fleet. */
+  /** Pause of the other nodes per node of the fleet, so that a large fleet polls about as often in total as a small one. */
   readonly restPerNodeMs: number
-  /** How long a node goes on without the deciding node's word before it asks for changes itself. */
+  /** How long a node relies on the lease holder's last feed progress before it polls the store itself. */
   readonly progressValidMs: (bounds: ChangeBounds) => number
 }
 
-/** The prefixes that are followed. */
+/** Rules of the followed prefixes. */
 export const FOLLOW_RULES: Readonly<Record<string, FollowRule>> = {
   [MANIFEST_PREFIX]: {
     pollTimeoutMs: 3_000, holderPollTimeoutMs: 1_000, restMs: 50, restPerNodeMs: 10, isForwarded: false, isFiltered: false, progressValidMs: ({ manifestMs }) => VALID_SHARE * manifestMs
   },
-  // Nodes learn from the list which groups have broken up, so they don't wait for longer than a word is relied on, whatever the bound allows.
+  // The endpoint list shows which groups have broken up, so this never exceeds the general validity of feed progress,
+  // whatever the limit allows.
   [ENDPOINT_PREFIX]: {
     pollTimeoutMs: 3_000, holderPollTimeoutMs: 1_000, restMs: 250, restPerNodeMs: 4, isForwarded: true, isFiltered: true, progressValidMs: ({ drainMs }) => Math.min(PROGRESS_VALID_MS, VALID_SHARE * drainMs)
   },
@@ -56,26 +55,26 @@
   [QUARANTINE_PREFIX]: { pollTimeoutMs: 3_000, holderPollTimeoutMs: 3_000, restMs: 500, restPerNodeMs: 4, isForwarded: true, isFiltered: false, progressValidMs: () => SUCCESSOR_PROGRESS_MS }
 }
 
-/** Endpoints that leave are still known in time: they serve for two seconds after they said so. */
+/** Upper limit of the pause; leaving endpoints are still noticed in time, since they serve for two seconds after announcing it. */
 const MAX_REST_MS = 800
 
-/** Between two tries while the store can't be reached, growing: it is out for some seconds, and each call is priced. */
+/** Initial pause between attempts while the store is unavailable. It grows, because outages last seconds and each call is billed. */
 export const RETRY_MS = 250
 const BASE_RETRY_LIMIT_MS = 700
-/** Longer in a large fleet, whose nodes all try. */
+/** Increase of the limit per node, since all nodes of a fleet retry. */
 const RETRY_LIMIT_PER_NODE_MS = 8
 const MAX_RETRY_LIMIT_MS = 1_500
 const RETRY_GROWTH = 1.4
 export const RETRY_JITTER = 0.5
-/** An answer that comes this much after its wait was over was held up: the store may have been out meanwhile. */
+/** A response this late after its long-poll timeout was delayed, and the store may have been unavailable meanwhile. */
 export const LATE_RESPONSE_MS = 500
 
-/** Rest of a node that doesn't decide, after an answer with changes. */
+/** Pause of a node other than the lease holder after a response with changes. */
 export function pauseAfterChangesMs (rule: FollowRule, nodes: number): number {
   return Math.max(rule.restMs, Math.min(MAX_REST_MS, rule.restPerNodeMs * nodes))
 }
 
-/** Pause before the next try, after so many failed ones in a row. */
+/** Pause before the next attempt, after `failures` consecutive failures. */
 export function retryPauseMs (failures: number, nodes: number): number {
   const limitMs = Math.min(MAX_RETRY_LIMIT_MS, BASE_RETRY_LIMIT_MS + RETRY_LIMIT_PER_NODE_MS * nodes)
   return Math.min(limitMs, RETRY_MS * RETRY_GROWTH ** failures)
--- a/packages/dotterelspur-gateway/src/process/FollowedStore.ts
+++ b/packages/dotterelspur-gateway/src/process/FollowedStore.ts
@@ -7,7 +7,7 @@
 import { StoreFeed, type FeedUpdate, type FeedProgress } from './StoreFeed.js'
 import type { ChangeBatch, VersionedStore } from './VersionedStore.js'
 
-/** Errors that don't show that the store works; a refused condition does. */
+/** Errors that do not prove contact with the store, unlike a failed precondition. */
 const NO_CONTACT_ERRORS: ReadonlySet<StoreErrorKind> = new Set([StoreErrorKind.Unavailable, StoreErrorKind.Unknown, StoreErrorKind.RateLimited])
 
 type Listener = (event: WatchEvent<unknown>) => void
@@ -16,17 +16,17 @@
   readonly prefix: string
   readonly rule: FollowRule
   readonly listener: Listener
-  /** Version up to which everything is known; null until the first listing. */
+  /** Version up to which the prefix has been followed; null until the first listing. */
   version: number | null
-  /** Version of the last change that it may have: between this one and `version` nothing of the prefix has changed. */
+  /** Upper bound of the version of the last change; nothing in the prefix changed between it and `version`. */
   lastChangeVersion: number
-  /** Some of it was told by the deciding node, which leaves out what doesn't concern callers. */
+  /** Some changes came from the lease holder, which omits those that do not affect callers. */
   isPartial: boolean
-  /** The feed no longer covers what is known: the next question doesn't wait, so that a lost store is noticed soon. */
+  /** The feed no longer covers the prefix: the next poll returns at once, so that an unavailable store is noticed soon. */
   mustCatchUp: boolean
-  /** Ends the rest while the feed covers what is known. */
+  /** Resumes polling when the feed no longer covers the prefix. */
   wake: (() => void) | null
-  /** Ends the wait for the deciding node's first word if it is over. */
+  /** Ends the wait for the lease holder's first feed progress if it is over. */
   checkInitialWait: (() => void) | null
   stopped: boolean
 }
@@ -36,30 +36,30 @@
   readonly clock: Clock
   readonly random: Random
   readonly log: DecisionLog
-  /** Whether this node decides: then it follows the store itself, and shares what it reads. */
+  /** Whether this node holds the lease; it then polls the store itself and shares the changes that it reads. */
   readonly isLeaseHolder: () => boolean
   readonly nodeCount: () => number
-  /** How soon the operators want changes to be known. */
+  /** Operators' limits for the propagation of changes. */
   readonly changes: ChangeBounds
-  /** How long the deciding node's word is awaited after the first list, before this node asks for changes itself. */
+  /** How long to wait for the lease holder's first feed progress after the first listing, before this node polls for changes itself. */
   readonly initialProgressTimeoutMs: number
   readonly share: (update: FeedUpdate) => void
-  /** Whether a change, not taken in yet, concerns those who send requests. */
+  /** Whether a change that has not been applied yet affects request dispatch. */
   readonly concernsCallers: (object: StoredObject<unknown>) => boolean
 }
 
 /**
- * The store as keepers see it: follows prefixes through interruptions, by the store itself or by the deciding node's
- * feed while that is fresh. Changes carry versions, so one that comes both ways is taken once.
+ * The store as the rest of a node uses it. Follows prefixes across interruptions, by polling the store or by the lease
+ * holder's feed while that is fresh. Changes are versioned, so a change received both ways is applied once.
  */
 export class FollowedStore implements ObjectStore {
   private readonly feed = new StoreFeed()
   private feedWasFresh = false
   private readonly followers = new Map<string, PrefixFollower>()
   private contactAtMs = -Infinity
-  /** Calls that failed since the last one that the store answered. */
+  /** Failed calls since the last one that the store answered. */
   private failures = 0
-  /** While the store can't be reached, one follower tries for all: a call from each would tell no more. */
+  /** While the store is unavailable, one follower retries for all, since a call from each would give no further information. */
   private nextTryAtMs = -Infinity
 
   constructor (private readonly parts: FollowedStoreParts) {}
@@ -86,7 +86,7 @@
 
   watch<Body> (prefix: string, listener: (event: WatchEvent<Body>) => void): Teardown {
     const rule = FOLLOW_RULES[prefix]
-    if (rule === undefined || this.followers.has(prefix)) throw new Error(`invariant: ${prefix} is followed once, by a rule`)
+    if (rule === undefined || this.followers.has(prefix)) throw new Error(`invariant: watch of ${prefix} rejected: the prefix has no follow rule or is already watched`)
     const follower: PrefixFollower = { prefix, rule, listener: listener as Listener, version: null, lastChangeVersion: 0, isPartial: false, mustCatchUp: false, wake: null, checkInitialWait: null, stopped: false }
     this.followers.set(prefix, follower)
     this.follow(follower).catch((error: unknown) => { this.parts.log.write(LogKind.Unexpected, { where: `watch of ${prefix}`, error: String(error) }) })
@@ -97,23 +97,23 @@
     }
   }
 
-  /** Since the start of the last call that the store answered. */
+  /** Time since the start of the last call that the store answered. */
   get contactAgeMs (): number {
     return this.parts.clock.nowMs() - this.contactAtMs
   }
 
-  /** Version of the last change of each prefix that is followed. The store counts changes of all prefixes together. */
+  /** Version of the last change of each followed prefix. The store numbers changes of all prefixes together. */
   get versions (): Record<string, number> {
     return Object.fromEntries([...this.followers.values()].flatMap(({ prefix, version, lastChangeVersion }) => version === null ? [] : [[prefix, lastChangeVersion]]))
   }
 
-  /** Whether all of a prefix is known, and not only what the deciding node passes on. */
+  /** Whether the prefix is known completely, and not only the part that the lease holder forwards. */
   isComplete (prefix: string): boolean {
     const follower = this.followers.get(prefix)
     return follower !== undefined && follower.version !== null && !follower.isPartial
   }
 
-  /** Whether the feed covers all that is followed. */
+  /** Whether the feed covers all followed prefixes. */
   get isCoveredByFeed (): boolean {
     return [...this.followers.values()].every((follower) => this.isCovered(follower))
   }
@@ -123,7 +123,7 @@
     this.wakeUncovered()
   }
 
-  /** Takes in news that continue what is known; with a gap before them, the store is asked instead. */
+  /** Applies a feed update that continues the known version; after a gap the store is polled instead. */
   applyUpdate ({ prefix, sinceVersion, ...batch }: FeedUpdate): void {
     const follower = this.followers.get(prefix)
     this.feed.noteVersion(prefix, batch.version)
@@ -134,7 +134,7 @@
     this.wakeUncovered()
   }
 
-  /** Called several times a second: followers whose feed has grown old go back to the store. */
+  /** Called several times a second; resumes polling for prefixes that the feed no longer covers. */
   wakeUncovered (): void {
     this.logFeedState()
     for (const follower of this.followers.values()) {
@@ -170,7 +170,7 @@
     return true
   }
 
-  /** Follows until contact is lost or the history is gone; lists first, unless the feed tells all that is missing. */
+  /** Follows until contact is lost or the history is gone. Starts with a listing unless the feed supplies everything that is missing. */
   private async followOnce (follower: PrefixFollower): Promise<void> {
     const isFirst = follower.version === null
     if (!this.isCovered(follower) && !await this.listAll(follower)) return
@@ -181,14 +181,14 @@
     }
   }
 
-  /** Who decides needs all of it, also what it was not told before. */
+  /** The lease holder needs the complete prefix, including changes that were not forwarded to it before. */
   private async pollOrList (follower: PrefixFollower): Promise<boolean> {
     return follower.isPartial && this.parts.isLeaseHolder() ? await this.listAll(follower) : await this.poll(follower)
   }
 
   private async listAll (follower: PrefixFollower): Promise<boolean> {
     const knownVersion = follower.version
-    // News that came while the list is read could be newer than the list, which would then take them back.
+    // A feed update received during the listing could be newer than the listing, which would then undo it.
     follower.version = null
     const listing = await this.list(follower.prefix)
     if (follower.stopped) return false
@@ -205,7 +205,7 @@
     return true
   }
 
-  /** Asks the store once; false when the prefix must be listed anew. */
+  /** Polls the store once; false if the prefix must be listed again. */
   private async poll (follower: PrefixFollower): Promise<boolean> {
     const { clock, store } = this.parts
     const sinceVersion = follower.version!
@@ -216,7 +216,7 @@
     if (follower.stopped) return false
     const isDelayed = clock.nowMs() - polledAtMs > waitMs + LATE_RESPONSE_MS
     if (!result.ok || isDelayed) {
-      // Gone history only costs a new listing; anything else means that the store could not be reached for a while.
+      // A lost history only requires a new listing; any other error means that the store was unavailable for a while.
       if (result.ok || result.error.kind !== StoreErrorKind.NotFound) follower.listener({ kind: WatchEventKind.Disconnected })
       return false
     }
@@ -232,13 +232,19 @@
     return this.parts.isLeaseHolder() ? rule.holderPollTimeoutMs : rule.pollTimeoutMs
   }
 
-  /** What the others are told of a batch. Changes that aren't passed on leave a gap in the news, upon which each node asks the store. */
+  /**
+   * The part of a batch that is sent to the other nodes. Changes that are not forwarded leave a version gap, after
+   * which each node polls the store.
+   */
   private updateToShare ({ prefix, rule, lastChangeVersion: sinceVersion }: PrefixFollower, { objects, version }: ChangeBatch): FeedUpdate {
     if (!rule.isForwarded && objects.length > 0) return { prefix, sinceVersion: version, objects: [], version }
     return { prefix, sinceVersion, objects: rule.isFiltered ? this.filterForCallers(objects) : objects, version }
   }
 
-  /** Changes are judged by what was known before the batch: one that takes back another of the batch goes with it. */
+  /**
+   * Selects the changes that affect callers, judged by the state before the batch; a later change of the same key in
+   * the batch is included, since it may undo the first one.
+   */
   private filterForCallers (objects: ChangeBatch['objects']): ChangeBatch['objects'] {
     const forwarded = new Set<string>()
     return objects.filter((object) => {
@@ -247,7 +253,7 @@
     })
   }
 
-  /** Without this wait, each node of a fleet that starts would ask for each of the others' entries. */
+  /** Without this wait, each node of a starting fleet would poll for each of the other nodes' entries. */
   private async awaitInitialProgress (follower: PrefixFollower): Promise<void> {
     const { clock, initialProgressTimeoutMs } = this.parts
     const startedAtMs = clock.nowMs()
@@ -257,7 +263,7 @@
     follower.checkInitialWait = null
   }
 
-  /** Somebody who knows the store is known: the deciding node, or this one as such. */
+  /** Whether a source of changes is known: the lease holder's feed, or this node as the lease holder. */
   private hasFreshSource (): boolean {
     return this.parts.isLeaseHolder() || this.feed.isFresh(this.parts.clock.nowMs())
   }
@@ -281,7 +287,7 @@
   }
 }
 
-/** A batch that ends before what is known would bring back what has been deleted since. */
+/** Ignores a batch older than the known version, which would restore objects deleted since. */
 function applyBatch (follower: PrefixFollower, { objects, version }: ChangeBatch): void {
   if (version <= follower.version!) return
   objects.forEach((object, index) => { follower.listener({ kind: WatchEventKind.Object, object, hasMore: index + 1 < objects.length }) })
--- a/packages/dotterelspur-gateway/src/process/FormationController.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationController.ts
@@ -15,16 +15,16 @@
 import type { ManifestFollower } from './ManifestFollower.js'
 import { Reachability } from './Reachability.js'
 
-/** Formation numbers of one lease holding; the next holding's are all higher. */
+/** Formation numbers available to one lease term; all numbers of the next term are higher. */
 const FORMATIONS_PER_TERM = 1_000_000
 
-/** Changes of the list come in bursts, as when members of a group get ready one after the other. */
+/** Delay after a change of the endpoint list; changes come in bursts, as when members of a group become ready one after another. */
 const SETTLE_MS = 20
-/** Looks at the fleet also without a change: endpoints fall silent without one. */
+/** Evaluation interval without changes, needed because endpoints can fall silent without one. */
 const EVALUATION_INTERVAL_MS = 250
-/** Endpoints of a fleet that starts appear within two or three seconds of each other, with shorter gaps between them. */
+/** The endpoints of a starting fleet appear within two or three seconds, with shorter gaps between them. */
 const SETTLED_MS = 1_500
-/** A lost plan's members are left alone for this long, so that the same plan isn't tried without pause. */
+/** Pause before the members of a failed plan are used again, so that the same plan is not retried continuously. */
 const FAILED_PLAN_PAUSE_MS = 300
 
 export interface FormationControllerParts {
@@ -34,22 +34,22 @@
   readonly manifest: ManifestFollower
   readonly endpoints: EndpointRegistry
   readonly control: EndpointControl
-  /** Group time that callers ask for, by model; empty while nothing is known. */
+  /** Group time that callers demand, by model; empty while there is no data. */
   readonly demand: () => ReadonlyMap<ModelId, number>
-  /** A group is suspected, and its members are being asked. */
+  /** Called when a group is suspected and its members are being probed. */
   readonly onSuspected: (head: EndpointId) => void
-  /** Groups that have lost a member and are listed as open, by their heads; told again while it lasts. */
+  /** Called with the heads of groups that have lost a member and are listed as open; repeated while the condition lasts. */
   readonly onStalled: (heads: readonly EndpointId[], isNew: boolean) => void
   /**
-   * Whether all endpoints are known. A node that was told only of those that take requests would judge groups by what their
-   * members were long ago: it would call most of them stopped, and all nodes would leave them.
+   * Whether the endpoint list is complete. A node that received only changes of heads would judge groups by outdated
+   * member records: it would report most of them as stalled, and all nodes would avoid them.
    */
   readonly hasAllEndpoints: () => boolean
-  /** Whether callers' requests have come, after which loads take their full time. */
+  /** Whether callers' requests have arrived; from then on loads take their full time. */
   readonly hasTraffic: () => boolean
 }
 
-/** Keeps the groups of each model service: decides while it holds the lease, and carries out what was decided. */
+/** Controls the groups of each model service: plans formations while it holds the lease, and carries them out. */
 export class FormationController {
   private readonly reports: VerifiedReportClient
   private readonly reachability: Reachability
@@ -57,7 +57,7 @@
   private readonly loads = new WeightLoadTracker()
   private readonly engaged = new Map<EndpointId, FormationPlan>()
   private readonly forming = new Set<FormationPlan>()
-  /** Heads that left the list and may still serve those who know their address. */
+  /** Heads that left the list and may still serve callers that have their address. */
   private readonly unlistedHeads = new Map<EndpointId, EndpointRecord>()
   private records: ReadonlyMap<EndpointId, EndpointRecord> = new Map()
   private readonly fullSizes = new Map<string, number>()
@@ -87,17 +87,20 @@
     this.cancelEvaluation()
   }
 
-  /** Loads that this node has begun or been told of. */
+  /** Loads that this node has started or received from the lease holder. */
   loadsInProgress (): LoadInProgress[] {
     return this.loads.inProgress(this.parts.clock.nowMs())
   }
 
-  /** What the deciding node has begun: its successor begins no loads beside these, which would slow all of them. */
+  /**
+   * Takes over the lease holder's loads in progress, so that its successor does not start more beside them, which would
+   * slow all of them.
+   */
   noteLoads (loads: readonly LoadInProgress[]): void {
     if (!this.parts.lease.mayOrder()) this.loads.replace(loads, this.parts.clock.nowMs())
   }
 
-  /** A caller's exchange suggests that a group stands still: each member that can be found is asked. */
+  /** Probes each listed member of a group that appears stalled in a caller's exchange. */
   suspectGroup (head: EndpointId): void {
     const record = this.records.get(head)
     if (record === undefined || record.membership === null || !this.parts.lease.isCoordinator()) return
@@ -109,7 +112,7 @@
     this.parts.onSuspected(head)
   }
 
-  /** Heads that take requests though their group has lost a member. */
+  /** Heads that accept requests although their group has lost a member. */
   stalledHeads (): EndpointId[] {
     if (!this.parts.hasAllEndpoints()) return []
     const models = this.parts.manifest.current?.manifest.services.flatMap(({ engine }) => engine?.models ?? []) ?? []
@@ -220,7 +223,7 @@
     return { model, fabricDomain: known ?? '' }
   }
 
-  /** Before callers have shown what they ask for, the operators' shares stand for it. */
+  /** Uses the operators' configured shares until callers' demand has been observed for all models. */
   private demandOf (engine: EngineSpec): Map<ModelId, number> {
     const seen = this.parts.demand()
     const hasSeen = engine.models.every(({ model }) => seen.has(model))
@@ -262,7 +265,7 @@
     this.evaluateSoon()
   }
 
-  /** Where a member is taken to be, and who said so how long ago. */
+  /** A member's assumed membership, with the source and age of its record. */
   private describeMember (member: EndpointId): string {
     const record = this.records.get(member)
     const origin = this.parts.endpoints.recordOrigin(member)
--- a/packages/dotterelspur-gateway/src/process/FormationHistory.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationHistory.ts
@@ -1,18 +1,18 @@
 import type { AddressedOrder, EndpointId, Membership, OrderReply } from 'dotterelspur'
 import { ReportResultKind, type ReportResult } from './GatewayPorts.js'
 
-/** Steps of one plan that are kept: three times those of a group of sixteen without a repeated order. */
+/** Steps kept per plan: three times those of a group of sixteen without a retried order. */
 const MAX_STEPS = 160
 
 /**
- * What members of one plan were asked and what they answered, for the line that ends the plan. Without it nobody can
- * tell afterwards what a member was released by.
+ * Records the requests to the members of one plan and their responses, for the log line at the end of the plan. Without
+ * it the cause of a member's release cannot be determined afterwards.
  */
 export class FormationHistory {
   private readonly recorded: string[] = []
   private dropped = 0
 
-  /** In order; the last one says how many more there were. */
+  /** The steps in order; the last entry gives the number of omitted steps. */
   get steps (): readonly string[] {
     return this.dropped === 0 ? this.recorded : [...this.recorded, `and ${this.dropped} more`]
   }
@@ -32,7 +32,7 @@
   }
 }
 
-/** An endpoint's place in a few words. */
+/** Short description of an endpoint's membership. */
 export function describeMembership (membership: Membership | null): string {
   return membership === null ? 'in no group' : `${membership.group} rank ${membership.rank} ${membership.state}`
 }
--- a/packages/dotterelspur-gateway/src/process/FormationRunner.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationRunner.ts
@@ -10,15 +10,16 @@
 import { ReportResultKind, type EndpointControl, type EndpointLocation } from './GatewayPorts.js'
 import type { Reachability } from './Reachability.js'
 
-/** While a join is awaited and the list says nothing, members are asked directly this often. */
+/** Interval between direct queries of members while a join is pending and the list does not change. */
 const READY_POLL_MS = 500
 const REPORT_TIMEOUT_MS = 400
-/** After a head opened: the list shows it within a pass or two of its watch, unless the store is out. */
+/** After a head has opened, the list shows it within one or two polls, unless the store is unavailable. */
 const LISTED_OPEN_TIMEOUT_MS = 1_500
 
 /**
- * Orders and questions of plans that are under way at once. A fleet of 760 forms 124 groups in one look: sent at once from
- * a third of a core, most orders ran into their timeout of 0.4 s before they had left, and were sent again.
+ * Concurrent orders and report requests of all plans in progress. A fleet of 760 endpoints forms 124 groups in one
+ * evaluation: sent all at once from a third of a core, most orders exceeded their timeout of 0.4 s before they had
+ * left, and were sent again.
  */
 const MAX_CONCURRENT_CALLS = 16
 
@@ -29,11 +30,11 @@
   readonly control: EndpointControl
   readonly reports: VerifiedReportClient
   readonly reachability: Reachability
-  /** Where an endpoint is or was: a head may have left the list and still serve. */
+  /** Finds an endpoint's current or last record: a head may have left the list and still serve. */
   readonly find: (endpoint: EndpointId) => EndpointRecord | undefined
 }
 
-/** Carries out plans of groups: sends their orders, and waits for what members say of themselves. */
+/** Carries out formation plans: sends their orders and waits for members' responses. */
 export class FormationRunner {
   private readonly awaiting = new Set<() => void>()
   private readonly callLimit = pLimit(MAX_CONCURRENT_CALLS)
@@ -41,9 +42,9 @@
   constructor (private readonly parts: FormationRunnerParts) {}
 
   /**
-   * Carries out a plan. If it doesn't come to its end, its members and the heads that it waited for are asked whether they live.
+   * Carries out a plan. If the plan fails, its members and the heads that it waited for are probed.
    *
-   * @param trail takes what was asked and answered on the way.
+   * @param history records the orders, report requests and responses of the plan.
    */
   async run (plan: FormationPlan, history: FormationHistory): Promise<FormationEnd> {
     const end = await runProcedure(formGroup(plan), this.handlers(history))
@@ -52,12 +53,12 @@
     return end
   }
 
-  /** The list has changed: what waits for it looks again. */
+  /** Re-evaluates pending conditions after a change of the endpoint list. */
   noteListChanged (): void {
     for (const check of [...this.awaiting]) check()
   }
 
-  /** Sends orders side by side, each only while this node holds the lease: it may have lapsed since the plan began. */
+  /** Sends orders concurrently, each only while this node holds the lease, which may have expired since the plan began. */
   async sendOrders (orders: readonly AddressedOrder[], history?: FormationHistory): Promise<OrderReply[]> {
     return await Promise.all(orders.map(async (addressed) => await this.callLimit(async () => {
       const reply = await this.sendOrder(addressed)
@@ -66,7 +67,7 @@
     })))
   }
 
-  /** Until the list shows what was just done, a look would take the members for free ones. */
+  /** Waits until the list shows the opened group; an earlier evaluation would take its members for free ones. */
   async untilListedOpen (plan: FormationPlan): Promise<void> {
     const head = plan.members[0]!
     const isListed = (): boolean => {
@@ -85,7 +86,10 @@
     return reply
   }
 
-  /** Unlike a question, an order is refused by whoever it is not meant for: this endpoint has ended. */
+  /**
+   * Unlike a report request, an order is rejected by any other endpoint, so this response proves that the addressed
+   * endpoint has terminated.
+   */
   private noteAddressTaken (place: EndpointLocation): void {
     this.parts.reports.noteAddressTaken(place)
     this.parts.reachability.noteGone(place)
@@ -105,7 +109,7 @@
     if (record !== undefined) this.parts.reachability.suspect(record)
   }
 
-  /** What members say themselves goes before the list until the list has something newer. */
+  /** Members' own reports take precedence over the list until the list has a newer version. */
   private async confirmMembers (plan: FormationPlan, history: FormationHistory): Promise<ReadonlyMap<EndpointId, MemberWord> | null> {
     const reports = new Map<EndpointId, MemberWord>()
     await Promise.all(plan.members.map(async (member) => {
@@ -115,7 +119,7 @@
     return reports.size === plan.members.length ? reports : null
   }
 
-  /** A member's own word, which is kept; null without an answer. */
+  /** Queries a member and stores its report; null without a response. */
   private async queryMember (member: EndpointId, history?: FormationHistory): Promise<MemberWord | null> {
     const end = await this.callLimit(async () => await this.parts.reports.report(this.locationOf(member), REPORT_TIMEOUT_MS))
     history?.noteReport(member, end)
@@ -132,7 +136,7 @@
     return { endpoint, address: record?.address ?? '' }
   }
 
-  /** The list tells of each member that gets ready; while it is silent, as with the store out, members are asked. */
+  /** The list shows each member that becomes ready; while it does not change, as during a store outage, members are queried directly. */
   private async awaitReady (plan: FormationPlan, history: FormationHistory): Promise<boolean> {
     const startedAtMs = this.parts.clock.nowMs()
     const deadlineMs = startedAtMs + plan.joinTimeoutMs
@@ -164,7 +168,7 @@
     }))
   }
 
-  /** Waits until `condition` holds, looked at on each change of the list; false when the time is over first. */
+  /** Waits until `condition` holds, checked on each change of the list; false if the timeout passes first. */
   private async waitUntil (condition: () => boolean, timeoutMs: number): Promise<boolean> {
     if (condition()) return true
     return await new Promise<boolean>((resolve) => {
--- a/packages/dotterelspur-gateway/src/process/Gateway.ts
+++ b/packages/dotterelspur-gateway/src/process/Gateway.ts
@@ -25,13 +25,13 @@
 import { PROGRESS_VALID_MS } from './StoreFeed.js'
 import type { VersionedStore } from './VersionedStore.js'
 
-/** How often the lease, the log and pauses are looked at. */
+/** Interval at which the lease, the store feed and process pauses are checked. */
 const STEP_INTERVAL_MS = 100
-/** A gap of this length between two steps means that the process stood still. */
+/** A gap of this length between two steps means that the process was suspended. */
 const PAUSE_THRESHOLD_MS = 800
-/** After a planned stop began, callers that still hold this address are served for so long. */
+/** How long callers that still hold this node's address are served after a planned stop began. */
 const STOP_LISTENING_AFTER_MS = 3_000
-/** Left of the grace when what is still running is given up; the process then ends by itself. */
+/** Time left of the stop grace period when running requests are abandoned; the process then exits by itself. */
 const STOP_MARGIN_MS = 600
 const STOP_POLL_MS = 50
 
@@ -41,11 +41,11 @@
   readonly control: EndpointControl
   readonly wire: WireFormat
   readonly log: DecisionLog
-  /** The names under which the platform asks; they belong to the adapter. */
+  /** Paths and formats that the platform uses; they belong to the adapter. */
   readonly platformFormat: PlatformFormat
 }
 
-/** One process of the system: takes requests, answers the directory, and decides while it holds the lease. */
+/** One process of the system: serves callers' requests and the directory, and manages the fleet while it holds the lease. */
 export class Gateway {
   readonly metrics = new GatewayMetrics()
   private readonly store: FollowedStore
@@ -72,7 +72,7 @@
     const { clock, log } = parts
     this.limits = settings
     const incarnation = Math.round(clock.wallMs())
-    // Nodes that start in the same millisecond draw different numbers.
+    // Nodes that start in the same millisecond use different random sequences.
     const random = createRandom(incarnation ^ hashText(settings.node))
     this.steppedAtMs = clock.nowMs()
     this.store = new FollowedStore({
@@ -83,7 +83,7 @@
       isLeaseHolder: () => this.lease.mayOrder(),
       nodeCount: () => this.nodes.nodes().length,
       changes: settings.changes,
-      // A list is as good as a word, and relied on for as long.
+      // A listing is valid for as long as feed progress.
       initialProgressTimeoutMs: PROGRESS_VALID_MS,
       share: (update) => { this.peers.tellNews(update) },
       concernsCallers: (object) => this.endpoints.concernsCallers(object as StoredObject<EndpointRecord | null>)
@@ -182,7 +182,7 @@
     return this.settings.metrics
   }
 
-  /** `callerPort` is the callers' port, where it is open already. */
+  /** `callerPort` is the callers' port if it is already open. */
   async start (callerPort: OpenedPort | null = null): Promise<void> {
     const { settings, parts } = this
     const { platformFormat } = parts
@@ -205,15 +205,15 @@
     await this.nodes.register()
   }
 
-  /** Puts changed limits in force at once, for requests under way as well. */
+  /** Applies changed limits at once, including to requests in progress. */
   applyLimits (limits: GatewayLimits): void {
     this.limits = limits
     this.dispatch.configureRetries(limits.retries)
   }
 
   /**
-   * Stops as planned: callers are sent elsewhere at once, what is under way is finished, and late callers are still
-   * served for a while. Resolves when nothing is left, or shortly before the process would be killed.
+   * Performs a planned stop: callers are sent elsewhere at once, running requests are completed, and late callers are
+   * still served for a while. Resolves when nothing is left, or shortly before the process would be killed.
    */
   async stop (): Promise<void> {
     const { clock, log } = this.parts
@@ -274,7 +274,7 @@
     else this.peers.tellSuspicion(head, suspicion)
   }
 
-  /** A pause is believed when enough nodes with streams there see it. */
+  /** A pause counts only when enough nodes with streams at the group report it. */
   private handleSuspicion (head: EndpointId, suspicion: Suspicion, node: NodeId, senders: number): void {
     const isEnough = suspicion === Suspicion.Refused || this.stopVotes.note(head, node, senders, this.parts.clock.nowMs())
     if (isEnough) this.formations.suspectGroup(head)
@@ -298,7 +298,10 @@
     }))
   }
 
-  /** All others learn of the fleet through this node once it coordinates: links are not left to the next round of pings. */
+  /**
+   * Links to all other nodes as soon as this node becomes the coordinator, instead of with the next round of pings,
+   * because they receive the fleet's state through it.
+   */
   private linkOnTakeover (): void {
     const coordinates = this.lease.isCoordinator()
     if (coordinates && !this.wasCoordinator) this.peers.link(this.otherNodes())
--- a/packages/dotterelspur-gateway/src/process/GatewayMetrics.ts
+++ b/packages/dotterelspur-gateway/src/process/GatewayMetrics.ts
@@ -5,13 +5,13 @@
 import type { RequestReport } from '../request/GatewayRequest.js'
 
 const PREFIX = 'dotterelspur_gateway_'
-/** Else a gauge would go to the register that all of a process share. */
+/** Keeps gauges out of the process-wide default registry. */
 const NO_REGISTER: Registry[] = []
 const QUANTILES: readonly number[] = [0.5, 0.95, 0.99]
 const HIGHEST_TRACKABLE_MS = 600_000
 const SIGNIFICANT_DIGITS = 2
 
-/** What the gateway counts; every label has a closed set of values. */
+/** The gateway's metrics; every label has a closed set of values. */
 export class GatewayMetrics {
   private readonly registry = new Registry()
   private readonly requests = this.counter<'kind' | 'end'>('requests_total', 'Admitted requests that ended here', ['kind', 'end'])
@@ -40,7 +40,7 @@
     this.ownAnswers.inc({ answer })
   }
 
-  /** A value that is read when the page is. */
+  /** Registers a gauge that is read at each scrape. */
   gauge (name: string, help: string, read: () => number): void {
     this.registry.registerMetric(new Gauge({ name: `${PREFIX}${name}`, help, registers: NO_REGISTER, collect () { this.set(read()) } }))
   }
--- a/packages/dotterelspur-gateway/src/process/GatewaySettings.ts
+++ b/packages/dotterelspur-gateway/src/process/GatewaySettings.ts
@@ -1,7 +1,7 @@
 import type { FailureDomainId, NodeId, PoisonLimits, RetryWindowOptions } from 'dotterelspur'
 import type { ChangeBounds } from './FollowRules.js'
 
-/** Where one listener of this process is bound. */
+/** Address to which a listener of this process is bound. */
 export interface ListenAddress {
   readonly host: string
   readonly port: number
@@ -12,30 +12,30 @@
   return `${host}:${port}`
 }
 
-/** What can change while the process runs. */
+/** Settings that can change while the process runs. */
 export interface GatewayLimits {
-  /** From a planned stop's signal until the process is killed. */
+  /** Time from the signal of a planned stop until the process is killed. */
   readonly stopGraceMs: number
-  /** How long callers may keep an answer of the directory. */
+  /** How long callers may cache a directory response. */
   readonly directoryTtlMs: number
   readonly retries: RetryWindowOptions
 }
 
-/** What one process is told at its start. */
+/** Settings of one process, given at its start. */
 export interface GatewaySettings extends GatewayLimits {
   readonly node: NodeId
   readonly failureDomain: FailureDomainId
-  /** Callers' requests. */
+  /** Listens for callers' requests. */
   readonly callers: ListenAddress
-  /** The platform asks here whether this node is ready. */
+  /** Listens for the platform's readiness checks. */
   readonly readiness: ListenAddress
-  /** Callers ask here which addresses to use. */
+  /** Listens for callers' directory lookups. */
   readonly directory: ListenAddress
-  /** Other nodes connect here. */
+  /** Listens for connections from other nodes. */
   readonly peers: ListenAddress
   readonly metrics: ListenAddress
   readonly poison: PoisonLimits
   readonly changes: ChangeBounds
-  /** The whole system starts for the first time: nothing can be left over from an earlier life. */
+  /** The whole system starts for the first time, so no state of an earlier incarnation can be left over. */
   readonly firstStart: boolean
 }
--- a/packages/dotterelspur-gateway/src/process/InitialSync.ts
+++ b/packages/dotterelspur-gateway/src/process/InitialSync.ts
@@ -2,19 +2,22 @@
 import type { EndpointRegistry } from './EndpointRegistry.js'
 import type { ManifestFollower } from './ManifestFollower.js'
 
-/** From a process's start: what it must know is there within a tenth of a second, or the store is out and nobody should wait. */
+/**
+ * Limit from process start: the initial reads complete within a tenth of a second, or the store is unavailable and
+ * requests should not wait.
+ */
 const MAX_WAIT_MS = 600
 
-/** Something that is read once after a process's start. */
+/** A source that is read once after process start. */
 export interface InitialSyncSource {
   readonly isKnown: boolean
   registerKnown (listener: () => void): Teardown
 }
 
 /**
- * What a process must have read before it can say anything about a request. Callers connect as soon as it listens, and
- * those that lost all nodes at once have one attempt left: refused for want of a manifest that comes in a tenth of a
- * second, they would be lost.
+ * Tracks the reads that a process must complete before it can answer requests. Callers connect as soon as it listens,
+ * and callers that lost all nodes at once have one attempt left: rejecting them because the manifest arrives a tenth of
+ * a second later would lose their requests.
  */
 export class InitialSync {
   private readonly waiting = new Set<() => void>()
@@ -31,7 +34,7 @@
     return this.manifest.current !== null && this.endpoints.isSynced
   }
 
-  /** Resolves once all is known, or the process has run for so long that it should be. */
+  /** Resolves once all sources are read, or when the wait limit since process start has passed. */
   async wait (): Promise<void> {
     const leftMs = this.startedAtMs + MAX_WAIT_MS - this.clock.nowMs()
     if (this.isAllRead || leftMs <= 0) return
@@ -47,7 +50,7 @@
     })
   }
 
-  /** Also what must not be sent: after all nodes were killed, requests that end endpoints come as soon as one listens. */
+  /** Includes the quarantine: after all nodes were killed, requests that crash endpoints arrive as soon as a node listens. */
   private get isAllRead (): boolean {
     return this.isComplete && this.otherSources.every(({ isKnown }) => isKnown)
   }
--- a/packages/dotterelspur-gateway/src/process/LeaseHolderState.ts
+++ b/packages/dotterelspur-gateway/src/process/LeaseHolderState.ts
@@ -2,13 +2,13 @@
 import type { LoadInProgress } from './WeightLoadTracker.js'
 import type { FeedProgress } from './StoreFeed.js'
 
-/** What the deciding node tells all others several times a second, so that each can go on in its place. */
+/** The state that the lease holder broadcasts to all other nodes several times a second, so that each of them can take over. */
 export interface LeaseHolderState {
   readonly feed: FeedProgress
-  /** The lease as the holder last wrote it: who knows it need not look at the store. */
+  /** The lease as the holder last wrote it; a node that has received it need not read it from the store. */
   readonly lease: StoredObject<LeaseObject>
-  /** Loads from the weight store, which the list doesn't show before they end. */
+  /** Loads from the weight store that are in progress; the endpoint list shows a load only when it has completed. */
   readonly loads: readonly LoadInProgress[]
-  /** Heads that are listed as open and whose group has lost a member. */
+  /** Heads that are listed as open although their group has lost a member. */
   readonly stoppedHeads: readonly EndpointId[]
 }
--- a/packages/dotterelspur-gateway/src/process/ManifestFollower.ts
+++ b/packages/dotterelspur-gateway/src/process/ManifestFollower.ts
@@ -1,14 +1,14 @@
 import { RouteTable, WatchEventKind, type Manifest, type ObjectStore, type ServiceId, type StoredObject, type Teardown, type WatchEvent } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
-/** Where the operators' document is, in the product's names. */
+/** Key prefix of the operators' manifest, in the store's native naming. */
 export const MANIFEST_PREFIX = 'manifest/'
 
 export type ManifestListener = (table: RouteTable) => void
 
 /**
- * Keeps the newest manifest in force. A version that was in force is never followed by a lower one in the life of
- * this process, whatever a store that answers from the past says; while the store is out the last one stays.
+ * Keeps the newest manifest in force. A process never replaces a manifest by a lower version, even if the store returns
+ * stale data; during a store outage the last manifest stays in force.
  */
 export class ManifestFollower {
   private table: RouteTable | null = null
--- a/packages/dotterelspur-gateway/src/process/NodeRegistry.ts
+++ b/packages/dotterelspur-gateway/src/process/NodeRegistry.ts
@@ -6,10 +6,10 @@
 
 const ADDRESS = /^[\d.]+:\d{1,5}$/
 
-/** Between two tries to write the own entry. */
+/** Pause between attempts to write this node's own entry. */
 const REGISTER_RETRY_MS = 400
 
-/** How a node can be reached, as it wrote itself. */
+/** A node's addresses, as the node registers them itself. */
 export interface NodeRecord {
   readonly node: NodeId
   readonly failureDomain: FailureDomainId
@@ -17,11 +17,11 @@
   readonly callers: string
   /** `ip:port` for other nodes. */
   readonly peers: string
-  /** Tells the lives of a process apart. */
+  /** Distinguishes incarnations of a process. */
   readonly incarnation: number
 }
 
-/** Reads an entry that a node wrote; null where it is none. */
+/** Validates a node's entry; null if it is not one. */
 function readNodeRecord (body: unknown): NodeRecord | null {
   if (typeof body !== 'object' || body === null) return null
   const { node, failureDomain, callers, peers, incarnation } = body as Partial<NodeRecord>
@@ -33,22 +33,25 @@
   return typeof value === 'string' && ADDRESS.test(value)
 }
 
-/** What a node writes of itself. */
+/** Builds the record under which a node registers itself. */
 export function nodeRecord (settings: GatewaySettings, incarnation: number): NodeRecord {
   return { node: settings.node, failureDomain: settings.failureDomain, callers: addressOf(settings.callers), peers: addressOf(settings.peers), incarnation }
 }
 
-/** Knows the nodes of the system from the store, and writes this one there. */
+/** Maintains the list of nodes from the store, and registers this node there. */
 export class NodeRegistry {
   private readonly records = new Map<NodeId, StoredObject<NodeRecord>>()
   private snapshot: readonly NodeRecord[] | null = null
-  /** Nodes that are new in a batch: one line names them all, since a fleet that starts would write a line for each pair. */
+  /**
+   * Nodes added by the current batch: one log line names them all, since a starting fleet would otherwise log a line
+   * for each pair of nodes.
+   */
   private readonly added: NodeId[] = []
   private leaving = false
 
   constructor (private readonly store: ObjectStore, private readonly self: NodeRecord, private readonly clock: Clock, private readonly log: DecisionLog) {}
 
-  /** All listed nodes, this one always among them until it leaves; the same array until they change. */
+  /** All listed nodes, including this one until it leaves; the same array instance until the set changes. */
   nodes (): readonly NodeRecord[] {
     this.snapshot ??= this.listNodes()
     return this.snapshot
@@ -58,7 +61,7 @@
     return this.store.watch<unknown>(NODE_PREFIX, (event) => { this.handleEvent(event) })
   }
 
-  /** Writes the own entry; goes on trying while the store is out. */
+  /** Writes this node's entry; retries while the store is unavailable. */
   async register (): Promise<void> {
     while (!this.leaving) {
       if (await this.writeOwn()) return
@@ -66,7 +69,7 @@
     }
   }
 
-  /** Takes the own entry back, so that callers are not sent here any more. */
+  /** Removes this node's entry, so that callers are no longer sent here. */
   async leave (): Promise<void> {
     this.leaving = true
     this.snapshot = null
@@ -75,7 +78,7 @@
     if (read.ok) await this.store.remove(this.key(), read.value.version)
   }
 
-  /** Takes another node's entry back that gives no sign of life; if it lives, it writes itself again. */
+  /** Removes the entry of another node that shows no activity; if that node is alive, it registers again. */
   async drop (node: LeaseIdentity): Promise<void> {
     const known = this.records.get(node.node)
     if (known === undefined || known.body.incarnation !== node.incarnation) return
@@ -120,7 +123,7 @@
     const node = object.key.slice(NODE_PREFIX.length)
     const known = this.records.get(node)
     const body = readNodeRecord(object.body)
-    // A deletion may carry the version of the object that was deleted.
+    // A deletion may carry the version of the deleted object.
     if (object.deleted) return known === undefined || object.version < known.version ? undefined : this.forget(node)
     if (known !== undefined && object.version <= known.version) return
     if (body === null) return this.rejectEntry(node, object.version)
@@ -129,7 +132,10 @@
     if (known === undefined) this.added.push(node)
   }
 
-  /** An entry that is no node's stands for none, and for nobody who stood there before. A node whose entry it was writes itself again. */
+  /**
+   * Rejects an entry that is not a valid node record, and drops the record formerly stored under its key. The node that
+   * owns the key registers again.
+   */
   private rejectEntry (node: NodeId, version: number): void {
     this.log.write(LogKind.EntryRejected, { where: `${NODE_PREFIX}${node}`, version, reason: 'no node\'s entry' })
     this.forget(node)
--- a/packages/dotterelspur-gateway/src/process/PoisonTracker.ts
+++ b/packages/dotterelspur-gateway/src/process/PoisonTracker.ts
@@ -6,28 +6,28 @@
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 import type { EndpointRegistry } from './EndpointRegistry.js'
 
-/** How often what is believed is looked through for changes, and what is old is forgotten. */
+/** Interval at which state changes are logged and old evidence expires. */
 const CHECK_INTERVAL_MS = 200
-/** Evidence is told again after this time, in case it was lost on the way. */
+/** Interval at which recent evidence is broadcast again, in case a message was lost. */
 const REBROADCAST_INTERVAL_MS = 1_000
-/** Evidence that is older has reached all that could be reached. */
+/** Evidence older than this has reached all reachable nodes. */
 const REBROADCAST_MAX_AGE_MS = 5_000
-/** Records in one message: what a link takes in a tenth of a second. */
+/** Records per message: what a link transfers in a tenth of a second. */
 const MAX_RECORDS_PER_MESSAGE = 256
 
-/** Suspects that are kept with the lease, so that the count goes on when all nodes are killed. */
+/** Suspects stored with the lease, so that counting continues after all nodes are killed. */
 const MAX_STORED_SUSPECTS = 8
 
-/** An exchange whose connection ended before the whole answer was there. */
+/** An exchange whose connection broke before the response was complete. */
 export interface LostExchange {
   readonly requestId: string
   readonly content: RequestContent
   readonly target: DispatchTarget
-  /** Pieces of the answer that had come from there. */
+  /** Events of the response received from the endpoint. */
   readonly events: number
-  /** Since it was sent. */
+  /** Time since the request was sent. */
   readonly tookMs: number
-  /** This node's other requests that were under way at the endpoint. */
+  /** This node's other requests in flight at the endpoint. */
   readonly besides: number
 }
 
@@ -39,17 +39,21 @@
   readonly nodes: () => ReadonlyArray<{ readonly node: NodeId }>
   readonly endpoints: EndpointRegistry
   readonly quarantine: QuarantineKeeper
-  /** Whether this node decides: then it writes down what is in quarantine. */
+  /** Whether this node holds the lease; it then writes the quarantine to the store. */
   readonly isLeaseHolder: () => boolean
-  /** Tells other nodes: `all` to the one that adds up, `shared` to those that this node adds up for. */
+  /**
+   * Sends records to other nodes: `all` to the node that aggregates a fingerprint, `shared` to the nodes for which this
+   * node aggregates.
+   */
   readonly broadcast: (all: readonly PoisonRecord[], shared: readonly PoisonRecord[]) => void
-  /** What is kept with the lease has changed, and should be there before all nodes can be killed. */
+  /** Requests a lease renewal, because the state stored with the lease has changed and should be written before all nodes can be killed. */
   readonly requestLeaseRenewal: () => void
 }
 
 /**
- * Notes with which requests endpoints end, learns it from the other nodes, and keeps such requests away from endpoints. What is
- * in quarantine is written to the store, so that it holds when all nodes start anew.
+ * Records which requests coincide with terminations of endpoints, exchanges these records with the other nodes, and
+ * keeps such requests away from endpoints. The quarantine is written to the store, so that it survives a restart of all
+ * nodes.
  */
 export class PoisonTracker {
   readonly guard: PoisonGuard
@@ -78,18 +82,18 @@
     this.cancelTimer()
   }
 
-  /** Finds out whether the endpoint has ended; if so, that counts against the request once this resolves. */
+  /** Checks whether the endpoint has terminated; if so, this counts against the request by the time the promise resolves. */
   async noteLoss (loss: LostExchange): Promise<void> {
     const { content, target, events } = loss
     const record = this.parts.endpoints.current.get(target.endpoint)
-    // One that leaves, or is on no list, ends because it was told to.
+    // A leaving or unlisted endpoint terminates because it was ordered to.
     const mayBlame = record !== undefined && !record.leaving
     const ended = await this.terminationChecks.hasEnded(target.address)
     if (ended && mayBlame) this.guard.noteEnd(content, target.endpoint, events)
     this.logLoss(loss, ended, mayBlame)
   }
 
-  /** What other nodes know, or nodes of a former life; what is no record is left out. */
+  /** Merges records of other nodes, or of an earlier incarnation; malformed records are ignored. */
   mergeRecords (received: unknown): void {
     const records = readPoisonRecords(received)
     if (records.length === 0) return
@@ -97,7 +101,10 @@
     if (changed.length > 0) this.parts.broadcast([], changed.filter(concernsOthers))
   }
 
-  /** What should be known when all nodes start anew: requests of which one end more shows what they are. */
+  /**
+   * Records to keep across a restart of all nodes: suspects that one more termination would put in quarantine, and
+   * quarantined requests.
+   */
   suspects (): PoisonRecord[] {
     const { ledger } = this.guard
     if (ledger.isEmpty) return []
@@ -105,7 +112,7 @@
     return this.recordsToSend(true).filter(({ fingerprint }) => suspected.has(fingerprint)).slice(0, MAX_STORED_SUSPECTS)
   }
 
-  /** What a node that has just been linked is told; all of it where that node adds up. */
+  /** Records for a newly linked node; all of them if that node aggregates. */
   recordsToSend (all: boolean): PoisonRecord[] {
     const records = this.guard.ledger.told(this.parts.clock.nowMs(), all)
     return records.sort((left, right) => right.ends.length - left.ends.length).slice(0, MAX_RECORDS_PER_MESSAGE)
@@ -128,7 +135,7 @@
     this.broadcast(ledger.told(nowMs, true).filter(({ ageMs }) => ageMs < REBROADCAST_MAX_AGE_MS).slice(-MAX_RECORDS_PER_MESSAGE))
   }
 
-  /** Each change of what is believed of a request has one line. */
+  /** Logs each change of a request's poison state once. */
   private noteStates (): void {
     const { ledger } = this.guard
     const states = new Map<RequestFingerprint, PoisonState>()
--- a/packages/dotterelspur-gateway/src/process/Reachability.ts
+++ b/packages/dotterelspur-gateway/src/process/Reachability.ts
@@ -2,16 +2,16 @@
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 import { ReportResultKind, type EndpointControl, type EndpointLocation } from './GatewayPorts.js'
 
-/** A living endpoint answers in a few milliseconds, also under load; this leaves room for a lost packet of the second probe. */
+/** A live endpoint responds within a few milliseconds, even under load; the timeout leaves room for a lost packet of the second probe. */
 const PROBE_TIMEOUT_MS = 350
 /**
- * A second probe goes out after this much silence of the first, whose packets may have been lost; beside it, not after
- * it: the loss of a member is known in 0.35 s where two in turn took 0.5 s, and each 0.1 s costs a group's answers.
+ * Delay after which a second probe is sent beside the silent first one, whose packets may have been lost. The loss of a
+ * member is detected in 0.35 s, compared with 0.5 s for sequential probes, and each 0.1 s costs responses of a group.
  */
 const SECOND_PROBE_AFTER_MS = 100
-/** An endpoint that was lost is asked again this often: it may only have been cut off. */
+/** Interval between probes of an unreachable endpoint, which may only have been disconnected. */
 const RECHECK_INTERVAL_MS = 1_200
-/** A suspicion of an endpoint that answered lately costs no new probe. */
+/** An endpoint that responded this recently is not probed again. */
 const RECENT_RESPONSE_MS = 300
 
 enum ProbeState {
@@ -27,8 +27,8 @@
 }
 
 /**
- * Finds out by direct questions whether suspected endpoints live. The list forgets a lost endpoint only after three
- * heartbeats, and a group that lost a member stands still all that time; callers' streams fall silent at once.
+ * Probes suspected endpoints directly. The endpoint list drops a lost endpoint only after three heartbeats, and a group
+ * that lost a member stalls all that time, whereas callers' streams fall silent at once.
  */
 export class Reachability {
   private readonly probed = new Map<EndpointId, Probed>()
@@ -37,12 +37,12 @@
     private readonly reports: Pick<EndpointControl, 'report'>, private readonly clock: Clock, private readonly log: DecisionLog, private readonly onChange: () => void
   ) {}
 
-  /** Endpoints that did not answer. */
+  /** Endpoints that did not respond. */
   unreachable (): Set<EndpointId> {
     return this.inState(ProbeState.Unreachable)
   }
 
-  /** Endpoints whose first probe is under way: nothing should be decided about them yet. */
+  /** Endpoints whose first probe is in progress; no decision should rely on them yet. */
   undecided (): Set<EndpointId> {
     return this.inState(ProbeState.Running)
   }
@@ -55,7 +55,7 @@
     return this.probed.get(endpoint)?.state === ProbeState.Reachable
   }
 
-  /** Asks the endpoint, unless it was asked just now; returns whether it did. */
+  /** Starts a probe unless one is running or was completed recently; returns whether it started one. */
   suspect (place: EndpointLocation): boolean {
     const known = this.probed.get(place.endpoint)
     if (known?.state === ProbeState.Running) return false
@@ -64,7 +64,7 @@
     return true
   }
 
-  /** The endpoint is known to have ended, as when another one answers at its address. */
+  /** Marks an endpoint as unreachable without a probe, as when another endpoint responds at its address. */
   noteGone (place: EndpointLocation): void {
     if (this.isUnreachable(place.endpoint)) return
     this.probed.set(place.endpoint, { state: ProbeState.Unreachable, place, decidedAtMs: this.clock.nowMs() })
@@ -72,7 +72,7 @@
     this.onChange()
   }
 
-  /** Asks lost endpoints again that are still listed, and forgets those that are not. */
+  /** Probes unreachable endpoints again while they are listed, and evicts those that are not. */
   recheck (listed: ReadonlyMap<EndpointId, EndpointRecord>, unlisted: ReadonlySet<EndpointId>): void {
     const nowMs = this.clock.nowMs()
     for (const [endpoint, { state, place, decidedAtMs }] of this.probed) {
@@ -93,7 +93,7 @@
 
   private async runProbe (place: EndpointLocation): Promise<void> {
     const known = this.probed.get(place.endpoint)
-    // While a lost endpoint is asked again it stays lost.
+    // An unreachable endpoint stays unreachable while it is probed again.
     const probed: Probed = known?.state === ProbeState.Unreachable ? known : { state: ProbeState.Running, place, decidedAtMs: 0 }
     probed.decidedAtMs = this.clock.nowMs()
     this.probed.set(place.endpoint, probed)
@@ -107,7 +107,7 @@
     this.onChange()
   }
 
-  /** Whether one of two staggered probes is answered; an endpoint that says that it is gone needs no second one. */
+  /** Whether one of two staggered probes is answered; a `Gone` result needs no second probe. */
   private async probe (place: EndpointLocation): Promise<boolean> {
     const first = this.reports.report(place, PROBE_TIMEOUT_MS)
     const early = await Promise.race([first, sleep(this.clock, SECOND_PROBE_AFTER_MS)])
--- a/packages/dotterelspur-gateway/src/process/StallDetector.ts
+++ b/packages/dotterelspur-gateway/src/process/StallDetector.ts
@@ -1,22 +1,22 @@
 import { RequestKind, type Clock, type DispatchTarget, type EndpointId, type Route, type ServiceId, type Teardown } from 'dotterelspur'
 import type { ResponseHeaders } from './GatewayPorts.js'
 
-/** How often running exchanges are looked at: a third of the shortest pause that means a stop. */
+/** Interval between checks of running exchanges: a third of the shortest pause that counts as a stall. */
 const CHECK_INTERVAL_MS = 40
-/** A look that comes this much late: the process stood still, and what came meanwhile has not been read yet. */
+/** A check that is this late means that the process was suspended, and that data received meanwhile has not been read yet. */
 const LATE_CHECK_MS = 40
 
 /**
- * A stream that has begun sends an event each 50 to 150 ms; silence of this length is a stop, whatever else its group
- * seems to do. Callers give a stream up after two seconds, so there is time to go on elsewhere.
+ * A started stream sends an event every 50 to 150 ms; silence of this length is a stall, whatever the rest of its group
+ * appears to do. Callers abandon a stream after two seconds, which leaves time to continue elsewhere.
  */
 const STREAM_STALL_MS = 650
-/** Multiple of a stream's longest pause that is on time, where that is longer. */
+/** Multiple of a stream's longest on-time gap, where that exceeds the fixed limit. */
 const GAP_FACTOR = 2.5
-/** Multiple of the target time that the first event may take. */
+/** Multiple of the target latency within which the first event must arrive. */
 const FIRST_EVENT_FACTOR = 3
 const MIN_FIRST_EVENT_TIMEOUT_MS = 1_000
-/** What a node has from an endpoint itself within this time goes before what others say of it. */
+/** Data received from an endpoint within this time takes precedence over other nodes' reports about it. */
 const OWN_EVIDENCE_MS = 150
 
 interface WatchedExchange {
@@ -24,22 +24,22 @@
   readonly startedAtMs: number
   progressAtMs: number
   events: number
-  /** The caller takes nothing for now: that no event comes says nothing of the endpoint. */
+  /** The caller is not reading, so the absence of events says nothing about the endpoint. */
   held: boolean
   readonly target: DispatchTarget
-  /** The request may be sent elsewhere; one that may not waits on, since its group may only be slow. */
+  /** Whether the request may be sent to another endpoint; otherwise it keeps waiting, since its group may only be slow. */
   readonly mayMove: boolean
   readonly onSilent: () => void
 }
 
-/** What the watch tells of endpoints. */
+/** Callbacks of the detector. */
 export interface StallDetectorListener {
   onProgress (target: DispatchTarget, head: ResponseHeaders | null, gapMs: number | null): void
-  /** How long all streams of an endpoint may pause at once while it works. */
+  /** Longest pause of all streams of a working endpoint at the same time. */
   pauseLimitMs (target: DispatchTarget): number
   /** All streams of an endpoint have paused for longer than `limitMs`. */
   onStalled (target: DispatchTarget, silentMs: number, limitMs: number): void
-  /** Whether the budget of repeats lets a request of the service be sent once more. */
+  /** Whether the retry budget allows another attempt for a request of the service. */
   mayRetry (service: ServiceId): boolean
 }
 
@@ -49,23 +49,24 @@
   stop (): void
 }
 
-/** How sure it is that an endpoint has stopped. */
+/** Confidence that an endpoint has stalled. */
 export enum StallCertainty {
-  /** Streams of some node have paused for longer than its work explains. */
+  /** Streams of at least one node have paused for longer than the endpoint's workload explains. */
   Suspected = 'doubted',
-  /** Its group is known to have lost a member. */
+  /** The endpoint's group is known to have lost a member. */
   Confirmed = 'known'
 }
 
 /**
- * Notices groups that have stopped. One that lost a member goes on accepting requests and sends nothing; the list tells
- * of it seconds later. Requests that wait there for their first event go elsewhere while they can still be on time.
+ * Detects stalled groups. A group that lost a member still accepts requests but sends nothing, and the endpoint list
+ * shows the loss only seconds later. Requests that wait there for their first event are moved to another group while
+ * they can still be on time.
  */
 export class StallDetector {
   private readonly watched = new Set<WatchedExchange>()
-  /** The last bytes from each endpoint. */
+  /** Time of the last bytes from each endpoint. */
   private readonly lastBytesAtMs = new Map<EndpointId, number>()
-  /** Endpoints that have been told of since their last bytes. */
+  /** Endpoints reported as stalled since their last bytes. */
   private readonly reported = new Set<EndpointId>()
   private checkedAtMs: number
   private resumedAtMs = -Infinity
@@ -86,7 +87,7 @@
     this.cancelTimer()
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Evicts endpoints that are no longer listed. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     for (const endpoint of this.lastBytesAtMs.keys()) {
       if (!endpoints.has(endpoint)) this.lastBytesAtMs.delete(endpoint)
@@ -111,8 +112,9 @@
   }
 
   /**
-   * Somebody else says that an endpoint has stopped. Exchanges there end, so that they go on elsewhere, unless this node
-   * has bytes of it that are newer than the word can be; returns whether it has none.
+   * Handles another node's report that an endpoint has stalled. Exchanges there are abandoned, so that they continue
+   * elsewhere, unless this node has received bytes from it too recently for the report to cover. Returns whether the
+   * report was accepted.
    */
   noteStalled (endpoint: EndpointId, certainty: StallCertainty): boolean {
     if (this.clock.nowMs() - this.lastBytesFrom(endpoint) < OWN_EVIDENCE_MS) return false
@@ -142,7 +144,7 @@
     this.abandon((watched) => nowMs - Math.max(watched.progressAtMs, this.resumedAtMs) >= allowedSilenceMs(watched))
   }
 
-  /** Endpoints that owe events, each once. */
+  /** Endpoints with a started stream whose caller is reading, each once. */
   private streamingTargets (): Iterable<DispatchTarget> {
     const targets = new Map<EndpointId, DispatchTarget>()
     for (const { target, events, held } of this.watched) {
--- a/packages/dotterelspur-gateway/src/process/StoreFeed.ts
+++ b/packages/dotterelspur-gateway/src/process/StoreFeed.ts
@@ -1,49 +1,52 @@
 import type { ChangeBatch } from './VersionedStore.js'
 
-/** A node relies on the deciding node's word for this long after that one last had an answer from the store. */
+/** How long a node relies on the lease holder's feed progress after the holder's last contact with the store. */
 export const PROGRESS_VALID_MS = 1_400
 
-/** The deciding node's word on the store: how far it has followed each prefix, and how fresh that is. */
+/** The lease holder's feed progress: how far it has followed each prefix, and how fresh that is. */
 export interface FeedProgress {
-  /** Since the start of the last call that the store answered. */
+  /** Time since the start of the last call that the store answered. */
   readonly contactAgeMs: number
   /** Version up to which each prefix has been followed. */
   readonly versions: Readonly<Record<string, number>>
 }
 
-/** Changes that the deciding node read from the store, for those who know everything up to `sinceVersion`. */
+/** Changes that the lease holder read from the store, for nodes that have everything up to `sinceVersion`. */
 export interface FeedUpdate extends ChangeBatch {
   readonly prefix: string
   readonly sinceVersion: number
 }
 
 /**
- * What a node knows of the store through the deciding node. Nodes that watch the store by themselves make a call each for
- * every change.
+ * A node's view of the store through the lease holder's feed. Without it, each node that watches the store makes a call
+ * for every change.
  */
 export class StoreFeed {
-  /** When the store last answered the deciding node, as far as this node was told. */
+  /** Time of the lease holder's last known contact with the store. */
   private contactAtMs = -Infinity
   private readonly versions = new Map<string, number>()
 
   noteProgress ({ contactAgeMs, versions }: FeedProgress, nowMs: number): void {
     this.contactAtMs = Math.max(this.contactAtMs, nowMs - contactAgeMs)
-    // A prefix that is missing is one that the deciding node has lost itself.
+    // A missing prefix is one with which the lease holder itself has lost contact.
     this.versions.clear()
     for (const [prefix, version] of Object.entries(versions)) this.versions.set(prefix, version)
   }
 
-  /** The deciding node has followed a prefix this far. */
+  /** Records that the lease holder has followed a prefix up to this version. */
   noteVersion (prefix: string, version: number): void {
     this.versions.set(prefix, Math.max(version, this.versions.get(prefix) ?? 0))
   }
 
-  /** Whether the deciding node's word is recent enough to be relied on. */
+  /** Whether the feed progress is recent enough to rely on. */
   isFresh (nowMs: number): boolean {
     return this.contactAgeMs(nowMs) < PROGRESS_VALID_MS
   }
 
-  /** Whether who has followed `prefix` up to `version`, and may miss the changes of `validMs`, need not ask the store. */
+  /**
+   * Whether a node that has followed `prefix` up to `version`, and tolerates missing the changes of the last `validMs`,
+   * need not poll the store.
+   */
   covers (prefix: string, version: number, validMs: number, nowMs: number): boolean {
     const announced = this.versions.get(prefix)
     return this.contactAgeMs(nowMs) < validMs && announced !== undefined && announced <= version
