--- a/packages/dotterelspur-gateway/src/process/VerifiedReportClient.ts
+++ b/packages/dotterelspur-gateway/src/process/VerifiedReportClient.ts
@@ -5,15 +5,15 @@
 
 export interface VerifiedReportClientParts {
   readonly control: EndpointControl
-  /** Whether another endpoint is known to have the address of this one. */
+  /** Whether another endpoint has taken over this one's address. */
   readonly isSuperseded: (place: EndpointLocation) => boolean
 }
 
 /**
- * The one way to ask endpoints about themselves. A question is answered by whoever listens at the address, and the answer
- * does not say who that is. It is taken for the endpoint's own word only while nothing speaks against it: no other
- * endpoint has the address, none has answered there to an order that was meant for this one, and its count of
- * orders, which only rises in one life, has not gone back.
+ * Requests reports from endpoints and rejects those that another endpoint may have sent. A report request is answered
+ * by whichever process listens at the address, and the response does not identify it. A report is accepted only if no
+ * other endpoint owns the address, no other endpoint has responded there to an order meant for this one, and the order
+ * count, which only rises within one incarnation, has not decreased.
  */
 export class VerifiedReportClient implements Pick<EndpointControl, 'report'> {
   private readonly orderCounts = new Map<EndpointId, number>()
@@ -22,7 +22,8 @@
   constructor (private readonly parts: VerifiedReportClientParts) {}
 
   async report (place: EndpointLocation, timeoutMs: number): Promise<ReportResult> {
-    // Of two questions under way the later one may be answered first: only counts of before may be compared.
+    // Of two concurrent requests the later one may be answered first, so the count is compared with the one known when
+    // this request was sent.
     const knownCount = this.orderCounts.get(place.endpoint) ?? 0
     if (this.isAddressTaken(place)) return GONE
     const end = await this.parts.control.report(place, timeoutMs)
@@ -31,19 +32,22 @@
     return this.isSameIncarnation(place.endpoint, end.report.orderCount, knownCount) ? end : GONE
   }
 
-  /** An order to the endpoint was answered by somebody else. */
+  /** Records that another endpoint responded to an order sent to this one. */
   noteAddressTaken ({ endpoint, address }: EndpointLocation): void {
     this.elsewhere.set(endpoint, address)
   }
 
-  /** Forgets endpoints that are not listed any more. */
+  /** Evicts endpoints that are no longer listed. */
   retain (listed: ReadonlyMap<EndpointId, unknown>): void {
     for (const known of [this.orderCounts, this.elsewhere]) {
       for (const endpoint of known.keys()) if (!listed.has(endpoint)) known.delete(endpoint)
     }
   }
 
-  /** Whether an answer's count can be of the same life; a next life under the same id is believed from the next question on. */
+  /**
+   * Whether the count can belong to the same incarnation. After a decrease the stored count is dropped, so that the
+   * next report of a new incarnation under the same id is accepted.
+   */
   private isSameIncarnation (endpoint: EndpointId, count: number | null, knownCount: number): boolean {
     if (count === null) return true
     if (count < knownCount) {
--- a/packages/dotterelspur-gateway/src/process/WeightLoadTracker.ts
+++ b/packages/dotterelspur-gateway/src/process/WeightLoadTracker.ts
@@ -4,28 +4,31 @@
 
 interface RunningLoad {
   readonly model: ModelId
-  /** When it is taken for ended, if the list never says so. */
+  /** Time after which the load counts as completed if the list never shows it. */
   readonly untilMs: number
 }
 
-/** A load as one node tells it to another, whose clock differs. */
+/** A load in progress as sent to another node, whose clock differs. */
 export interface LoadInProgress {
   readonly endpoint: EndpointId
   readonly model: ModelId
-  /** Until it is taken for ended. */
+  /** Remaining time until the load counts as completed. */
   readonly leftMs: number
 }
 
-/** An order without an answer may still be carried out; after this time its host is free for another try. */
+/** An order without a response may still be carried out; after this time its host may be used again. */
 const UNCERTAIN_LOAD_MS = 5_000
 
-/** A load that shares the weight store with others takes longer than alone; then its host is free for another order. */
+/**
+ * A load that shares the weight store with others takes longer than alone; after this multiple of the declared time its
+ * host may be used again.
+ */
 const LOAD_TIMEOUT_FACTOR = 2
 
 /**
- * Counts loads from the weight store that this process has begun, so that the fleet keeps to the store's rate. Only
- * the holder of the lease begins loads; two holders for a moment stay below the rate, because each keeps to the
- * parallel limit, which is reached long before the rate is.
+ * Tracks loads from the weight store that this process has started, so that the fleet stays within the store's rate
+ * limit. Only the lease holder starts loads; two concurrent holders stay below the rate limit for a moment, because
+ * each one respects the concurrency limit, which is reached long before the rate limit is.
  */
 export class WeightLoadTracker {
   private readonly running = new Map<EndpointId, RunningLoad>()
@@ -36,12 +39,12 @@
     this.startTimesMs.push(nowMs)
   }
 
-  /** The load did not begin. */
+  /** Removes a load that did not start. */
   drop (endpoint: EndpointId): void {
     this.running.delete(endpoint)
   }
 
-  /** Nobody knows whether the load began. */
+  /** Shortens the timeout of a load that may not have started. */
   markUncertain (endpoint: EndpointId, nowMs: number): void {
     const load = this.running.get(endpoint)
     if (load !== undefined) this.running.set(endpoint, { ...load, untilMs: Math.min(load.untilMs, nowMs + UNCERTAIN_LOAD_MS) })
@@ -52,32 +55,32 @@
     return [...this.running].map(([endpoint, { model, untilMs }]) => ({ endpoint, model, leftMs: untilMs - nowMs }))
   }
 
-  /** Takes over what another node tells in place of what was known. */
+  /** Replaces the tracked loads by those received from another node. */
   replace (loads: readonly LoadInProgress[], nowMs: number): void {
     this.running.clear()
     for (const { endpoint, model, leftMs } of loads) this.running.set(endpoint, { model, untilMs: nowMs + leftMs })
   }
 
-  /** The list shows what is on a host: a load of it has ended. */
+  /** Removes a load whose model the list shows as staged on the host. */
   noteStagedModels ({ endpoint, staged }: EndpointRecord): void {
     const load = this.running.get(endpoint)
     if (load !== undefined && staged.includes(load.model)) this.running.delete(endpoint)
   }
 
-  /** The host is gone, and its load with it. */
+  /** Removes the loads of hosts that are no longer listed. */
   retain (endpoints: ReadonlyMap<EndpointId, EndpointRecord>): void {
     for (const endpoint of this.running.keys()) {
       if (!endpoints.has(endpoint)) this.running.delete(endpoint)
     }
   }
 
-  /** Hosts whose load is under way, and the model. */
+  /** Hosts with a load in progress, and the model. */
   loading (nowMs: number): Map<EndpointId, ModelId> {
     this.dropEnded(nowMs)
     return new Map([...this.running].map(([endpoint, { model }]) => [endpoint, model]))
   }
 
-  /** Loads that may begin now. */
+  /** Number of loads that may start now. */
   allowance (engine: Pick<EngineSpec, 'loadsPerSecond' | 'loadsAtOnce'>, nowMs: number): number {
     this.startTimesMs = this.startTimesMs.filter((startMs) => nowMs - startMs < SECOND_MS)
     this.dropEnded(nowMs)
--- a/packages/dotterelspur-gateway/src/process/registerGauges.ts
+++ b/packages/dotterelspur-gateway/src/process/registerGauges.ts
@@ -21,7 +21,7 @@
   readonly log: DecisionLog
 }
 
-/** Values that are read whenever the metrics page is. */
+/** Registers the gauges that are read at each scrape. */
 export function registerGauges (metrics: GatewayMetrics, { callers, manifest, endpoints, nodes, lease, store, poison, dispatch, log }: GaugeSources): void {
   metrics.gauge('running_requests', 'Requests under way', () => callers.runningRequests)
   metrics.gauge('manifest_version', 'Version of the manifest in force', () => manifest.current?.version ?? 0)
