--- a/packages/dotterelspur-gateway/src/__tests__/unit/EndpointRegistry.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/EndpointRegistry.test.ts
@@ -164,9 +164,9 @@
   it('keeps the origin of an endpoint\'s record when it announces that it is leaving', () => {
     const { store, clock, registry } = createRegistry()
     store.put('endpoints/w1', createEndpoint('w1', '10.0.0.1:1'))
-    const word = registry.recordOrigin('w1')
+    const before = registry.recordOrigin('w1')
     clock.advance(1_000)
     registry.noteLeaving(['w1'])
-    expect(registry.recordOrigin('w1')).to.deep.equal(word)
+    expect(registry.recordOrigin('w1')).to.deep.equal(before)
   })
 })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FollowedStore.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FollowedStore.test.ts
@@ -57,8 +57,8 @@
   await settle()
 }
 
-function asked (store: MemoryStore): string[] {
-  return store.asked.splice(0)
+function takeReadLog (store: MemoryStore): string[] {
+  return store.readLog.splice(0)
 }
 
 describe('FollowedStore', () => {
@@ -91,7 +91,7 @@
     await pass(clock, PAUSE_OVER_MS)
     for (const update of holder.shared) node.followed.applyUpdate(update)
     await settle()
-    asked(store)
+    takeReadLog(store)
     holder.shared.length = 0
     for (let round = 0; round < 5; round++) {
       await pass(clock, 300)
@@ -101,7 +101,7 @@
     await pass(clock, PAUSE_OVER_MS)
     for (const update of holder.shared) node.followed.applyUpdate(update)
     expect(node.seen.slice(2)).to.deep.equal(['endpoints/w1 there', 'endpoints/w2 there', 'endpoints/w3 there'])
-    expect(asked(store).filter((call) => !call.endsWith(' 1000')), 'polls of the lease holder wait 1 s').to.deep.equal([])
+    expect(takeReadLog(store).filter((call) => !call.endsWith(' 1000')), 'polls of the lease holder wait 1 s').to.deep.equal([])
   })
 
   // Guards against an endpoint that only the lease holder knows to be leaving: each change of a batch was judged by the
@@ -145,11 +145,11 @@
     await settle()
     expect(node.seen.filter((seen) => seen.endsWith('there'))).to.deep.equal(['endpoints/head-0 there', 'endpoints/head-1 there', 'endpoints/head-2 there'])
     expect(node.followed.isComplete(ENDPOINT_PREFIX)).to.equal(false)
-    asked(store)
+    takeReadLog(store)
     node.isLeaseHolder = true
     node.followed.wakeUncovered()
     await settle()
-    expect(asked(store)).to.include(`list ${ENDPOINT_PREFIX}`)
+    expect(takeReadLog(store)).to.include(`list ${ENDPOINT_PREFIX}`)
     expect(node.followed.isComplete(ENDPOINT_PREFIX)).to.equal(true)
   })
 
@@ -160,15 +160,15 @@
     const clock = new ManualClock()
     const node = follow(store, clock, false, ENDPOINT_PREFIX, 500)
     await settle()
-    expect(asked(store)).to.deep.equal([`list ${ENDPOINT_PREFIX}`])
+    expect(takeReadLog(store)).to.deep.equal([`list ${ENDPOINT_PREFIX}`])
     clock.advance(400)
     node.followed.wakeUncovered()
     await settle()
-    expect(asked(store)).to.deep.equal([])
+    expect(takeReadLog(store)).to.deep.equal([])
     clock.advance(200)
     node.followed.wakeUncovered()
     await settle()
-    expect(asked(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 0 3000`])
+    expect(takeReadLog(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 0 3000`])
   })
 
   // Guards against two calls per node at each start of the fleet for a manifest whose version the feed carries anyway.
@@ -177,13 +177,13 @@
     const clock = new ManualClock()
     const node = follow(store, clock, false, MANIFEST_PREFIX, 500)
     await pass(clock, 400)
-    expect(asked(store)).to.deep.equal([`list ${MANIFEST_PREFIX}`])
+    expect(takeReadLog(store)).to.deep.equal([`list ${MANIFEST_PREFIX}`])
     const holder = follow(store, clock, true, MANIFEST_PREFIX)
     await settle()
-    asked(store)
+    takeReadLog(store)
     node.followed.applyProgress(progressOf(holder))
     await pass(clock, 400)
-    expect(asked(store)).to.deep.equal([])
+    expect(takeReadLog(store)).to.deep.equal([])
   })
 
   // Guards against one call per node and prefix whenever the lease holder is lost, which made 560 calls in a second.
@@ -196,15 +196,15 @@
       await settle()
       node.followed.applyProgress(progressOf(holder))
       await settle()
-      asked(store)
+      takeReadLog(store)
       await pass(clock, FLEET_LEASE_TIMING.ttlMs + 1_000)
       node.followed.wakeUncovered()
       await settle()
-      expect(asked(store)).to.not.include(`changes ${prefix} 0 0`)
+      expect(takeReadLog(store)).to.not.include(`changes ${prefix} 0 0`)
       await pass(clock, FLEET_LEASE_TIMING.ttlMs)
       node.followed.wakeUncovered()
       await settle()
-      expect(asked(store)).to.include(`changes ${prefix} 0 0`)
+      expect(takeReadLog(store)).to.include(`changes ${prefix} 0 0`)
     }
   })
 
@@ -218,11 +218,11 @@
     await settle()
     store.put('endpoints/w1', {})
     await pass(clock, FOLLOW_RULES[NODE_PREFIX]!.holderPollTimeoutMs)
-    asked(store)
+    takeReadLog(store)
     node.followed.applyProgress(progressOf(holder))
     await pass(clock, 100)
     expect(holder.followed.versions).to.deep.equal({ [NODE_PREFIX]: 0 })
-    expect(asked(store)).to.deep.equal([])
+    expect(takeReadLog(store)).to.deep.equal([])
     store.put('nodes/n2', {})
     await settle()
     expect(holder.shared.at(-1)).to.deep.include({ sinceVersion: 0, version: 2 })
@@ -238,11 +238,11 @@
     node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
     store.put('endpoints/w1', {})
     await pass(clock, PAUSE_OVER_MS)
-    asked(store)
+    takeReadLog(store)
     store.put('endpoints/w2', {})
     node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 2 } })
     await settle()
-    expect(asked(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 1 0`])
+    expect(takeReadLog(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 1 0`])
     expect(node.seen.at(-1)).to.equal('endpoints/w2 there')
   })
 
@@ -256,7 +256,7 @@
     store.put('endpoints/w1', {})
     node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 1 } })
     await pass(clock, PAUSE_OVER_MS)
-    asked(store)
+    takeReadLog(store)
     for (let ageMs = PAUSE_OVER_MS; ageMs < PROGRESS_VALID_MS; ageMs += 400) {
       node.followed.applyProgress({ contactAgeMs: ageMs, versions: { [ENDPOINT_PREFIX]: 1 } })
       await pass(clock, 400)
@@ -264,7 +264,7 @@
     store.put('endpoints/w2', {})
     node.followed.wakeUncovered()
     await settle()
-    expect(asked(store)[0]).to.equal(`changes ${ENDPOINT_PREFIX} 1 0`)
+    expect(takeReadLog(store)[0]).to.equal(`changes ${ENDPOINT_PREFIX} 1 0`)
     expect(node.seen.at(-1)).to.equal('endpoints/w2 there')
   })
 
@@ -322,12 +322,12 @@
     store.disconnect()
     await settle()
     for (let round = 0; round < 3; round++) await pass(clock, PAUSE_OVER_MS)
-    asked(store)
+    takeReadLog(store)
     node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
     await pass(clock, 1_200)
     node.followed.applyUpdate({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
     expect(node.seen.at(-1)).to.equal('endpoints/w1 there')
-    expect(asked(store)).to.deep.equal([])
+    expect(takeReadLog(store)).to.deep.equal([])
   })
 
   it('retries for all prefixes with one call while the store is unavailable', async () => {
@@ -339,13 +339,13 @@
     await settle()
     store.disconnect()
     await settle()
-    asked(store)
+    takeReadLog(store)
     for (let round = 0; round < 45; round++) await pass(clock, 100)
-    const calls = asked(store)
+    const calls = takeReadLog(store)
     expect(calls.length).to.be.within(4, 9)
     store.reconnect()
     for (let round = 0; round < 15; round++) await pass(clock, 100)
-    expect(asked(store)).to.include.members([`list ${ENDPOINT_PREFIX}`, `list ${MANIFEST_PREFIX}`])
+    expect(takeReadLog(store)).to.include.members([`list ${ENDPOINT_PREFIX}`, `list ${MANIFEST_PREFIX}`])
   })
 
   it('keeps retrying for a manifest while the feed covers the endpoints', async () => {
@@ -380,14 +380,14 @@
     store.put('manifest/main', { routes: 'many' })
     await pass(clock, PAUSE_OVER_MS)
     node.followed.applyProgress(progressOf(holder))
-    asked(store)
+    takeReadLog(store)
     holder.shared.length = 0
     store.put('manifest/main', { routes: 'more' })
     await settle()
     expect(holder.shared).to.deep.equal([{ prefix: MANIFEST_PREFIX, sinceVersion: 2, objects: [], version: 2 }])
     node.followed.applyUpdate(holder.shared[0]!)
     await settle()
-    expect(asked(store)).to.include(`changes ${MANIFEST_PREFIX} 1 0`)
+    expect(takeReadLog(store)).to.include(`changes ${MANIFEST_PREFIX} 1 0`)
     expect(node.seen.slice(-2)).to.deep.equal(['manifest/main there', 'manifest/main there'])
   })
 
--- a/packages/dotterelspur-gateway/src/__tests__/unit/FormationRunner.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FormationRunner.test.ts
@@ -35,7 +35,7 @@
     this.endpoints.follow(this.store)
     this.lease = new FleetLease(this.store, { node: 'n1', incarnation: 1 }, this.clock, createRandom(1), log, () => {})
     const control = this.createControl()
-    const reports = new VerifiedReportClient({ control, isSuperseded: (place) => this.endpoints.isSuperseded(place) })
+    const reports = new VerifiedReportClient({ control, isSuperseded: (location) => this.endpoints.isSuperseded(location) })
     this.reachability = new Reachability(reports, this.clock, log, () => {})
     this.runner = new FormationRunner({
       clock: this.clock, lease: this.lease, endpoints: this.endpoints, control, reports, reachability: this.reachability, find: (endpoint) => this.endpoints.current.get(endpoint)
--- a/packages/dotterelspur-gateway/src/__tests__/unit/Reachability.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/Reachability.test.ts
@@ -5,7 +5,7 @@
 import { Reachability } from '../../process/Reachability.js'
 import { createLog } from '../fixtures/builders.js'
 
-const PLACE: EndpointLocation = { endpoint: 'w1', address: '10.0.0.1:1' }
+const LOCATION: EndpointLocation = { endpoint: 'w1', address: '10.0.0.1:1' }
 const ANSWERED: ReportResult = { kind: ReportResultKind.Answered, report: { membership: null, model: null, staged: [], running: 0, waiting: 0, orderCount: null } }
 const GONE: ReportResult = { kind: ReportResultKind.Gone }
 
@@ -30,7 +30,7 @@
 
   /** Starts a probe and advances one second, in steps that let promises run. */
   async suspect (): Promise<this> {
-    this.reachability.suspect(PLACE)
+    this.reachability.suspect(LOCATION)
     for (let step = 0; step < 100; step++) {
       this.clock.advance(10)
       await new Promise((resolve) => { setImmediate(resolve) })
--- a/packages/dotterelspur-gateway/src/__tests__/unit/StallDetector.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/StallDetector.test.ts
@@ -95,9 +95,9 @@
   it('does not treat a caller that stops reading as a stall', () => {
     const world = new DetectorWorld()
     const stream = world.stream('begun', 'g1', 2)
-    stream.noteHeld(true)
+    stream.noteCallerPaused(true)
     world.pass(10 * LIMIT_MS)
-    stream.noteHeld(false)
+    stream.noteCallerPaused(false)
     stream.noteProgress(null)
     expect(world.stalled).to.deep.equal([])
     expect(world.abandoned).to.deep.equal([])
--- a/packages/dotterelspur-gateway/src/__tests__/unit/VerifiedReportClient.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/VerifiedReportClient.test.ts
@@ -3,7 +3,7 @@
 import { VerifiedReportClient } from '../../process/VerifiedReportClient.js'
 import { ReportResultKind, type EndpointLocation, type ReportResult } from '../../process/GatewayPorts.js'
 
-const PLACE: EndpointLocation = { endpoint: 'w1', address: '10.0.0.1:1' }
+const LOCATION: EndpointLocation = { endpoint: 'w1', address: '10.0.0.1:1' }
 const TIMEOUT_MS = 100
 
 function answered (orderCount: number | null): ReportResult {
@@ -19,7 +19,7 @@
 
 async function ask (client: VerifiedReportClient, times: number): Promise<ReportResultKind[]> {
   const kinds: ReportResultKind[] = []
-  for (let asked = 0; asked < times; asked++) kinds.push((await client.report(PLACE, TIMEOUT_MS)).kind)
+  for (let asked = 0; asked < times; asked++) kinds.push((await client.report(LOCATION, TIMEOUT_MS)).kind)
   return kinds
 }
 
@@ -34,7 +34,7 @@
 
   it('compares with the counts known when the request was sent', async () => {
     const { client } = createClient([answered(3), answered(2)])
-    const ends = await Promise.all([client.report(PLACE, TIMEOUT_MS), client.report(PLACE, TIMEOUT_MS)])
+    const ends = await Promise.all([client.report(LOCATION, TIMEOUT_MS), client.report(LOCATION, TIMEOUT_MS)])
     expect(ends.map(({ kind }) => kind)).to.deep.equal([ReportResultKind.Answered, ReportResultKind.Answered])
   })
 
@@ -43,9 +43,9 @@
     ended.add('w1')
     expect(await ask(client, 1)).to.deep.equal([ReportResultKind.Gone])
     ended.clear()
-    client.noteAddressTaken(PLACE)
+    client.noteAddressTaken(LOCATION)
     expect(await ask(client, 1)).to.deep.equal([ReportResultKind.Gone])
-    const moved = await client.report({ ...PLACE, address: '10.0.0.2:1' }, TIMEOUT_MS)
+    const moved = await client.report({ ...LOCATION, address: '10.0.0.2:1' }, TIMEOUT_MS)
     expect(moved.kind).to.equal(ReportResultKind.Answered)
     client.retain(new Map())
     expect(await ask(client, 1)).to.deep.equal([ReportResultKind.Answered])
--- a/packages/dotterelspur-gateway/src/process/Dispatch.ts
+++ b/packages/dotterelspur-gateway/src/process/Dispatch.ts
@@ -42,7 +42,7 @@
   readonly excluded: readonly DispatchTarget[]
   readonly leftMs: number
   /** Time that the caller has already waited, before the request arrived at this node and since. */
-  readonly spentMs: number
+  readonly elapsedMs: number
 }
 
 /** An exchange in progress with an endpoint. */
@@ -153,7 +153,7 @@
       promptTokens: query.head.promptTokens,
       targetMs: query.route.targetLatencyMs,
       targetGapMs: query.route.targetGapMs,
-      alreadyLate: isLikelyLate(query.spentMs, query.route),
+      alreadyLate: isLikelyLate(query.elapsedMs, query.route),
       leftMs: query.leftMs,
       excluded: query.excluded
     }, {
@@ -237,11 +237,11 @@
     this.parts.onSuspect(endpoint, Suspicion.Paused)
   }
 
-  private noteProgress (target: DispatchTarget, head: ResponseHeaders | null, gapMs: number | null): void {
+  private noteProgress (target: DispatchTarget, headers: ResponseHeaders | null, gapMs: number | null): void {
     const nowMs = this.parts.clock.nowMs()
     this.health.noteProgress(target.endpoint)
-    if (head !== null && head.backpressure !== null) this.noteBackpressure(target, head.backpressure, nowMs)
-    if (head !== null && head.load !== null) this.fleetView.load.noteReading(target.endpoint, head.load, nowMs)
+    if (headers !== null && headers.backpressure !== null) this.noteBackpressure(target, headers.backpressure, nowMs)
+    if (headers !== null && headers.load !== null) this.fleetView.load.noteReading(target.endpoint, headers.load, nowMs)
     if (gapMs !== null) this.engineTiming.noteGap(target, gapMs, nowMs)
   }
 
--- a/packages/dotterelspur-gateway/src/process/EndpointRegistry.ts
+++ b/packages/dotterelspur-gateway/src/process/EndpointRegistry.ts
@@ -69,8 +69,8 @@
   }
 
   /** Whether another endpoint has taken over this one's address; its entry may still be in the store. */
-  isSuperseded (place: Pick<EndpointRecord, 'endpoint' | 'address'>): boolean {
-    return this.addresses.isSuperseded(place)
+  isSuperseded (location: Pick<EndpointRecord, 'endpoint' | 'address'>): boolean {
+    return this.addresses.isSuperseded(location)
   }
 
   /** The origin of an endpoint's record; undefined if there is no record. */
--- a/packages/dotterelspur-gateway/src/process/FollowRules.ts
+++ b/packages/dotterelspur-gateway/src/process/FollowRules.ts
@@ -24,7 +24,7 @@
   /** Long-poll timeout of the lease holder, through which all other nodes see the store. A manifest must be in force within two seconds. */
   readonly holderPollTimeoutMs: number
   /** Pause after each response with changes: changes come in bursts, and each response costs a call. */
-  readonly restMs: number
+  readonly pauseMs: number
   /**
    * Whether the lease holder forwards only changes that affect request dispatch. Each member of a forming group changes
    * three times; forwarding all of it to all nodes would fill a small link.
@@ -36,7 +36,7 @@
    */
   readonly isForwarded: boolean
   /** Pause of the other nodes per node of the fleet, so that a large fleet polls about as often in total as a small one. */
-  readonly restPerNodeMs: number
+  readonly pausePerNodeMs: number
   /** How long a node relies on the lease holder's last feed progress before it polls the store itself. */
   readonly progressValidMs: (bounds: ChangeBounds) => number
 }
@@ -44,19 +44,19 @@
 /** Rules of the followed prefixes. */
 export const FOLLOW_RULES: Readonly<Record<string, FollowRule>> = {
   [MANIFEST_PREFIX]: {
-    pollTimeoutMs: 3_000, holderPollTimeoutMs: 1_000, restMs: 50, restPerNodeMs: 10, isForwarded: false, isFiltered: false, progressValidMs: ({ manifestMs }) => VALID_SHARE * manifestMs
+    pollTimeoutMs: 3_000, holderPollTimeoutMs: 1_000, pauseMs: 50, pausePerNodeMs: 10, isForwarded: false, isFiltered: false, progressValidMs: ({ manifestMs }) => VALID_SHARE * manifestMs
   },
   // The endpoint list shows which groups have broken up, so this never exceeds the general validity of feed progress,
   // whatever the limit allows.
   [ENDPOINT_PREFIX]: {
-    pollTimeoutMs: 3_000, holderPollTimeoutMs: 1_000, restMs: 250, restPerNodeMs: 4, isForwarded: true, isFiltered: true, progressValidMs: ({ drainMs }) => Math.min(PROGRESS_VALID_MS, VALID_SHARE * drainMs)
+    pollTimeoutMs: 3_000, holderPollTimeoutMs: 1_000, pauseMs: 250, pausePerNodeMs: 4, isForwarded: true, isFiltered: true, progressValidMs: ({ drainMs }) => Math.min(PROGRESS_VALID_MS, VALID_SHARE * drainMs)
   },
-  [NODE_PREFIX]: { pollTimeoutMs: 3_000, holderPollTimeoutMs: 3_000, restMs: 500, restPerNodeMs: 4, isForwarded: true, isFiltered: false, progressValidMs: () => SUCCESSOR_PROGRESS_MS },
-  [QUARANTINE_PREFIX]: { pollTimeoutMs: 3_000, holderPollTimeoutMs: 3_000, restMs: 500, restPerNodeMs: 4, isForwarded: true, isFiltered: false, progressValidMs: () => SUCCESSOR_PROGRESS_MS }
+  [NODE_PREFIX]: { pollTimeoutMs: 3_000, holderPollTimeoutMs: 3_000, pauseMs: 500, pausePerNodeMs: 4, isForwarded: true, isFiltered: false, progressValidMs: () => SUCCESSOR_PROGRESS_MS },
+  [QUARANTINE_PREFIX]: { pollTimeoutMs: 3_000, holderPollTimeoutMs: 3_000, pauseMs: 500, pausePerNodeMs: 4, isForwarded: true, isFiltered: false, progressValidMs: () => SUCCESSOR_PROGRESS_MS }
 }
 
 /** Upper limit of the pause; leaving endpoints are still noticed in time, since they serve for two seconds after announcing it. */
-const MAX_REST_MS = 800
+const MAX_PAUSE_MS = 800
 
 /** Initial pause between attempts while the store is unavailable. It grows, because outages last seconds and each call is billed. */
 export const RETRY_MS = 250
@@ -71,7 +71,7 @@
 
 /** Pause of a node other than the lease holder after a response with changes. */
 export function pauseAfterChangesMs (rule: FollowRule, nodes: number): number {
-  return Math.max(rule.restMs, Math.min(MAX_REST_MS, rule.restPerNodeMs * nodes))
+  return Math.max(rule.pauseMs, Math.min(MAX_PAUSE_MS, rule.pausePerNodeMs * nodes))
 }
 
 /** Pause before the next attempt, after `failures` consecutive failures. */
--- a/packages/dotterelspur-gateway/src/process/FollowedStore.ts
+++ b/packages/dotterelspur-gateway/src/process/FollowedStore.ts
@@ -223,7 +223,7 @@
     const shared = this.parts.isLeaseHolder() ? this.updateToShare(follower, result.value) : null
     applyBatch(follower, result.value)
     if (shared !== null) this.parts.share(shared)
-    if (result.value.objects.length > 0) await sleep(clock, this.parts.isLeaseHolder() ? follower.rule.restMs : pauseAfterChangesMs(follower.rule, this.parts.nodeCount()))
+    if (result.value.objects.length > 0) await sleep(clock, this.parts.isLeaseHolder() ? follower.rule.pauseMs : pauseAfterChangesMs(follower.rule, this.parts.nodeCount()))
     return true
   }
 
--- a/packages/dotterelspur-gateway/src/process/FormationController.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationController.ts
@@ -19,11 +19,11 @@
 const FORMATIONS_PER_TERM = 1_000_000
 
 /** Delay after a change of the endpoint list; changes come in bursts, as when members of a group become ready one after another. */
-const SETTLE_MS = 20
+const CHANGE_DEBOUNCE_MS = 20
 /** Evaluation interval without changes, needed because endpoints can fall silent without one. */
 const EVALUATION_INTERVAL_MS = 250
 /** The endpoints of a starting fleet appear within two or three seconds, with shorter gaps between them. */
-const SETTLED_MS = 1_500
+const FLEET_SETTLED_MS = 1_500
 /** Pause before the members of a failed plan are used again, so that the same plan is not retried continuously. */
 const FAILED_PLAN_PAUSE_MS = 300
 
@@ -70,7 +70,7 @@
 
   constructor (private readonly parts: FormationControllerParts) {
     this.stateLog = new FleetStateLog(parts.clock, parts.log)
-    this.reports = new VerifiedReportClient({ control: parts.control, isSuperseded: (place) => parts.endpoints.isSuperseded(place) })
+    this.reports = new VerifiedReportClient({ control: parts.control, isSuperseded: (location) => parts.endpoints.isSuperseded(location) })
     this.reachability = new Reachability(this.reports, parts.clock, parts.log, () => { this.evaluateSoon() })
     const { clock, lease, endpoints, control } = parts
     this.runner = new FormationRunner({ clock, lease, endpoints, control, reports: this.reports, reachability: this.reachability, find: (endpoint) => this.records.get(endpoint) ?? this.unlistedHeads.get(endpoint) })
@@ -106,9 +106,9 @@
     if (record === undefined || record.membership === null || !this.parts.lease.isCoordinator()) return
     const { membership } = record
     const members = [...this.records.values()].filter((other) => isSameFormation(other, record))
-    const asked = members.filter((member) => this.reachability.suspect(member))
-    if (asked.length === 0) return
-    this.parts.log.write(LogKind.GroupSuspected, { head, group: membership.group, asked: asked.length })
+    const probed = members.filter((member) => this.reachability.suspect(member))
+    if (probed.length === 0) return
+    this.parts.log.write(LogKind.GroupSuspected, { head, group: membership.group, asked: probed.length })
     this.parts.onSuspected(head)
   }
 
@@ -147,7 +147,7 @@
   }
 
   private evaluateSoon (): void {
-    this.schedule(SETTLE_MS)
+    this.schedule(CHANGE_DEBOUNCE_MS)
   }
 
   private schedule (delayMs: number): void {
@@ -189,7 +189,7 @@
       loading: this.loads.loading(clock.nowMs()),
       loadAllowance: this.parts.hasTraffic() ? this.loads.allowance(engine, clock.nowMs()) : endpoints.length,
       mayLoadToForm: !this.parts.hasTraffic(),
-      isSettled: clock.nowMs() - this.appearedAtMs >= SETTLED_MS,
+      isSettled: clock.nowMs() - this.appearedAtMs >= FLEET_SETTLED_MS,
       nextFormation: () => this.nextFormation()
     })
     for (const decision of decisions) this.begin(decision, engine)
--- a/packages/dotterelspur-gateway/src/process/FormationHistory.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationHistory.ts
@@ -22,8 +22,8 @@
     this.note(`${order.kind} ${endpoint} ${about}: ${reply}`)
   }
 
-  noteReport (endpoint: EndpointId, end: ReportResult): void {
-    this.note(`report ${endpoint}: ${end.kind === ReportResultKind.Answered ? describeMembership(end.report.membership) : end.kind}`)
+  noteReport (endpoint: EndpointId, result: ReportResult): void {
+    this.note(`report ${endpoint}: ${result.kind === ReportResultKind.Answered ? describeMembership(result.report.membership) : result.kind}`)
   }
 
   private note (step: string): void {
--- a/packages/dotterelspur-gateway/src/process/FormationRunner.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationRunner.ts
@@ -80,9 +80,9 @@
 
   private async sendOrder ({ endpoint, order, expectedOrders }: AddressedOrder): Promise<OrderReply> {
     if (!this.parts.lease.mayOrder()) return OrderReply.Unreachable
-    const place = this.locationOf(endpoint)
-    const reply = await this.parts.control.order(place, order, expectedOrders)
-    if (reply === OrderReply.Elsewhere) this.noteAddressTaken(place)
+    const location = this.locationOf(endpoint)
+    const reply = await this.parts.control.order(location, order, expectedOrders)
+    if (reply === OrderReply.Elsewhere) this.noteAddressTaken(location)
     return reply
   }
 
@@ -90,9 +90,9 @@
    * Unlike a report request, an order is rejected by any other endpoint, so this response proves that the addressed
    * endpoint has terminated.
    */
-  private noteAddressTaken (place: EndpointLocation): void {
-    this.parts.reports.noteAddressTaken(place)
-    this.parts.reachability.noteGone(place)
+  private noteAddressTaken (location: EndpointLocation): void {
+    this.parts.reports.noteAddressTaken(location)
+    this.parts.reachability.noteGone(location)
   }
 
   private handlers (history: FormationHistory): EffectHandlers<FormationEffect> {
@@ -121,14 +121,14 @@
 
   /** Queries a member and stores its report; null without a response. */
   private async queryMember (member: EndpointId, history?: FormationHistory): Promise<MemberWord | null> {
-    const end = await this.callLimit(async () => await this.parts.reports.report(this.locationOf(member), REPORT_TIMEOUT_MS))
-    history?.noteReport(member, end)
-    if (end.kind !== ReportResultKind.Answered) {
+    const result = await this.callLimit(async () => await this.parts.reports.report(this.locationOf(member), REPORT_TIMEOUT_MS))
+    history?.noteReport(member, result)
+    if (result.kind !== ReportResultKind.Answered) {
       this.suspectMember(member)
       return null
     }
-    this.parts.endpoints.noteReport(member, end.report)
-    return end.report
+    this.parts.endpoints.noteReport(member, result.report)
+    return result.report
   }
 
   private locationOf (endpoint: EndpointId): EndpointLocation {
@@ -140,19 +140,19 @@
   private async awaitReady (plan: FormationPlan, history: FormationHistory): Promise<boolean> {
     const startedAtMs = this.parts.clock.nowMs()
     const deadlineMs = startedAtMs + plan.joinTimeoutMs
-    const askFromMs = startedAtMs + plan.joinTimeoutMs / 2
-    const seenReady = new Set<EndpointId>()
+    const queryFromMs = startedAtMs + plan.joinTimeoutMs / 2
+    const ready = new Set<EndpointId>()
     const isOver = (): boolean => {
       for (const member of plan.members) {
-        if (isReadyIn(this.parts.endpoints.current.get(member), plan)) seenReady.add(member)
+        if (isReadyIn(this.parts.endpoints.current.get(member), plan)) ready.add(member)
       }
-      return seenReady.size === plan.members.length || plan.members.some((member) => this.isLost(member))
+      return ready.size === plan.members.length || plan.members.some((member) => this.isLost(member))
     }
     while (!isOver() && this.parts.clock.nowMs() < deadlineMs) {
       const changed = await this.waitUntil(isOver, READY_POLL_MS)
-      if (!changed && this.parts.clock.nowMs() >= askFromMs) await this.queryMembers(plan, seenReady, history)
+      if (!changed && this.parts.clock.nowMs() >= queryFromMs) await this.queryMembers(plan, ready, history)
     }
-    return seenReady.size === plan.members.length
+    return ready.size === plan.members.length
   }
 
   private isLost (endpoint: EndpointId): boolean {
@@ -160,11 +160,11 @@
     return record === undefined || record.leaving || this.parts.reachability.isUnreachable(endpoint)
   }
 
-  private async queryMembers (plan: FormationPlan, seenReady: Set<EndpointId>, history: FormationHistory): Promise<void> {
-    const unknown = plan.members.filter((member) => !seenReady.has(member))
+  private async queryMembers (plan: FormationPlan, ready: Set<EndpointId>, history: FormationHistory): Promise<void> {
+    const unknown = plan.members.filter((member) => !ready.has(member))
     await Promise.all(unknown.map(async (member) => {
       const report = await this.queryMember(member, history)
-      if (report !== null && isReadyIn(report, plan)) seenReady.add(member)
+      if (report !== null && isReadyIn(report, plan)) ready.add(member)
     }))
   }
 
--- a/packages/dotterelspur-gateway/src/process/GatewayPorts.ts
+++ b/packages/dotterelspur-gateway/src/process/GatewayPorts.ts
@@ -42,7 +42,7 @@
 export interface WireFormat {
   readCallerHeaders (headers: IncomingHttpHeaders): CallerHeaders
   /** Takes and returns headers as a flat list of names and values; connection headers are already removed. */
-  writeForwardedHeaders (headers: readonly string[], head: ForwardedHeaders): string[]
+  writeForwardedHeaders (headers: readonly string[], added: ForwardedHeaders): string[]
   readResponseHeaders (status: number, headers: IncomingHttpHeaders): ResponseHeaders
 }
 
@@ -79,6 +79,6 @@
 /** Sends orders and report requests to endpoints. Neither call throws. */
 export interface EndpointControl {
   /** @param expectedOrders the endpoint rejects the order as unfit unless it has carried out exactly this many; null sets no condition. */
-  order (place: EndpointLocation, order: EndpointOrder, expectedOrders: number | null): Promise<OrderReply>
-  report (place: EndpointLocation, timeoutMs: number): Promise<ReportResult>
+  order (location: EndpointLocation, order: EndpointOrder, expectedOrders: number | null): Promise<OrderReply>
+  report (location: EndpointLocation, timeoutMs: number): Promise<ReportResult>
 }
--- a/packages/dotterelspur-gateway/src/process/Reachability.ts
+++ b/packages/dotterelspur-gateway/src/process/Reachability.ts
@@ -22,7 +22,7 @@
 
 interface Probed {
   state: ProbeState
-  place: EndpointLocation
+  location: EndpointLocation
   decidedAtMs: number
 }
 
@@ -56,34 +56,34 @@
   }
 
   /** Starts a probe unless one is running or was completed recently; returns whether it started one. */
-  suspect (place: EndpointLocation): boolean {
-    const known = this.probed.get(place.endpoint)
+  suspect (location: EndpointLocation): boolean {
+    const known = this.probed.get(location.endpoint)
     if (known?.state === ProbeState.Running) return false
     if (known !== undefined && this.clock.nowMs() - known.decidedAtMs < RECENT_RESPONSE_MS) return false
-    this.runProbe(place).catch((error: unknown) => { this.log.write(LogKind.Unexpected, { where: 'probe', error: String(error) }) })
+    this.runProbe(location).catch((error: unknown) => { this.log.write(LogKind.Unexpected, { where: 'probe', error: String(error) }) })
     return true
   }
 
   /** Marks an endpoint as unreachable without a probe, as when another endpoint responds at its address. */
-  noteGone (place: EndpointLocation): void {
-    if (this.isUnreachable(place.endpoint)) return
-    this.probed.set(place.endpoint, { state: ProbeState.Unreachable, place, decidedAtMs: this.clock.nowMs() })
-    this.log.write(LogKind.EndpointUnreachable, { endpoint: place.endpoint, address: place.address })
+  noteGone (location: EndpointLocation): void {
+    if (this.isUnreachable(location.endpoint)) return
+    this.probed.set(location.endpoint, { state: ProbeState.Unreachable, location, decidedAtMs: this.clock.nowMs() })
+    this.log.write(LogKind.EndpointUnreachable, { endpoint: location.endpoint, address: location.address })
     this.onChange()
   }
 
   /** Probes unreachable endpoints again while they are listed, and evicts those that are not. */
   recheck (listed: ReadonlyMap<EndpointId, EndpointRecord>, unlisted: ReadonlySet<EndpointId>): void {
     const nowMs = this.clock.nowMs()
-    for (const [endpoint, { state, place, decidedAtMs }] of this.probed) {
+    for (const [endpoint, { state, location, decidedAtMs }] of this.probed) {
       if (state === ProbeState.Running) continue
       if (!listed.has(endpoint) && !unlisted.has(endpoint)) this.probed.delete(endpoint)
-      else if (nowMs - decidedAtMs >= RECHECK_INTERVAL_MS) this.recheckOne(endpoint, place, state, unlisted)
+      else if (nowMs - decidedAtMs >= RECHECK_INTERVAL_MS) this.recheckOne(endpoint, location, state, unlisted)
     }
   }
 
-  private recheckOne (endpoint: EndpointId, place: EndpointLocation, state: ProbeState, unlisted: ReadonlySet<EndpointId>): void {
-    if (state === ProbeState.Unreachable || unlisted.has(endpoint)) this.suspect(place)
+  private recheckOne (endpoint: EndpointId, location: EndpointLocation, state: ProbeState, unlisted: ReadonlySet<EndpointId>): void {
+    if (state === ProbeState.Unreachable || unlisted.has(endpoint)) this.suspect(location)
     else this.probed.delete(endpoint)
   }
 
@@ -91,28 +91,28 @@
     return new Set([...this.probed].filter(([, { state }]) => state === wanted).map(([endpoint]) => endpoint))
   }
 
-  private async runProbe (place: EndpointLocation): Promise<void> {
-    const known = this.probed.get(place.endpoint)
+  private async runProbe (location: EndpointLocation): Promise<void> {
+    const known = this.probed.get(location.endpoint)
     // An unreachable endpoint stays unreachable while it is probed again.
-    const probed: Probed = known?.state === ProbeState.Unreachable ? known : { state: ProbeState.Running, place, decidedAtMs: 0 }
+    const probed: Probed = known?.state === ProbeState.Unreachable ? known : { state: ProbeState.Running, location, decidedAtMs: 0 }
     probed.decidedAtMs = this.clock.nowMs()
-    this.probed.set(place.endpoint, probed)
-    const answered = await this.probe(place)
+    this.probed.set(location.endpoint, probed)
+    const answered = await this.probe(location)
     const former = probed.state
     probed.state = answered ? ProbeState.Reachable : ProbeState.Unreachable
     probed.decidedAtMs = this.clock.nowMs()
     if (probed.state === former) return
-    if (!answered) this.log.write(LogKind.EndpointUnreachable, { endpoint: place.endpoint, address: place.address })
-    else if (former === ProbeState.Unreachable) this.log.write(LogKind.EndpointReachable, { endpoint: place.endpoint, address: place.address })
+    if (!answered) this.log.write(LogKind.EndpointUnreachable, { endpoint: location.endpoint, address: location.address })
+    else if (former === ProbeState.Unreachable) this.log.write(LogKind.EndpointReachable, { endpoint: location.endpoint, address: location.address })
     this.onChange()
   }
 
   /** Whether one of two staggered probes is answered; a `Gone` result needs no second probe. */
-  private async probe (place: EndpointLocation): Promise<boolean> {
-    const first = this.reports.report(place, PROBE_TIMEOUT_MS)
+  private async probe (location: EndpointLocation): Promise<boolean> {
+    const first = this.reports.report(location, PROBE_TIMEOUT_MS)
     const early = await Promise.race([first, sleep(this.clock, SECOND_PROBE_AFTER_MS)])
     if (early !== undefined && early.kind !== ReportResultKind.Silent) return early.kind === ReportResultKind.Answered
-    const second = this.reports.report(place, PROBE_TIMEOUT_MS - SECOND_PROBE_AFTER_MS)
+    const second = this.reports.report(location, PROBE_TIMEOUT_MS - SECOND_PROBE_AFTER_MS)
     const ends = [first, second].map(async (probe) => await probe.then(({ kind }) => kind === ReportResultKind.Answered ? kind : Promise.reject(new Error(kind))))
     return await Promise.any(ends).then(() => true, () => false)
   }
--- a/packages/dotterelspur-gateway/src/process/StallDetector.ts
+++ b/packages/dotterelspur-gateway/src/process/StallDetector.ts
@@ -25,7 +25,7 @@
   progressAtMs: number
   events: number
   /** The caller is not reading, so the absence of events says nothing about the endpoint. */
-  held: boolean
+  isCallerPaused: boolean
   readonly target: DispatchTarget
   /** Whether the request may be sent to another endpoint; otherwise it keeps waiting, since its group may only be slow. */
   readonly mayMove: boolean
@@ -34,7 +34,7 @@
 
 /** Callbacks of the detector. */
 export interface StallDetectorListener {
-  onProgress (target: DispatchTarget, head: ResponseHeaders | null, gapMs: number | null): void
+  onProgress (target: DispatchTarget, headers: ResponseHeaders | null, gapMs: number | null): void
   /** Longest pause of all streams of a working endpoint at the same time. */
   pauseLimitMs (target: DispatchTarget): number
   /** All streams of an endpoint have paused for longer than `limitMs`. */
@@ -44,8 +44,8 @@
 }
 
 export interface ExchangeHandle {
-  noteProgress (head: ResponseHeaders | null): void
-  noteHeld (held: boolean): void
+  noteProgress (headers: ResponseHeaders | null): void
+  noteCallerPaused (held: boolean): void
   stop (): void
 }
 
@@ -99,12 +99,12 @@
 
   begin (target: DispatchTarget, route: Route, mayMove: boolean, onSilent: () => void): ExchangeHandle {
     const nowMs = this.clock.nowMs()
-    const watched: WatchedExchange = { route, startedAtMs: nowMs, progressAtMs: nowMs, events: 0, held: false, target, mayMove, onSilent }
+    const watched: WatchedExchange = { route, startedAtMs: nowMs, progressAtMs: nowMs, events: 0, isCallerPaused: false, target, mayMove, onSilent }
     if (route.kind === RequestKind.Streaming) this.watched.add(watched)
     return {
-      noteProgress: (head) => { this.noteProgress(watched, head) },
-      noteHeld: (held) => {
-        watched.held = held
+      noteProgress: (headers) => { this.noteProgress(watched, headers) },
+      noteCallerPaused: (held) => {
+        watched.isCallerPaused = held
         watched.progressAtMs = this.clock.nowMs()
       },
       stop: () => { this.watched.delete(watched) }
@@ -122,14 +122,14 @@
     return true
   }
 
-  private noteProgress (watched: WatchedExchange, head: ResponseHeaders | null): void {
+  private noteProgress (watched: WatchedExchange, headers: ResponseHeaders | null): void {
     const nowMs = this.clock.nowMs()
     const { target, events, progressAtMs } = watched
     watched.progressAtMs = nowMs
     this.lastBytesAtMs.set(target.endpoint, nowMs)
     this.reported.delete(target.endpoint)
-    if (head === null) watched.events += 1
-    this.listener.onProgress(target, head, events > 0 && !watched.held ? nowMs - progressAtMs : null)
+    if (headers === null) watched.events += 1
+    this.listener.onProgress(target, headers, events > 0 && !watched.isCallerPaused ? nowMs - progressAtMs : null)
   }
 
   private lastBytesFrom (endpoint: EndpointId): number {
@@ -147,8 +147,8 @@
   /** Endpoints with a started stream whose caller is reading, each once. */
   private streamingTargets (): Iterable<DispatchTarget> {
     const targets = new Map<EndpointId, DispatchTarget>()
-    for (const { target, events, held } of this.watched) {
-      if (events > 0 && !held) targets.set(target.endpoint, target)
+    for (const { target, events, isCallerPaused } of this.watched) {
+      if (events > 0 && !isCallerPaused) targets.set(target.endpoint, target)
     }
     return targets.values()
   }
@@ -168,7 +168,7 @@
   }
 
   private abandon (isOver: (watched: WatchedExchange) => boolean): void {
-    for (const watched of [...this.watched].filter((candidate) => !candidate.held && isOver(candidate))) {
+    for (const watched of [...this.watched].filter((candidate) => !candidate.isCallerPaused && isOver(candidate))) {
       this.watched.delete(watched)
       watched.onSilent()
     }
--- a/packages/dotterelspur-gateway/src/process/VerifiedReportClient.ts
+++ b/packages/dotterelspur-gateway/src/process/VerifiedReportClient.ts
@@ -6,7 +6,7 @@
 export interface VerifiedReportClientParts {
   readonly control: EndpointControl
   /** Whether another endpoint has taken over this one's address. */
-  readonly isSuperseded: (place: EndpointLocation) => boolean
+  readonly isSuperseded: (location: EndpointLocation) => boolean
 }
 
 /**
@@ -21,15 +21,15 @@
 
   constructor (private readonly parts: VerifiedReportClientParts) {}
 
-  async report (place: EndpointLocation, timeoutMs: number): Promise<ReportResult> {
+  async report (location: EndpointLocation, timeoutMs: number): Promise<ReportResult> {
     // Of two concurrent requests the later one may be answered first, so the count is compared with the one known when
     // this request was sent.
-    const knownCount = this.orderCounts.get(place.endpoint) ?? 0
-    if (this.isAddressTaken(place)) return GONE
-    const end = await this.parts.control.report(place, timeoutMs)
-    if (end.kind !== ReportResultKind.Answered) return end
-    if (this.isAddressTaken(place)) return GONE
-    return this.isSameIncarnation(place.endpoint, end.report.orderCount, knownCount) ? end : GONE
+    const knownCount = this.orderCounts.get(location.endpoint) ?? 0
+    if (this.isAddressTaken(location)) return GONE
+    const result = await this.parts.control.report(location, timeoutMs)
+    if (result.kind !== ReportResultKind.Answered) return result
+    if (this.isAddressTaken(location)) return GONE
+    return this.isSameIncarnation(location.endpoint, result.report.orderCount, knownCount) ? result : GONE
   }
 
   /** Records that another endpoint responded to an order sent to this one. */
@@ -58,7 +58,7 @@
     return true
   }
 
-  private isAddressTaken (place: EndpointLocation): boolean {
-    return this.parts.isSuperseded(place) || this.elsewhere.get(place.endpoint) === place.address
+  private isAddressTaken (location: EndpointLocation): boolean {
+    return this.parts.isSuperseded(location) || this.elsewhere.get(location.endpoint) === location.address
   }
 }
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -110,7 +110,7 @@
   private place ({ excluded }: PlaceEffect): DispatchTarget | PlacementRefusal {
     const { head, service, route, arrivedAtMs, spentBeforeMs } = this.admitted
     const spentMs = spentBeforeMs + this.parts.clock.nowMs() - arrivedAtMs
-    return this.parts.dispatch.place({ service, route, head, excluded, leftMs: this.leftMs(), spentMs })
+    return this.parts.dispatch.place({ service, route, head, excluded, leftMs: this.leftMs(), elapsedMs: spentMs })
   }
 
   private leftMs (): number {
@@ -186,7 +186,7 @@
     this.noteProgress()
     this.beginStream()
     this.paused = !this.answer.write(whole)
-    if (this.paused) this.running?.noteHeld(true)
+    if (this.paused) this.running?.noteCallerPaused(true)
     return !this.paused
   }
 
@@ -221,7 +221,7 @@
   private resume (): void {
     if (!this.paused) return
     this.paused = false
-    this.running?.noteHeld(false)
+    this.running?.noteCallerPaused(false)
     this.call?.resume()
   }
 
