--- a/packages/dotterelspur-gateway/src/__tests__/unit/FollowedStore.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/FollowedStore.test.ts
@@ -2,39 +2,39 @@
 import pino from 'pino'
 import { createRandom, failed, ManualClock, QUARANTINE_PREFIX, StoreErrorKind, success, WatchEventKind, type Result, type StoreError } from 'dotterelspur'
 import { DecisionLog } from '../../process/DecisionLog.js'
-import { ENDPOINT_PREFIX } from '../../process/EndpointKeeper.js'
+import { ENDPOINT_PREFIX } from '../../process/EndpointRegistry.js'
 import { FLEET_LEASE_TIMING } from '../../process/FleetLease.js'
 import { FOLLOW_RULES, type ChangeBounds } from '../../process/FollowRules.js'
 import { FollowedStore } from '../../process/FollowedStore.js'
-import { MANIFEST_PREFIX } from '../../process/ManifestKeeper.js'
-import { NODE_PREFIX } from '../../process/NodeKeeper.js'
-import { WORD_VALID_MS, type FeedNews, type FeedWord } from '../../process/StoreFeed.js'
+import { MANIFEST_PREFIX } from '../../process/ManifestFollower.js'
+import { NODE_PREFIX } from '../../process/NodeRegistry.js'
+import { PROGRESS_VALID_MS, type FeedUpdate, type FeedProgress } from '../../process/StoreFeed.js'
 import type { ChangeBatch } from '../../process/VersionedStore.js'
 import { MemoryStore } from '../fixtures/MemoryStore.js'
-import { createLog } from '../fixtures/parts.js'
+import { createLog } from '../fixtures/builders.js'
 
 const BOUNDS: ChangeBounds = { drainMs: 2_000, manifestMs: 3_000 }
 
-/** Longer than any rest after an answer, shorter than the validity of a word. */
-const REST_OVER_MS = 600
+/** Longer than any pause after a response, shorter than the validity of feed progress. */
+const PAUSE_OVER_MS = 600
 
-/** The body of an endpoint that takes no requests any more. */
+/** Body of an endpoint that accepts no more requests. */
 const LEAVING = 'leaving'
 
-/** A node that follows the endpoints: what it was told, and what it shares. */
+/** A node that follows a prefix, the events that it received and the updates that it shared. */
 interface FollowingNode {
   readonly followed: FollowedStore
   readonly seen: string[]
-  readonly shared: FeedNews[]
-  decides: boolean
+  readonly shared: FeedUpdate[]
+  isLeaseHolder: boolean
 }
 
-function follow (store: MemoryStore, clock: ManualClock, decides: boolean, prefix = ENDPOINT_PREFIX, firstWordMs = 0): FollowingNode {
+function follow (store: MemoryStore, clock: ManualClock, isLeaseHolder: boolean, prefix = ENDPOINT_PREFIX, initialProgressTimeoutMs = 0): FollowingNode {
   const node: FollowingNode = {
-    decides,
+    isLeaseHolder,
     seen: [],
     shared: [],
-    followed: new FollowedStore({ store, clock, random: createRandom(1), log: createLog(clock), decides: () => node.decides, nodeCount: () => 3, firstWordMs, changes: BOUNDS, share: (news) => { node.shared.push(news) }, concernsCallers: ({ key, body }) => !key.includes('member') && body !== LEAVING })
+    followed: new FollowedStore({ store, clock, random: createRandom(1), log: createLog(clock), isLeaseHolder: () => node.isLeaseHolder, nodeCount: () => 3, initialProgressTimeoutMs, changes: BOUNDS, share: (update) => { node.shared.push(update) }, concernsCallers: ({ key, body }) => !key.includes('member') && body !== LEAVING })
   }
   node.followed.watch(prefix, (event) => {
     node.seen.push(event.kind === WatchEventKind.Object ? `${event.object.key} ${event.object.deleted ? 'gone' : 'there'}` : event.kind)
@@ -42,11 +42,11 @@
   return node
 }
 
-function wordOf ({ followed }: FollowingNode): FeedWord {
+function progressOf ({ followed }: FollowingNode): FeedProgress {
   return { contactAgeMs: followed.contactAgeMs, versions: followed.versions }
 }
 
-/** Lets everything that can go on without time passing go on. */
+/** Runs all pending promises without advancing time. */
 async function settle (): Promise<void> {
   for (let turn = 0; turn < 30; turn++) await Promise.resolve()
 }
@@ -57,14 +57,14 @@
   await settle()
 }
 
-function asked (store: MemoryStore): string[] {
-  return store.asked.splice(0)
+function takeReadLog (store: MemoryStore): string[] {
+  return store.readLog.splice(0)
 }
 
 describe('FollowedStore', () => {
-  it('follows a prefix by itself, lists again when its history is gone, and says when contact is lost', async () => {
-    // Symptom: a node serves the routes of an hour ago. Sequence: the store drops its history while a node is between
-    // two questions. Cause: the node went on asking from where it had stopped.
+  it('polls a prefix itself, lists again when the history is gone, and reports lost contact', async () => {
+    // Guards against serving outdated routes: the store drops its history between two polls, and the node kept polling
+    // from its old version.
     const answers: Array<Result<ChangeBatch, StoreError>> = [
       success({ objects: [{ key: 'endpoints/w1', version: 3, body: null, deleted: true }], version: 7 }),
       failed({ kind: StoreErrorKind.NotFound, key: '' }),
@@ -74,218 +74,220 @@
     store.changes = async () => answers.shift() ?? await new Promise(() => {})
     const clock = new ManualClock()
     const { seen } = follow(store, clock, false)
-    for (let round = 0; round < 4; round++) await pass(clock, REST_OVER_MS)
+    for (let round = 0; round < 4; round++) await pass(clock, PAUSE_OVER_MS)
     expect(seen).to.deep.equal(['connected', 'listing', 'endpoints/w1 gone', 'connected', 'listing', 'disconnected', 'connected', 'listing'])
   })
 
-  it('asks the store nothing while the deciding node tells it all, and takes its news', async () => {
+  it('makes no store calls while the feed covers the prefix, and applies feed updates', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
-    const decider = follow(store, clock, true)
+    const holder = follow(store, clock, true)
     const node = follow(store, clock, false)
     await settle()
     store.put('endpoints/w1', {})
-    await pass(clock, REST_OVER_MS)
-    node.followed.takeWord(wordOf(decider))
+    await pass(clock, PAUSE_OVER_MS)
+    node.followed.applyProgress(progressOf(holder))
     store.put('endpoints/w2', {})
-    await pass(clock, REST_OVER_MS)
-    for (const news of decider.shared) node.followed.takeNews(news)
+    await pass(clock, PAUSE_OVER_MS)
+    for (const update of holder.shared) node.followed.applyUpdate(update)
     await settle()
-    asked(store)
-    decider.shared.length = 0
+    takeReadLog(store)
+    holder.shared.length = 0
     for (let round = 0; round < 5; round++) {
       await pass(clock, 300)
-      node.followed.takeWord({ ...wordOf(decider), contactAgeMs: 0 })
+      node.followed.applyProgress({ ...progressOf(holder), contactAgeMs: 0 })
     }
     store.put('endpoints/w3', {})
-    await pass(clock, REST_OVER_MS)
-    for (const news of decider.shared) node.followed.takeNews(news)
+    await pass(clock, PAUSE_OVER_MS)
+    for (const update of holder.shared) node.followed.applyUpdate(update)
     expect(node.seen.slice(2)).to.deep.equal(['endpoints/w1 there', 'endpoints/w2 there', 'endpoints/w3 there'])
-    expect(asked(store).filter((call) => !call.endsWith(' 1000')), 'the decider waits 1 s a question').to.deep.equal([])
+    expect(takeReadLog(store).filter((call) => !call.endsWith(' 1000')), 'polls of the lease holder wait 1 s').to.deep.equal([])
   })
 
-  // Guards against an endpoint that the deciding node alone knows to leave: each change was judged by what was known before the batch.
-  it('passes on what undoes a change of the same batch that concerned callers', async () => {
+  // Guards against an endpoint that only the lease holder knows to be leaving: each change of a batch was judged by the
+  // state before the batch.
+  it('forwards a change that undoes one of the same batch that affected callers', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
-    const decider = follow(store, clock, true)
+    const holder = follow(store, clock, true)
     await settle()
-    await pass(clock, REST_OVER_MS)
-    decider.shared.splice(0)
+    await pass(clock, PAUSE_OVER_MS)
+    holder.shared.splice(0)
     store.put('endpoints/head-1', {})
     store.put('endpoints/head-1', LEAVING)
     store.put('endpoints/member-1', LEAVING)
-    await pass(clock, REST_OVER_MS)
-    const shared = decider.shared.flatMap(({ objects }) => objects.map(({ key, body }) => `${key} ${body === LEAVING ? LEAVING : 'there'}`))
+    await pass(clock, PAUSE_OVER_MS)
+    const shared = holder.shared.flatMap(({ objects }) => objects.map(({ key, body }) => `${key} ${body === LEAVING ? LEAVING : 'there'}`))
     expect(shared).to.deep.equal(['endpoints/head-1 there', `endpoints/head-1 ${LEAVING}`])
   })
 
-  it('passes on only what concerns callers, and reads all of it once it decides itself', async () => {
-    // Symptom: before 195 nodes no group forms for a minute. Sequence: each of 760 endpoints changes three times while its
-    // group forms, and all of it goes to 194 nodes over one link. Cause: members were told of, which no caller needs.
+  it('forwards only changes that affect callers, and lists the whole prefix once it holds the lease itself', async () => {
+    // Guards against a fleet of 195 nodes without groups for a minute: each of 760 endpoints changes three times while
+    // its group forms, and all of it went to 194 nodes over one link, though callers need only the heads.
     const store = new MemoryStore()
     const clock = new ManualClock()
-    const decider = follow(store, clock, true)
+    const holder = follow(store, clock, true)
     const node = follow(store, clock, false)
     await settle()
     store.put('endpoints/head-0', {})
-    await pass(clock, REST_OVER_MS)
-    node.followed.takeWord(wordOf(decider))
-    // Ends the question that the node has under way; from here on it relies on the deciding node.
+    await pass(clock, PAUSE_OVER_MS)
+    node.followed.applyProgress(progressOf(holder))
+    // Completes the node's pending poll; from here on the node relies on the feed.
     store.put('endpoints/head-1', {})
-    await pass(clock, REST_OVER_MS)
-    for (const news of decider.shared.splice(0)) node.followed.takeNews(news)
-    node.followed.takeWord({ ...wordOf(decider), contactAgeMs: 0 })
+    await pass(clock, PAUSE_OVER_MS)
+    for (const update of holder.shared.splice(0)) node.followed.applyUpdate(update)
+    node.followed.applyProgress({ ...progressOf(holder), contactAgeMs: 0 })
     await pass(clock, 300)
     store.put('endpoints/member-1', {})
     store.put('endpoints/head-2', {})
-    await pass(clock, REST_OVER_MS)
-    for (const news of decider.shared) node.followed.takeNews(news)
+    await pass(clock, PAUSE_OVER_MS)
+    for (const update of holder.shared) node.followed.applyUpdate(update)
     await settle()
     expect(node.seen.filter((seen) => seen.endsWith('there'))).to.deep.equal(['endpoints/head-0 there', 'endpoints/head-1 there', 'endpoints/head-2 there'])
-    expect(node.followed.knowsAll(ENDPOINT_PREFIX)).to.equal(false)
-    asked(store)
-    node.decides = true
+    expect(node.followed.isComplete(ENDPOINT_PREFIX)).to.equal(false)
+    takeReadLog(store)
+    node.isLeaseHolder = true
     node.followed.wakeUncovered()
     await settle()
-    expect(asked(store)).to.include(`list ${ENDPOINT_PREFIX}`)
-    expect(node.followed.knowsAll(ENDPOINT_PREFIX)).to.equal(true)
+    expect(takeReadLog(store)).to.include(`list ${ENDPOINT_PREFIX}`)
+    expect(node.followed.isComplete(ENDPOINT_PREFIX)).to.equal(true)
   })
 
-  it('waits for the deciding node\'s first word before it asks for changes, and not for ever', async () => {
-    // Symptom: 195 nodes that start make thousands of calls in three seconds. Sequence: each registers, and each of the
-    // others asks for that change. Cause: nodes that would soon be told everything followed the store themselves.
+  it('waits for the first feed progress before it polls, but not forever', async () => {
+    // Guards against thousands of calls in three seconds when 195 nodes start: each node registers, and each of the
+    // others polled for that change instead of waiting for the feed.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false, ENDPOINT_PREFIX, 500)
     await settle()
-    expect(asked(store)).to.deep.equal([`list ${ENDPOINT_PREFIX}`])
+    expect(takeReadLog(store)).to.deep.equal([`list ${ENDPOINT_PREFIX}`])
     clock.advance(400)
     node.followed.wakeUncovered()
     await settle()
-    expect(asked(store)).to.deep.equal([])
+    expect(takeReadLog(store)).to.deep.equal([])
     clock.advance(200)
     node.followed.wakeUncovered()
     await settle()
-    expect(asked(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 0 3000`])
+    expect(takeReadLog(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 0 3000`])
   })
 
-  // Guards against two calls a node for each start of the fleet, for manifests that the deciding node would tell of at once.
-  it('waits for that word with a manifest as well', async () => {
+  // Guards against two calls per node at each start of the fleet for a manifest whose version the feed carries anyway.
+  it('waits for feed progress with a manifest as well', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false, MANIFEST_PREFIX, 500)
     await pass(clock, 400)
-    expect(asked(store)).to.deep.equal([`list ${MANIFEST_PREFIX}`])
-    const decider = follow(store, clock, true, MANIFEST_PREFIX)
+    expect(takeReadLog(store)).to.deep.equal([`list ${MANIFEST_PREFIX}`])
+    const holder = follow(store, clock, true, MANIFEST_PREFIX)
     await settle()
-    asked(store)
-    node.followed.takeWord(wordOf(decider))
+    takeReadLog(store)
+    node.followed.applyProgress(progressOf(holder))
     await pass(clock, 400)
-    expect(asked(store)).to.deep.equal([])
+    expect(takeReadLog(store)).to.deep.equal([])
   })
 
-  // Guards against a call of each node for each prefix whenever the deciding node is lost, which made 560 calls in a second.
-  it('asks for the list of nodes and the quarantine only when no successor of a lost deciding node has told of them', async () => {
+  // Guards against one call per node and prefix whenever the lease holder is lost, which made 560 calls in a second.
+  it('polls nodes and quarantine only when no successor of a lost lease holder has sent feed progress', async () => {
     for (const prefix of [NODE_PREFIX, QUARANTINE_PREFIX]) {
       const store = new MemoryStore()
       const clock = new ManualClock()
-      const decider = follow(store, clock, true, prefix)
+      const holder = follow(store, clock, true, prefix)
       const node = follow(store, clock, false, prefix, 500)
       await settle()
-      node.followed.takeWord(wordOf(decider))
+      node.followed.applyProgress(progressOf(holder))
       await settle()
-      asked(store)
+      takeReadLog(store)
       await pass(clock, FLEET_LEASE_TIMING.ttlMs + 1_000)
       node.followed.wakeUncovered()
       await settle()
-      expect(asked(store)).to.not.include(`changes ${prefix} 0 0`)
+      expect(takeReadLog(store)).to.not.include(`changes ${prefix} 0 0`)
       await pass(clock, FLEET_LEASE_TIMING.ttlMs)
       node.followed.wakeUncovered()
       await settle()
-      expect(asked(store)).to.include(`changes ${prefix} 0 0`)
+      expect(takeReadLog(store)).to.include(`changes ${prefix} 0 0`)
     }
   })
 
-  // Guards against a call of each node for each prefix when another one has changed: the store counts all changes together.
-  it('asks for nothing while only other prefixes have changed', async () => {
+  // Guards against one call per node and prefix when another prefix has changed: the store numbers changes of all
+  // prefixes together.
+  it('does not poll while only other prefixes have changed', async () => {
     const clock = new ManualClock()
     const store = new MemoryStore(clock)
-    const decider = follow(store, clock, true, NODE_PREFIX)
+    const holder = follow(store, clock, true, NODE_PREFIX)
     const node = follow(store, clock, false, NODE_PREFIX, 500)
     await settle()
     store.put('endpoints/w1', {})
-    await pass(clock, FOLLOW_RULES[NODE_PREFIX]!.deciderWaitMs)
-    asked(store)
-    node.followed.takeWord(wordOf(decider))
+    await pass(clock, FOLLOW_RULES[NODE_PREFIX]!.holderPollTimeoutMs)
+    takeReadLog(store)
+    node.followed.applyProgress(progressOf(holder))
     await pass(clock, 100)
-    expect(decider.followed.versions).to.deep.equal({ [NODE_PREFIX]: 0 })
-    expect(asked(store)).to.deep.equal([])
+    expect(holder.followed.versions).to.deep.equal({ [NODE_PREFIX]: 0 })
+    expect(takeReadLog(store)).to.deep.equal([])
     store.put('nodes/n2', {})
     await settle()
-    expect(decider.shared.at(-1)).to.deep.include({ sinceVersion: 0, version: 2 })
-    node.followed.takeNews(decider.shared.at(-1)!)
+    expect(holder.shared.at(-1)).to.deep.include({ sinceVersion: 0, version: 2 })
+    node.followed.applyUpdate(holder.shared.at(-1)!)
     expect(node.seen.at(-1)).to.equal('nodes/n2 there')
   })
 
-  it('asks the store at once when a word goes further than its news', async () => {
+  it('polls the store at once when feed progress is ahead of the feed updates', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
     await settle()
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
     store.put('endpoints/w1', {})
-    await pass(clock, REST_OVER_MS)
-    asked(store)
+    await pass(clock, PAUSE_OVER_MS)
+    takeReadLog(store)
     store.put('endpoints/w2', {})
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 2 } })
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 2 } })
     await settle()
-    expect(asked(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 1 0`])
+    expect(takeReadLog(store)).to.deep.equal([`changes ${ENDPOINT_PREFIX} 1 0`])
     expect(node.seen.at(-1)).to.equal('endpoints/w2 there')
   })
 
-  it('goes back to the store when the deciding node has had no answer from it for too long', async () => {
-    // Symptom: requests go to an endpoint that left seconds ago. Sequence: the deciding node alone is cut from the store,
-    // but its links hold. Cause: the others took its words for news of the store.
+  it('polls the store when the lease holder has been without contact for too long', async () => {
+    // Guards against requests to an endpoint that left seconds ago: the lease holder alone is disconnected from the
+    // store, but its links still work, and the other nodes relied on its outdated progress.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
     await settle()
     store.put('endpoints/w1', {})
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 1 } })
-    await pass(clock, REST_OVER_MS)
-    asked(store)
-    for (let ageMs = REST_OVER_MS; ageMs < WORD_VALID_MS; ageMs += 400) {
-      node.followed.takeWord({ contactAgeMs: ageMs, versions: { [ENDPOINT_PREFIX]: 1 } })
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 1 } })
+    await pass(clock, PAUSE_OVER_MS)
+    takeReadLog(store)
+    for (let ageMs = PAUSE_OVER_MS; ageMs < PROGRESS_VALID_MS; ageMs += 400) {
+      node.followed.applyProgress({ contactAgeMs: ageMs, versions: { [ENDPOINT_PREFIX]: 1 } })
       await pass(clock, 400)
     }
     store.put('endpoints/w2', {})
     node.followed.wakeUncovered()
     await settle()
-    expect(asked(store)[0]).to.equal(`changes ${ENDPOINT_PREFIX} 1 0`)
+    expect(takeReadLog(store)[0]).to.equal(`changes ${ENDPOINT_PREFIX} 1 0`)
     expect(node.seen.at(-1)).to.equal('endpoints/w2 there')
   })
 
-  it('says once when the deciding node falls silent, and when it is heard again', async () => {
+  it('logs once when the lease holder falls silent, and once when it is heard again', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
     const lines: Array<Record<string, unknown>> = []
     const log = new DecisionLog(clock, 'n1', pino({ level: 'info' }, { write: (line: string) => { lines.push(JSON.parse(line) as Record<string, unknown>) } }))
-    const followed = new FollowedStore({ store, clock, random: createRandom(1), log, decides: () => false, nodeCount: () => 3, firstWordMs: 0, changes: BOUNDS, share: () => {}, concernsCallers: () => true })
-    followed.takeWord({ contactAgeMs: 0, versions: {} })
+    const followed = new FollowedStore({ store, clock, random: createRandom(1), log, isLeaseHolder: () => false, nodeCount: () => 3, initialProgressTimeoutMs: 0, changes: BOUNDS, share: () => {}, concernsCallers: () => true })
+    followed.applyProgress({ contactAgeMs: 0, versions: {} })
     for (let round = 0; round < 30; round++) {
       await pass(clock, 100)
       followed.wakeUncovered()
     }
-    followed.takeWord({ contactAgeMs: 0, versions: {} })
+    followed.applyProgress({ contactAgeMs: 0, versions: {} })
     expect(lines.map(({ event, dependency }) => [event, dependency])).to.deep.equal([
       ['dependency-regained', 'deciding node'], ['dependency-lost', 'deciding node'], ['dependency-regained', 'deciding node']
     ])
   })
 
-  it('does not bring back what an older answer still has', async () => {
-    // Symptom: callers are sent to a node that left. Sequence: a node asks for changes; its answer, in which an entry was
-    // just made, is held up; meanwhile news tell that the entry is gone. Cause: both were applied in order of arrival.
+  it('does not restore a deleted object from an older response', async () => {
+    // Guards against sending callers to a node that left: a delayed poll response contains a new entry, a feed update
+    // received meanwhile deletes it, and both were applied in order of arrival.
     const store = new MemoryStore()
     const clock = new ManualClock()
     let answer: (result: Result<ChangeBatch, StoreError>) => void = () => {}
@@ -293,106 +295,105 @@
     const node = follow(store, clock, false)
     await settle()
     const made = { key: 'endpoints/w1', version: 3, body: {}, deleted: false }
-    node.followed.takeNews({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [made, { ...made, version: 4, body: null, deleted: true }], version: 4 })
+    node.followed.applyUpdate({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [made, { ...made, version: 4, body: null, deleted: true }], version: 4 })
     answer(success({ objects: [made], version: 3 }))
     await settle()
     expect(node.seen.slice(2)).to.deep.equal(['endpoints/w1 there', 'endpoints/w1 gone'])
   })
 
-  it('does not take news while it lists', async () => {
-    // Symptom: a group that serves is unknown to one node for good. Sequence: while it reads the list anew, news come that
-    // are newer than the list. Cause: the list took them back, and versions kept them from being taken again.
+  it('applies no feed update during a listing', async () => {
+    // Guards against a serving group that stays unknown to a node: a feed update newer than the listing arrives during
+    // it, the listing undid the update, and the version check kept it from being applied again.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
-    node.followed.takeNews({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
+    node.followed.applyUpdate({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
     await settle()
     expect(node.seen).to.deep.equal(['connected', 'listing'])
   })
 
-  it('goes on by the feed while the store turns this node away', async () => {
-    // Symptom: a node sends requests to groups that are gone for nine seconds, though its links work. Sequence: the store
-    // turns it away while the feed has a gap; then the feed is whole again. Cause: only a new list was waited for.
+  it('continues by the feed while the store rejects this node', async () => {
+    // Guards against requests to removed groups for nine seconds: the store rejects the node while the feed has a gap,
+    // and after the feed recovered the node still waited for a new listing.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
     await settle()
-    store.cut()
+    store.disconnect()
     await settle()
-    for (let round = 0; round < 3; round++) await pass(clock, REST_OVER_MS)
-    asked(store)
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
+    for (let round = 0; round < 3; round++) await pass(clock, PAUSE_OVER_MS)
+    takeReadLog(store)
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0 } })
     await pass(clock, 1_200)
-    node.followed.takeNews({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
+    node.followed.applyUpdate({ prefix: ENDPOINT_PREFIX, sinceVersion: 0, objects: [{ key: 'endpoints/w1', version: 3, body: {}, deleted: false }], version: 3 })
     expect(node.seen.at(-1)).to.equal('endpoints/w1 there')
-    expect(asked(store)).to.deep.equal([])
+    expect(takeReadLog(store)).to.deep.equal([])
   })
 
-  it('tries for all prefixes with one call while the store can\'t be reached', async () => {
-    // Symptom: an outage of 4.5 s costs a fleet of 63 nodes 2,500 refused calls. Cause: each follower of each node tried.
+  it('retries for all prefixes with one call while the store is unavailable', async () => {
+    // Guards against 2,500 failed calls of 63 nodes in an outage of 4.5 s, when each follower of each node retried.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
     node.followed.watch(MANIFEST_PREFIX, () => {})
     await settle()
-    store.cut()
+    store.disconnect()
     await settle()
-    asked(store)
+    takeReadLog(store)
     for (let round = 0; round < 45; round++) await pass(clock, 100)
-    const calls = asked(store)
+    const calls = takeReadLog(store)
     expect(calls.length).to.be.within(4, 9)
-    store.heal()
+    store.reconnect()
     for (let round = 0; round < 15; round++) await pass(clock, 100)
-    expect(asked(store)).to.include.members([`list ${ENDPOINT_PREFIX}`, `list ${MANIFEST_PREFIX}`])
+    expect(takeReadLog(store)).to.include.members([`list ${ENDPOINT_PREFIX}`, `list ${MANIFEST_PREFIX}`])
   })
 
-  it('goes on trying for a manifest while the feed tells it all endpoints', async () => {
-    // Symptom: three nodes refuse keys and routes that were declared seconds ago. Sequence: the store turns them away; the
-    // feed tells them the endpoints all the while; the store serves them again. Cause: only the follower of the endpoints
-    // tried to reach the store, and it had no reason to.
+  it('keeps retrying for a manifest while the feed covers the endpoints', async () => {
+    // Guards against rejecting keys and routes declared seconds ago: the store rejects the nodes' calls while the feed
+    // covers the endpoints; only the endpoints' follower retried, and it had no reason to.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false, MANIFEST_PREFIX)
     node.followed.watch(ENDPOINT_PREFIX, () => {})
     await settle()
-    node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 0 } })
-    store.cut()
+    node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 0 } })
+    store.disconnect()
     for (let round = 0; round < 30; round++) {
       await pass(clock, 100)
-      node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 2 } })
+      node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 2 } })
     }
-    store.heal()
+    store.reconnect()
     for (let round = 0; round < 15; round++) {
       await pass(clock, 100)
-      node.followed.takeWord({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 2 } })
+      node.followed.applyProgress({ contactAgeMs: 0, versions: { [ENDPOINT_PREFIX]: 0, [MANIFEST_PREFIX]: 2 } })
     }
     expect(node.seen.at(-1)).to.equal('listing')
   })
 
-  it('tells only the version of a manifest, which each node then reads itself', async () => {
+  it('forwards only the version of a manifest, which each node then reads itself', async () => {
     const store = new MemoryStore()
     const clock = new ManualClock()
-    const decider = follow(store, clock, true, MANIFEST_PREFIX)
+    const holder = follow(store, clock, true, MANIFEST_PREFIX)
     const node = follow(store, clock, false, MANIFEST_PREFIX)
     await settle()
-    node.followed.takeWord(wordOf(decider))
+    node.followed.applyProgress(progressOf(holder))
     store.put('manifest/main', { routes: 'many' })
-    await pass(clock, REST_OVER_MS)
-    node.followed.takeWord(wordOf(decider))
-    asked(store)
-    decider.shared.length = 0
+    await pass(clock, PAUSE_OVER_MS)
+    node.followed.applyProgress(progressOf(holder))
+    takeReadLog(store)
+    holder.shared.length = 0
     store.put('manifest/main', { routes: 'more' })
     await settle()
-    expect(decider.shared).to.deep.equal([{ prefix: MANIFEST_PREFIX, sinceVersion: 2, objects: [], version: 2 }])
-    node.followed.takeNews(decider.shared[0]!)
+    expect(holder.shared).to.deep.equal([{ prefix: MANIFEST_PREFIX, sinceVersion: 2, objects: [], version: 2 }])
+    node.followed.applyUpdate(holder.shared[0]!)
     await settle()
-    expect(asked(store)).to.include(`changes ${MANIFEST_PREFIX} 1 0`)
+    expect(takeReadLog(store)).to.include(`changes ${MANIFEST_PREFIX} 1 0`)
     expect(node.seen.slice(-2)).to.deep.equal(['manifest/main there', 'manifest/main there'])
   })
 
-  it('takes an answer that was held up for a lost contact', async () => {
-    // Symptom: the fleet is empty for two seconds. Sequence: the store falls silent for less than a question waits, and
-    // entries lapse meanwhile; the question is answered with their deletions. Cause: nothing told that the store was out.
+  it('treats a delayed response as lost contact', async () => {
+    // Guards against an empty fleet for two seconds: the store falls silent for less than a long poll, entries expire
+    // meanwhile, and the delayed response delivers their deletions without any sign of the outage.
     const store = new MemoryStore()
     const clock = new ManualClock()
     const node = follow(store, clock, false)
--- /dev/null
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/NodeRegistry.test.ts
@@ -0,0 +1,53 @@
+import { expect } from 'chai'
+import { ManualClock } from 'dotterelspur'
+import { NodeRegistry, type NodeRecord } from '../../process/NodeRegistry.js'
+import { createLog } from '../fixtures/builders.js'
+import { MemoryStore } from '../fixtures/MemoryStore.js'
+
+describe('NodeRegistry', () => {
+  const SELF: NodeRecord = { node: 'n1', failureDomain: 'a', callers: '10.0.0.1:1', peers: '10.0.0.1:2', incarnation: 7 }
+  const OTHER: NodeRecord = { ...SELF, node: 'n2', callers: '10.0.0.2:1' }
+
+  it('registers again when another node has removed its entry', async () => {
+    const store = new MemoryStore()
+    const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
+    registry.follow()
+    await registry.register()
+    store.drop('nodes/n1')
+    await new Promise((resolve) => { setImmediate(resolve) })
+    expect((await store.get('nodes/n1')).ok).to.equal(true)
+  })
+
+  it('is no longer listed after leaving, in this registry and in the store', async () => {
+    const store = new MemoryStore()
+    const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
+    registry.follow()
+    await registry.register()
+    store.put('nodes/n2', OTHER)
+    await registry.leave()
+    expect(registry.nodes().map(({ node }) => node)).to.deep.equal(['n2'])
+    expect((await store.get('nodes/n1')).ok).to.equal(false)
+  })
+
+  it('drops only the inactive incarnation of a node', async () => {
+    const store = new MemoryStore()
+    const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
+    registry.follow()
+    store.put('nodes/n2', OTHER)
+    await registry.drop({ node: 'n2', incarnation: 6 })
+    expect(registry.nodes()).to.have.length(2)
+    await registry.drop({ node: 'n2', incarnation: 7 })
+    expect(registry.nodes()).to.have.length(1)
+  })
+
+  // Guards against a directory that lists a lost node for as long as the store rejects the node that detected the loss.
+  it('no longer lists an inactive node, also while the store rejects this node', async () => {
+    const store = new MemoryStore()
+    const registry = new NodeRegistry(store, SELF, new ManualClock(), createLog())
+    registry.follow()
+    store.put('nodes/n2', OTHER)
+    store.disconnect()
+    await registry.drop({ node: 'n2', incarnation: 7 })
+    expect(registry.nodes().map(({ node }) => node)).to.deep.equal(['n1'])
+  })
+})
--- a/packages/dotterelspur-gateway/src/connection/CallerListener.ts
+++ b/packages/dotterelspur-gateway/src/connection/CallerListener.ts
@@ -7,12 +7,12 @@
 import { AdmissionKind, type PoisonAdmission } from 'dotterelspur-poison'
 import type { Dispatch } from '../process/Dispatch.js'
 import { LogKind, type DecisionLog, type LogFields } from '../process/DecisionLog.js'
-import type { FirstKnowledge } from '../process/FirstKnowledge.js'
+import type { InitialSync } from '../process/InitialSync.js'
 import type { GatewayMetrics } from '../process/GatewayMetrics.js'
 import type { ListenAddress } from '../process/GatewaySettings.js'
 import type { WireFormat } from '../process/GatewayPorts.js'
-import type { ManifestKeeper } from '../process/ManifestKeeper.js'
-import type { PoisonKeeper } from '../process/PoisonKeeper.js'
+import type { ManifestFollower } from '../process/ManifestFollower.js'
+import type { PoisonTracker } from '../process/PoisonTracker.js'
 import { CallerResponse, GatewayErrorKind } from '../request/CallerResponse.js'
 import { GatewayRequest, type AdmittedRequest, type RequestReport } from '../request/GatewayRequest.js'
 import { BodyErrorKind, readBody } from '../request/readBody.js'
@@ -35,10 +35,10 @@
   readonly log: DecisionLog
   readonly metrics: GatewayMetrics
   readonly wire: WireFormat
-  readonly manifest: ManifestKeeper
-  readonly initialSync: FirstKnowledge
+  readonly manifest: ManifestFollower
+  readonly initialSync: InitialSync
   readonly dispatch: Dispatch
-  readonly poison: PoisonKeeper
+  readonly poison: PoisonTracker
 }
 
 /** A listening port that was opened before the program had finished loading. */
@@ -123,7 +123,7 @@
       if (body.error === BodyErrorKind.TooLarge) this.sendError(request, callerResponse, GatewayErrorKind.BodyTooLarge, null)
       return
     }
-    const head = this.parts.wire.readCaller(request.headers)
+    const head = this.parts.wire.readCallerHeaders(request.headers)
     await this.parts.initialSync.wait()
     // Uses the newest manifest, which may have been read while the body was being received.
     const newest = this.parts.manifest.current
@@ -170,14 +170,14 @@
   private sendError (request: IncomingMessage, callerResponse: CallerResponse, kind: GatewayErrorKind, retryAfterMs: number | null, fields: LogFields = {}): void {
     callerResponse.sendError(kind, retryAfterMs)
     this.parts.metrics.countOwnAnswer(kind)
-    this.parts.log.write(LogKind.RequestEnded, { request: this.parts.wire.readCaller(request.headers).requestId, answeredWith: kind, path: request.url, manifestVersion: null, ...fields })
+    this.parts.log.write(LogKind.RequestEnded, { request: this.parts.wire.readCallerHeaders(request.headers).requestId, answeredWith: kind, path: request.url, manifestVersion: null, ...fields })
   }
 
   private record (admitted: AdmittedRequest, report: RequestReport): void {
     const { clock, log, metrics, manifest } = this.parts
     const tookMs = clock.nowMs() - admitted.arrivedAtMs
     metrics.countRequest(admitted.route.kind, report, tookMs)
-    if (report.answeredWith !== null) this.parts.dispatch.noteSentAway(admitted.route)
+    if (report.answeredWith !== null) this.parts.dispatch.noteRejection(admitted.route)
     log.write(LogKind.RequestEnded, {
       request: admitted.requestId,
       route: admitted.route.name,
--- a/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerFrame.ts
@@ -1,6 +1,6 @@
 import type { EndpointId, LeaseObject, PoisonRecord, StoredObject } from 'dotterelspur'
-import type { DeciderWord } from '../process/DeciderWord.js'
-import type { FeedNews } from '../process/StoreFeed.js'
+import type { LeaseHolderState } from '../process/LeaseHolderState.js'
+import type { FeedUpdate } from '../process/StoreFeed.js'
 import type { EncodedFleetObservation, EncodedObservation } from './ObservationCodec.js'
 
 export enum PeerFrameKind {
@@ -37,6 +37,6 @@
   | { readonly kind: PeerFrameKind.NodeObserved, readonly observation: EncodedObservation }
   | { readonly kind: PeerFrameKind.FleetObserved, readonly observation: EncodedFleetObservation, readonly fencing: number }
   | { readonly kind: PeerFrameKind.NewerLease, readonly lease: StoredObject<LeaseObject> }
-  | { readonly kind: PeerFrameKind.LeaseHolderState, readonly word: DeciderWord }
-  | { readonly kind: PeerFrameKind.FeedUpdate, readonly news: FeedNews }
+  | { readonly kind: PeerFrameKind.LeaseHolderState, readonly word: LeaseHolderState }
+  | { readonly kind: PeerFrameKind.FeedUpdate, readonly news: FeedUpdate }
   | { readonly kind: PeerFrameKind.PoisonRecords, readonly records: readonly PoisonRecord[] }
--- a/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
@@ -1,11 +1,11 @@
 import { Packr } from 'msgpackr'
 import { WebSocket, WebSocketServer } from 'ws'
 import type { Clock, EndpointId, LeaseObject, NodeId, PoisonRecord, Random, StoredObject, Teardown } from 'dotterelspur'
-import type { DeciderWord } from '../process/DeciderWord.js'
+import type { LeaseHolderState } from '../process/LeaseHolderState.js'
 import { LogKind, type DecisionLog } from '../process/DecisionLog.js'
 import type { ListenAddress } from '../process/GatewaySettings.js'
-import type { NodeRecord } from '../process/NodeKeeper.js'
-import type { FeedNews } from '../process/StoreFeed.js'
+import type { NodeRecord } from '../process/NodeRegistry.js'
+import type { FeedUpdate } from '../process/StoreFeed.js'
 import { ObservationExchange, type ObservationSource } from './ObservationExchange.js'
 import { PeerFrameKind, type PeerFrame, type Suspicion } from './PeerFrame.js'
 
@@ -50,9 +50,9 @@
   newerLease (fencing: number): StoredObject<LeaseObject> | null
   onNewerLease (lease: StoredObject<LeaseObject>): void
   /** The state that this node broadcasts as the lease holder; null unless it holds the lease. */
-  leaseHolderState (): DeciderWord | null
-  onLeaseHolderState (word: DeciderWord): void
-  onFeedUpdate (news: FeedNews): void
+  leaseHolderState (): LeaseHolderState | null
+  onLeaseHolderState (word: LeaseHolderState): void
+  onFeedUpdate (news: FeedUpdate): void
   onPoisonRecords (records: readonly PoisonRecord[]): void
   /** The records to send to a newly linked node: `all` of them if it is the coordinator, otherwise those that are shared with all nodes. */
   poisonRecords (all: boolean): readonly PoisonRecord[]
@@ -166,7 +166,7 @@
   }
 
   /** A node that misses an update detects the gap in versions and reads from the store. */
-  broadcastFeedUpdate (news: FeedNews): void {
+  broadcastFeedUpdate (news: FeedUpdate): void {
     this.send(this.linkedSockets(), { kind: PeerFrameKind.FeedUpdate, news })
   }
 
--- a/packages/dotterelspur-gateway/src/process/NeedLog.ts
+++ b/packages/dotterelspur-gateway/src/process/BackpressureLog.ts
@@ -1,60 +1,60 @@
 import type { Clock, EndpointId, ReportedBackpressure } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
-/** Sends to an endpoint that names a limit are summed over this time for one line. */
+/** Window over which requests to a rate-limited endpoint are summed into one log line. */
 const WINDOW_MS = 4_000
 
-interface RestingEndpoint {
+interface BackingOffEndpoint {
   readonly untilMs: number
   readonly restMs: number
-  /** Sent while it rests: requests that came to this node, and those that another endpoint had not served. */
+  /** Requests sent during the back-off: first attempts, and retries of requests that another endpoint had not served. */
   firstAttempts: number
   repeats: number
 }
 
-interface LimitedEndpoint {
+interface RateLimitedEndpoint {
   readonly requestsPerSecond: number
   windowFromMs: number
   sentInWindow: number
 }
 
-/** Writes what endpoints say of their need, and what this node sends them meanwhile. Nothing is decided by it. */
-export class NeedLog {
-  private readonly limited = new Map<EndpointId, LimitedEndpoint>()
-  private readonly resting = new Map<EndpointId, RestingEndpoint>()
+/** Logs the backpressure that endpoints state, and the requests that this node sends them meanwhile. No decision depends on it. */
+export class BackpressureLog {
+  private readonly limited = new Map<EndpointId, RateLimitedEndpoint>()
+  private readonly backingOff = new Map<EndpointId, BackingOffEndpoint>()
   private readonly leaving = new Set<EndpointId>()
   private sentTotal = 0
-  private sentInRestTotal = 0
+  private sentDuringBackoffTotal = 0
 
   constructor (private readonly clock: Clock, private readonly log: DecisionLog) {}
 
-  /** Endpoints whose last answer to this node named a limit. */
+  /** Endpoints whose last response to this node stated a rate limit. */
   get limitedEndpoints (): number {
     return this.limited.size
   }
 
-  /** Requests that this node has sent to endpoints after they had named it a limit. */
+  /** Requests that this node has sent to endpoints after they had stated a rate limit. */
   get sentToLimited (): number {
     return this.sentTotal
   }
 
-  /** Requests that this node has sent to endpoints that had asked it for rest. */
-  get sentInRest (): number {
-    return this.sentInRestTotal
+  /** Requests that this node has sent to endpoints during a back-off that they had asked it for. */
+  get sentDuringBackoff (): number {
+    return this.sentDuringBackoffTotal
   }
 
   note (endpoint: EndpointId, { requestsPerSecond, restMs, isLeaving }: ReportedBackpressure): void {
     if (isLeaving) this.noteLeaving(endpoint)
-    this.noteLimit(endpoint, requestsPerSecond)
-    if (restMs !== null) this.noteRest(endpoint, restMs)
+    this.noteRateLimit(endpoint, requestsPerSecond)
+    if (restMs !== null) this.noteBackoff(endpoint, restMs)
   }
 
   noteSent (endpoint: EndpointId, isRepeat: boolean): void {
     this.noteSentToLimited(endpoint)
-    const resting = this.restingNow(endpoint)
+    const resting = this.currentBackoff(endpoint)
     if (resting === null) return
     resting[isRepeat ? 'repeats' : 'firstAttempts'] += 1
-    this.sentInRestTotal += 1
+    this.sentDuringBackoffTotal += 1
   }
 
   private noteLeaving (endpoint: EndpointId): void {
@@ -63,24 +63,24 @@
     this.log.write(LogKind.EndpointLeaving, { endpoint })
   }
 
-  private noteRest (endpoint: EndpointId, restMs: number): void {
-    if (this.restingNow(endpoint) !== null) return
-    this.resting.set(endpoint, { untilMs: this.clock.nowMs() + restMs, restMs, firstAttempts: 0, repeats: 0 })
+  private noteBackoff (endpoint: EndpointId, restMs: number): void {
+    if (this.currentBackoff(endpoint) !== null) return
+    this.backingOff.set(endpoint, { untilMs: this.clock.nowMs() + restMs, restMs, firstAttempts: 0, repeats: 0 })
     this.log.write(LogKind.EndpointRest, { endpoint, restMs: Math.round(restMs) })
   }
 
-  /** A rest that is over has its line once somebody asks for it. */
-  private restingNow (endpoint: EndpointId): RestingEndpoint | null {
-    const resting = this.resting.get(endpoint)
+  /** The current back-off, or null. Logs an expired back-off when it is next queried. */
+  private currentBackoff (endpoint: EndpointId): BackingOffEndpoint | null {
+    const resting = this.backingOff.get(endpoint)
     if (resting === undefined) return null
     if (this.clock.nowMs() < resting.untilMs) return resting
-    this.resting.delete(endpoint)
+    this.backingOff.delete(endpoint)
     const { restMs, firstAttempts, repeats } = resting
     if (firstAttempts + repeats > 0) this.log.write(LogKind.SentInRest, { endpoint, restMs: Math.round(restMs), firstAttempts, repeats })
     return null
   }
 
-  private noteLimit (endpoint: EndpointId, requestsPerSecond: number | null): void {
+  private noteRateLimit (endpoint: EndpointId, requestsPerSecond: number | null): void {
     const before = this.limited.get(endpoint)
     if ((before?.requestsPerSecond ?? null) === requestsPerSecond) return
     if (before !== undefined) this.writeWindow(endpoint, before)
@@ -97,16 +97,16 @@
     this.sentTotal += 1
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Evicts endpoints that are no longer listed. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
-    for (const map of [this.limited, this.resting, this.leaving]) {
+    for (const map of [this.limited, this.backingOff, this.leaving]) {
       for (const endpoint of map.keys()) {
         if (!endpoints.has(endpoint)) map.delete(endpoint)
       }
     }
   }
 
-  private writeWindow (endpoint: EndpointId, limited: LimitedEndpoint): void {
+  private writeWindow (endpoint: EndpointId, limited: RateLimitedEndpoint): void {
     const nowMs = this.clock.nowMs()
     this.log.write(LogKind.SentUnderLimit, { endpoint, requestsPerSecond: limited.requestsPerSecond, sent: limited.sentInWindow, tookMs: Math.round(nowMs - limited.windowFromMs) })
     limited.windowFromMs = nowMs
--- a/packages/dotterelspur-gateway/src/process/FleetKnowledge.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetView.ts
@@ -4,36 +4,39 @@
 } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
-/** What a node knows of the fleet's load, speeds, needs, pauses, demand and callers' deadlines: what it sees itself, and what all nodes are told. */
-export class FleetKnowledge {
+/**
+ * A node's view of the fleet's load, speeds, backpressure, pauses, demand and callers' deadlines, built from its own
+ * observations and the broadcast observations of all nodes.
+ */
+export class FleetView {
   readonly load = new TargetLoad()
   readonly speeds = new EndpointSpeeds()
   readonly demand = new DemandMeter()
   readonly pauses = new StreamPauses()
   readonly firstEvents = new FirstEventDelays()
   readonly deadlines: DeadlineHistory
-  readonly needs: EndpointBackpressure
-  private remembered = EMPTY_MEMORY
+  readonly backpressure: EndpointBackpressure
+  private fleetMemory = EMPTY_MEMORY
   private pools: readonly TargetPool[] = []
-  private wasTold = false
+  private wasFresh = false
 
   constructor (private readonly clock: Clock, private readonly log: DecisionLog, node: NodeId) {
-    this.needs = new EndpointBackpressure(node)
+    this.backpressure = new EndpointBackpressure(node)
     this.deadlines = new DeadlineHistory(clock.nowMs())
   }
 
-  /** What the fleet has learned, for nodes that start later. */
+  /** State that the fleet has learned, kept for nodes that start later. */
   get memory (): FleetMemory {
-    return this.remembered
+    return this.fleetMemory
   }
 
-  /** What the fleet had learned by the lease of its deciding node; what this node was told itself is newer. */
-  noteMemory (written: unknown): void {
+  /** Merges the state stored with the lease; observations that this node has received itself are newer and take precedence. */
+  mergeMemory (written: unknown): void {
     const memory = readFleetMemory(written)
-    if (memory !== null) this.keep(updateFleetMemory(memory, this.remembered))
+    if (memory !== null) this.applyMemory(updateFleetMemory(memory, this.fleetMemory))
   }
 
-  /** What this node sees, to be told to the others. */
+  /** This node's observations, for broadcast to the other nodes. */
   observe (): NodeObservation {
     const nowMs = this.clock.nowMs()
     return {
@@ -44,52 +47,52 @@
       pauses: this.pauses.localObservation(nowMs),
       firstEvents: this.firstEvents.localObservation(),
       deadlines: this.deadlines.localObservation(nowMs),
-      limits: this.needs.rateLimits.localObservation(nowMs),
-      rests: this.needs.backoffs.localObservation(nowMs),
-      leaving: this.needs.localLeaving()
+      limits: this.backpressure.rateLimits.localObservation(nowMs),
+      rests: this.backpressure.backoffs.localObservation(nowMs),
+      leaving: this.backpressure.localLeaving()
     }
   }
 
-  /** Takes in what all nodes together see. */
-  noteFleet (fleet: FleetObservation): void {
+  /** Applies the aggregated observations of all nodes. */
+  applyFleetObservation (fleet: FleetObservation): void {
     const nowMs = this.clock.nowMs()
     this.load.applyFleetObservation(fleet, nowMs)
     this.speeds.applyFleetObservation(fleet.speeds)
     this.demand.applyFleetObservation(fleet.demand)
     this.pauses.applyFleetObservation(fleet.pauses)
-    this.needs.rateLimits.applyFleetObservation(fleet.limits, nowMs)
-    this.needs.backoffs.applyFleetObservation(fleet.rests, nowMs)
-    this.keep(updateFleetMemory(this.remembered, fleet))
-    this.arrange(this.pools)
-    this.check()
+    this.backpressure.rateLimits.applyFleetObservation(fleet.limits, nowMs)
+    this.backpressure.backoffs.applyFleetObservation(fleet.rests, nowMs)
+    this.applyMemory(updateFleetMemory(this.fleetMemory, fleet))
+    this.updatePools(this.pools)
+    this.checkFreshness()
   }
 
-  private keep (memory: FleetMemory): void {
-    this.remembered = memory
+  private applyMemory (memory: FleetMemory): void {
+    this.fleetMemory = memory
     this.firstEvents.applyFleetObservation(memory.firstEvents)
     this.deadlines.applyFleetObservation(memory.deadlines)
   }
 
-  /** Forecasts the load of the pools as they are now. */
-  arrange (pools: readonly TargetPool[]): void {
+  /** Recomputes the load forecast for the current pools. */
+  updatePools (pools: readonly TargetPool[]): void {
     this.pools = pools
     const nowMs = this.clock.nowMs()
-    this.load.updateForecasts(pools.map((pool) => loadPool(pool, this.speeds, this.needs, nowMs)), nowMs)
+    this.load.updateForecasts(pools.map((pool) => loadPool(pool, this.speeds, this.backpressure, nowMs)), nowMs)
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Evicts endpoints that are no longer listed. */
   retain (endpoints: ReadonlySet<EndpointId>): void {
     this.load.retain(endpoints)
     this.speeds.retain(endpoints)
-    this.needs.retain(endpoints, this.clock.nowMs())
+    this.backpressure.retain(endpoints, this.clock.nowMs())
   }
 
-  /** Called before it is relied on: without fresh word of the fleet a node goes by what it sees itself. */
-  check (): void {
+  /** Called before the view is used: without fresh fleet observations a node falls back to its own. */
+  checkFreshness (): void {
     const nowMs = this.clock.nowMs()
     const isTold = this.load.hasFreshObservation(nowMs)
-    if (isTold === this.wasTold) return
-    this.wasTold = isTold
+    if (isTold === this.wasFresh) return
+    this.wasFresh = isTold
     if (!isTold) {
       this.speeds.applyFleetObservation(null)
       this.demand.applyFleetObservation(null)
--- a/packages/dotterelspur-gateway/src/process/FormationRunner.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationRunner.ts
@@ -3,99 +3,103 @@
   FormationEffectKind, FormationOutcome, formGroup, isAsPlanned, MemberState, OrderReply, runProcedure, sleep,
   type AddressedOrder, type Clock, type EffectHandlers, type EndpointId, type EndpointRecord, type FormationEffect, type FormationPlan, type MemberReport
 } from 'dotterelspur'
-import type { EndpointKeeper } from './EndpointKeeper.js'
-import type { EndpointQuestions } from './EndpointQuestions.js'
+import type { EndpointRegistry } from './EndpointRegistry.js'
+import type { VerifiedReportClient } from './VerifiedReportClient.js'
 import type { FleetLease } from './FleetLease.js'
-import type { FormationTrail } from './FormationTrail.js'
-import { ReportEndKind, type EndpointControl, type EndpointPlace } from './GatewayPorts.js'
+import type { FormationHistory } from './FormationHistory.js'
+import { ReportResultKind, type EndpointControl, type EndpointLocation } from './GatewayPorts.js'
 import type { Reachability } from './Reachability.js'
 
-/** While a join is awaited and the list says nothing, members are asked directly this often. */
+/** Interval between direct queries of members while a join is pending and the list does not change. */
 const READY_POLL_MS = 500
 const REPORT_TIMEOUT_MS = 400
-/** After a head opened: the list shows it within a pass or two of its watch, unless the store is out. */
+/** After a head has opened, the list shows it within one or two polls, unless the store is unavailable. */
 const LISTED_OPEN_TIMEOUT_MS = 1_500
 
 /**
- * Orders and questions of plans that are under way at once. A fleet of 760 forms 124 groups in one look: sent at once from
- * a third of a core, most orders ran into their timeout of 0.4 s before they had left, and were sent again.
+ * Concurrent orders and report requests of all plans in progress. A fleet of 760 endpoints forms 124 groups in one
+ * evaluation: sent all at once from a third of a core, most orders exceeded their timeout of 0.4 s before they had
+ * left, and were sent again.
  */
-const CALLS_AT_ONCE = 16
+const MAX_CONCURRENT_CALLS = 16
 
 export interface FormationRunnerParts {
   readonly clock: Clock
   readonly lease: FleetLease
-  readonly endpoints: EndpointKeeper
+  readonly endpoints: EndpointRegistry
   readonly control: EndpointControl
-  readonly questions: EndpointQuestions
+  readonly reports: VerifiedReportClient
   readonly reachability: Reachability
-  /** Where an endpoint is or was: a head may have left the list and still serve. */
+  /** Finds an endpoint's current or last record: a head may have left the list and still serve. */
   readonly find: (endpoint: EndpointId) => EndpointRecord | undefined
 }
 
-/** Carries out plans of groups: sends their orders, and waits for what members say of themselves. */
+/** Carries out formation plans: sends their orders and waits for members' responses. */
 export class FormationRunner {
   private readonly awaiting = new Set<() => void>()
-  private readonly inTurn = pLimit(CALLS_AT_ONCE)
+  private readonly callLimit = pLimit(MAX_CONCURRENT_CALLS)
 
   constructor (private readonly parts: FormationRunnerParts) {}
 
   /**
-   * Carries out a plan. If it doesn't come to its end, its members and the heads that it waited for are asked whether they live.
+   * Carries out a plan. If the plan fails, its members and the heads that it waited for are probed.
    *
-   * @param trail takes what was asked and answered on the way.
+   * @param history records the orders, report requests and responses of the plan.
    */
-  async run (plan: FormationPlan, trail: FormationTrail): Promise<FormationOutcome> {
-    const end = await runProcedure(formGroup(plan), this.handlers(trail))
+  async run (plan: FormationPlan, history: FormationHistory): Promise<FormationOutcome> {
+    const end = await runProcedure(formGroup(plan), this.handlers(history))
     const heads = plan.former.flatMap(({ head }) => head ?? [])
     if (end !== FormationOutcome.Opened) new Set([...plan.members, ...heads]).forEach((endpoint) => { this.suspectMember(endpoint) })
     return end
   }
 
-  /** The list has changed: what waits for it looks again. */
-  noteList (): void {
+  /** Re-evaluates pending conditions after a change of the endpoint list. */
+  noteListChanged (): void {
     for (const check of [...this.awaiting]) check()
   }
 
-  /** Sends orders side by side, each only while this node holds the lease: it may have lapsed since the plan began. */
-  async sendOrders (orders: readonly AddressedOrder[], trail?: FormationTrail): Promise<OrderReply[]> {
-    return await Promise.all(orders.map(async (addressed) => await this.inTurn(async () => {
+  /** Sends orders concurrently, each only while this node holds the lease, which may have expired since the plan began. */
+  async sendOrders (orders: readonly AddressedOrder[], history?: FormationHistory): Promise<OrderReply[]> {
+    return await Promise.all(orders.map(async (addressed) => await this.callLimit(async () => {
       const reply = await this.sendOrder(addressed)
-      trail?.noteOrder(addressed, reply)
+      history?.noteOrder(addressed, reply)
       return reply
     })))
   }
 
-  /** Until the list shows what was just done, a look would take the members for free ones. */
+  /** Waits until the list shows the opened group; an earlier evaluation would take its members for free ones. */
   async untilListedOpen (plan: FormationPlan): Promise<void> {
     const head = plan.members[0]!
     const isListed = (): boolean => {
       const record = this.parts.endpoints.current.get(head)
       return record === undefined || (record.membership?.formation === plan.formation && record.membership.state === MemberState.Open)
     }
-    const listed = await this.until(isListed, LISTED_OPEN_TIMEOUT_MS)
-    if (!listed) await Promise.all(plan.members.map(async (member) => await this.askMember(member)))
+    const listed = await this.waitUntil(isListed, LISTED_OPEN_TIMEOUT_MS)
+    if (!listed) await Promise.all(plan.members.map(async (member) => await this.queryMember(member)))
   }
 
   private async sendOrder ({ endpoint, order, expectedOrderCount }: AddressedOrder): Promise<OrderReply> {
     if (!this.parts.lease.mayOrder()) return OrderReply.Unreachable
-    const place = this.placeOf(endpoint)
-    const reply = await this.parts.control.order(place, order, expectedOrderCount)
-    if (reply === OrderReply.Elsewhere) this.noteElsewhere(place)
+    const location = this.locationOf(endpoint)
+    const reply = await this.parts.control.order(location, order, expectedOrderCount)
+    if (reply === OrderReply.Elsewhere) this.noteAddressTaken(location)
     return reply
   }
 
-  /** Unlike a question, an order is refused by whoever it is not meant for: this endpoint has ended. */
-  private noteElsewhere (place: EndpointPlace): void {
-    this.parts.questions.noteElsewhere(place)
-    this.parts.reachability.noteGone(place)
+  /**
+   * Unlike a report request, an order is rejected by any other endpoint, so this response proves that the addressed
+   * endpoint has terminated.
+   */
+  private noteAddressTaken (location: EndpointLocation): void {
+    this.parts.reports.noteAddressTaken(location)
+    this.parts.reachability.noteGone(location)
   }
 
-  private handlers (trail: FormationTrail): EffectHandlers<FormationEffect> {
+  private handlers (history: FormationHistory): EffectHandlers<FormationEffect> {
     return {
-      [FormationEffectKind.ConfirmMembers]: async ({ plan }) => await this.confirmMembers(plan, trail),
-      [FormationEffectKind.SendOrders]: async ({ orders }) => await this.sendOrders(orders, trail),
-      [FormationEffectKind.AwaitReady]: async ({ plan }) => await this.awaitReady(plan, trail),
+      [FormationEffectKind.ConfirmMembers]: async ({ plan }) => await this.confirmMembers(plan, history),
+      [FormationEffectKind.SendOrders]: async ({ orders }) => await this.sendOrders(orders, history),
+      [FormationEffectKind.AwaitReady]: async ({ plan }) => await this.awaitReady(plan, history),
       [FormationEffectKind.Wait]: async ({ durationMs }) => { await sleep(this.parts.clock, durationMs) }
     }
   }
@@ -105,50 +109,50 @@
     if (record !== undefined) this.parts.reachability.suspect(record)
   }
 
-  /** What members say themselves goes before the list until the list has something newer. */
-  private async confirmMembers (plan: FormationPlan, trail: FormationTrail): Promise<ReadonlyMap<EndpointId, MemberReport> | null> {
-    const words = new Map<EndpointId, MemberReport>()
+  /** Members' own reports take precedence over the list until the list has a newer version. */
+  private async confirmMembers (plan: FormationPlan, history: FormationHistory): Promise<ReadonlyMap<EndpointId, MemberReport> | null> {
+    const reports = new Map<EndpointId, MemberReport>()
     await Promise.all(plan.members.map(async (member) => {
-      const word = await this.askMember(member, trail)
-      if (word !== null && isAsPlanned(plan, member, word.membership)) words.set(member, word)
+      const report = await this.queryMember(member, history)
+      if (report !== null && isAsPlanned(plan, member, report.membership)) reports.set(member, report)
     }))
-    return words.size === plan.members.length ? words : null
+    return reports.size === plan.members.length ? reports : null
   }
 
-  /** A member's own word, which is kept; null without an answer. */
-  private async askMember (member: EndpointId, trail?: FormationTrail): Promise<MemberReport | null> {
-    const end = await this.inTurn(async () => await this.parts.questions.report(this.placeOf(member), REPORT_TIMEOUT_MS))
-    trail?.noteReport(member, end)
-    if (end.kind !== ReportEndKind.Answered) {
+  /** Queries a member and stores its report; null without a response. */
+  private async queryMember (member: EndpointId, history?: FormationHistory): Promise<MemberReport | null> {
+    const result = await this.callLimit(async () => await this.parts.reports.report(this.locationOf(member), REPORT_TIMEOUT_MS))
+    history?.noteReport(member, result)
+    if (result.kind !== ReportResultKind.Answered) {
       this.suspectMember(member)
       return null
     }
-    this.parts.endpoints.noteReport(member, end.report)
-    return end.report
+    this.parts.endpoints.noteReport(member, result.report)
+    return result.report
   }
 
-  private placeOf (endpoint: EndpointId): EndpointPlace {
+  private locationOf (endpoint: EndpointId): EndpointLocation {
     const record = this.parts.find(endpoint)
     return { endpoint, address: record?.address ?? '' }
   }
 
-  /** The list tells of each member that gets ready; while it is silent, as with the store out, members are asked. */
-  private async awaitReady (plan: FormationPlan, trail: FormationTrail): Promise<boolean> {
+  /** The list shows each member that becomes ready; while it does not change, as during a store outage, members are queried directly. */
+  private async awaitReady (plan: FormationPlan, history: FormationHistory): Promise<boolean> {
     const startedAtMs = this.parts.clock.nowMs()
     const deadlineMs = startedAtMs + plan.joinTimeoutMs
-    const askFromMs = startedAtMs + plan.joinTimeoutMs / 2
-    const seenReady = new Set<EndpointId>()
+    const queryFromMs = startedAtMs + plan.joinTimeoutMs / 2
+    const ready = new Set<EndpointId>()
     const isOver = (): boolean => {
       for (const member of plan.members) {
-        if (isReadyIn(this.parts.endpoints.current.get(member), plan)) seenReady.add(member)
+        if (isReadyIn(this.parts.endpoints.current.get(member), plan)) ready.add(member)
       }
-      return seenReady.size === plan.members.length || plan.members.some((member) => this.isLost(member))
+      return ready.size === plan.members.length || plan.members.some((member) => this.isLost(member))
     }
     while (!isOver() && this.parts.clock.nowMs() < deadlineMs) {
-      const changed = await this.until(isOver, READY_POLL_MS)
-      if (!changed && this.parts.clock.nowMs() >= askFromMs) await this.askMembers(plan, seenReady, trail)
+      const changed = await this.waitUntil(isOver, READY_POLL_MS)
+      if (!changed && this.parts.clock.nowMs() >= queryFromMs) await this.queryMembers(plan, ready, history)
     }
-    return seenReady.size === plan.members.length
+    return ready.size === plan.members.length
   }
 
   private isLost (endpoint: EndpointId): boolean {
@@ -156,16 +160,16 @@
     return record === undefined || record.leaving || this.parts.reachability.isUnreachable(endpoint)
   }
 
-  private async askMembers (plan: FormationPlan, seenReady: Set<EndpointId>, trail: FormationTrail): Promise<void> {
-    const unknown = plan.members.filter((member) => !seenReady.has(member))
+  private async queryMembers (plan: FormationPlan, ready: Set<EndpointId>, history: FormationHistory): Promise<void> {
+    const unknown = plan.members.filter((member) => !ready.has(member))
     await Promise.all(unknown.map(async (member) => {
-      const word = await this.askMember(member, trail)
-      if (word !== null && isReadyIn(word, plan)) seenReady.add(member)
+      const report = await this.queryMember(member, history)
+      if (report !== null && isReadyIn(report, plan)) ready.add(member)
     }))
   }
 
-  /** Waits until `condition` holds, looked at on each change of the list; false when the time is over first. */
-  private async until (condition: () => boolean, timeoutMs: number): Promise<boolean> {
+  /** Waits until `condition` holds, checked on each change of the list; false if the timeout passes first. */
+  private async waitUntil (condition: () => boolean, timeoutMs: number): Promise<boolean> {
     if (condition()) return true
     return await new Promise<boolean>((resolve) => {
       const finish = (result: boolean): void => {
@@ -180,7 +184,7 @@
   }
 }
 
-function isReadyIn (word: Pick<EndpointRecord, 'membership'> | undefined, plan: FormationPlan): boolean {
-  const membership = word?.membership ?? null
+function isReadyIn (report: Pick<EndpointRecord, 'membership'> | undefined, plan: FormationPlan): boolean {
+  const membership = report?.membership ?? null
   return membership !== null && membership.group === plan.group && membership.formation === plan.formation && membership.state === MemberState.Ready
 }
--- a/packages/dotterelspur-gateway/src/process/PoisonKeeper.ts
+++ b/packages/dotterelspur-gateway/src/process/PoisonTracker.ts
@@ -4,63 +4,67 @@
 } from 'dotterelspur'
 import { TerminationProbe, fingerprintOf, PoisonGuard, type QuarantineRegistry } from 'dotterelspur-poison'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
-import type { EndpointKeeper } from './EndpointKeeper.js'
+import type { EndpointRegistry } from './EndpointRegistry.js'
 
-/** How often what is believed is looked through for changes, and what is old is forgotten. */
-const LOOK_INTERVAL_MS = 200
-/** Evidence is told again after this time, in case it was lost on the way. */
-const RETELL_INTERVAL_MS = 1_000
-/** Evidence that is older has reached all that could be reached. */
-const RETELL_AGE_MS = 5_000
-/** Records in one message: what a link takes in a tenth of a second. */
-const MOST_TOLD = 256
+/** Interval at which state changes are logged and old evidence expires. */
+const CHECK_INTERVAL_MS = 200
+/** Interval at which recent evidence is broadcast again, in case a message was lost. */
+const REBROADCAST_INTERVAL_MS = 1_000
+/** Evidence older than this has reached all reachable nodes. */
+const REBROADCAST_MAX_AGE_MS = 5_000
+/** Records per message: what a link transfers in a tenth of a second. */
+const MAX_RECORDS_PER_MESSAGE = 256
 
-/** Suspects that are kept with the lease, so that the count goes on when all nodes are killed. */
-const MOST_KEPT = 8
+/** Suspects stored with the lease, so that counting continues after all nodes are killed. */
+const MAX_STORED_SUSPECTS = 8
 
-/** An exchange whose connection ended before the whole answer was there. */
+/** An exchange whose connection broke before the response was complete. */
 export interface LostExchange {
   readonly requestId: string
   readonly content: RequestContent
   readonly target: DispatchTarget
-  /** Pieces of the answer that had come from there. */
+  /** Events of the response received from the endpoint. */
   readonly events: number
-  /** Since it was sent. */
+  /** Time since the request was sent. */
   readonly tookMs: number
-  /** This node's other requests that were under way at the endpoint. */
+  /** This node's other requests in flight at the endpoint. */
   readonly besides: number
 }
 
-export interface PoisonKeeperParts {
+export interface PoisonTrackerParts {
   readonly clock: Clock
   readonly log: DecisionLog
   readonly limits: PoisonLimits
   readonly node: NodeId
   readonly nodes: () => ReadonlyArray<{ readonly node: NodeId }>
-  readonly endpoints: EndpointKeeper
+  readonly endpoints: EndpointRegistry
   readonly quarantine: QuarantineRegistry
-  /** Whether this node decides: then it writes down what is in quarantine. */
-  readonly decides: () => boolean
-  /** Tells other nodes: `all` to the one that adds up, `shared` to those that this node adds up for. */
-  readonly tell: (all: readonly PoisonRecord[], shared: readonly PoisonRecord[]) => void
-  /** What is kept with the lease has changed, and should be there before all nodes can be killed. */
-  readonly keepSoon: () => void
+  /** Whether this node holds the lease; it then writes the quarantine to the store. */
+  readonly isLeaseHolder: () => boolean
+  /**
+   * Sends records to other nodes: `all` to the node that aggregates a fingerprint, `shared` to the nodes for which this
+   * node aggregates.
+   */
+  readonly broadcast: (all: readonly PoisonRecord[], shared: readonly PoisonRecord[]) => void
+  /** Requests a lease renewal, because the state stored with the lease has changed and should be written before all nodes can be killed. */
+  readonly requestLeaseRenewal: () => void
 }
 
 /**
- * Notes with which requests endpoints end, learns it from the other nodes, and keeps such requests away from endpoints. What is
- * in quarantine is written to the store, so that it holds when all nodes start anew.
+ * Records which requests coincide with terminations of endpoints, exchanges these records with the other nodes, and
+ * keeps such requests away from endpoints. The quarantine is written to the store, so that it survives a restart of all
+ * nodes.
  */
-export class PoisonKeeper {
+export class PoisonTracker {
   readonly guard: PoisonGuard
-  private readonly ended = new TerminationProbe()
+  private readonly terminationChecks = new TerminationProbe()
   private readonly states = new Map<RequestFingerprint, PoisonState>()
-  private toldAtMs = -Infinity
+  private broadcastAtMs = -Infinity
   private cancelTimer: Teardown = () => {}
 
-  constructor (private readonly parts: PoisonKeeperParts) {
+  constructor (private readonly parts: PoisonTrackerParts) {
     const { clock, limits, quarantine } = parts
-    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.isHome(fingerprint), onEvidence: (record) => { this.tell([record]) } })
+    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.isHome(fingerprint), onEvidence: (record) => { this.broadcast([record]) } })
     quarantine.registerListener({
       onQuarantined: (fingerprint, { outline }) => { this.guard.ledger.noteDecision(fingerprint, outline) },
       onReleased: (fingerprint) => { this.guard.ledger.noteQuarantineLifted(fingerprint, clock.nowMs()) }
@@ -68,9 +72,9 @@
   }
 
   start (): void {
-    this.cancelTimer = this.parts.clock.registerTimer(LOOK_INTERVAL_MS, () => {
+    this.cancelTimer = this.parts.clock.registerTimer(CHECK_INTERVAL_MS, () => {
       this.start()
-      this.look()
+      this.check()
     })
   }
 
@@ -78,37 +82,40 @@
     this.cancelTimer()
   }
 
-  /** Finds out whether the endpoint has ended; if so, that counts against the request once this resolves. */
+  /** Checks whether the endpoint has terminated; if so, this counts against the request by the time the promise resolves. */
   async noteLoss (loss: LostExchange): Promise<void> {
     const { content, target, events } = loss
     const record = this.parts.endpoints.current.get(target.endpoint)
-    // One that leaves, or is on no list, ends because it was told to.
+    // A leaving or unlisted endpoint terminates because it was ordered to.
     const mayBlame = record !== undefined && !record.leaving
-    const ended = await this.ended.hasTerminated(target.address)
+    const ended = await this.terminationChecks.hasTerminated(target.address)
     if (ended && mayBlame) this.guard.noteTermination(content, target.endpoint, events)
     this.logLoss(loss, ended, mayBlame)
   }
 
-  /** What other nodes know, or nodes of a former life; what is no record is left out. */
-  noteTold (told: unknown): void {
-    const records = readPoisonRecords(told)
+  /** Merges records of other nodes, or of an earlier incarnation; malformed records are ignored. */
+  mergeRecords (received: unknown): void {
+    const records = readPoisonRecords(received)
     if (records.length === 0) return
     const changed = this.guard.ledger.merge(records, this.parts.clock.nowMs())
-    if (changed.length > 0) this.parts.tell([], changed.filter(isWorthSharing))
+    if (changed.length > 0) this.parts.broadcast([], changed.filter(isWorthSharing))
   }
 
-  /** What should be known when all nodes start anew: requests of which one end more shows what they are. */
+  /**
+   * Records to keep across a restart of all nodes: suspects that one more termination would put in quarantine, and
+   * quarantined requests.
+   */
   suspects (): PoisonRecord[] {
     const { ledger } = this.guard
     if (ledger.isEmpty) return []
     const suspected = new Set([...ledger.suspected, ...ledger.quarantined])
-    return this.known(true).filter(({ fingerprint }) => suspected.has(fingerprint)).slice(0, MOST_KEPT)
+    return this.recordsToSend(true).filter(({ fingerprint }) => suspected.has(fingerprint)).slice(0, MAX_STORED_SUSPECTS)
   }
 
-  /** What a node that has just been linked is told; all of it where that node adds up. */
-  known (all: boolean): PoisonRecord[] {
+  /** Records for a newly linked node; all of them if that node aggregates. */
+  recordsToSend (all: boolean): PoisonRecord[] {
     const records = this.guard.ledger.exportRecords(this.parts.clock.nowMs(), all)
-    return records.sort((left, right) => right.ends.length - left.ends.length).slice(0, MOST_TOLD)
+    return records.sort((left, right) => right.ends.length - left.ends.length).slice(0, MAX_RECORDS_PER_MESSAGE)
   }
 
   private isHome (fingerprint: RequestFingerprint): boolean {
@@ -116,19 +123,19 @@
     return rendezvousOrder(fingerprint, nodes().map((other) => other.node))[0] === node
   }
 
-  private look (): void {
+  private check (): void {
     const nowMs = this.parts.clock.nowMs()
     const { ledger } = this.guard
     if (ledger.isEmpty && this.states.size === 0) return
     ledger.expire(nowMs)
     this.noteStates()
-    if (this.parts.decides()) this.parts.quarantine.persist([...ledger.quarantined].flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
-    if (nowMs - this.toldAtMs < RETELL_INTERVAL_MS) return
-    this.toldAtMs = nowMs
-    this.tell(ledger.exportRecords(nowMs, true).filter(({ ageMs }) => ageMs < RETELL_AGE_MS).slice(-MOST_TOLD))
+    if (this.parts.isLeaseHolder()) this.parts.quarantine.persist([...ledger.quarantined].flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
+    if (nowMs - this.broadcastAtMs < REBROADCAST_INTERVAL_MS) return
+    this.broadcastAtMs = nowMs
+    this.broadcast(ledger.exportRecords(nowMs, true).filter(({ ageMs }) => ageMs < REBROADCAST_MAX_AGE_MS).slice(-MAX_RECORDS_PER_MESSAGE))
   }
 
-  /** Each change of what is believed of a request has one line. */
+  /** Logs each change of a request's poison state once. */
   private noteStates (): void {
     const { ledger } = this.guard
     const states = new Map<RequestFingerprint, PoisonState>()
@@ -139,14 +146,14 @@
       const now = states.get(fingerprint) ?? PoisonState.Trusted
       if (now === before) continue
       this.logState(fingerprint, before, now)
-      if (now === PoisonState.Suspected) this.parts.keepSoon()
+      if (now === PoisonState.Suspected) this.parts.requestLeaseRenewal()
     }
     this.states.clear()
     for (const [fingerprint, state] of states) this.states.set(fingerprint, state)
   }
 
-  private tell (records: readonly PoisonRecord[]): void {
-    if (records.length > 0) this.parts.tell(records, records.filter(isWorthSharing))
+  private broadcast (records: readonly PoisonRecord[]): void {
+    if (records.length > 0) this.parts.broadcast(records, records.filter(isWorthSharing))
   }
 
   private logState (fingerprint: RequestFingerprint, before: PoisonState, state: PoisonState): void {
--- /dev/null
+++ b/packages/dotterelspur-gateway/src/process/StallDetector.ts
@@ -0,0 +1,181 @@
+import { RequestKind, type Clock, type DispatchTarget, type EndpointId, type Route, type ServiceId, type Teardown } from 'dotterelspur'
+import type { ResponseHeaders } from './GatewayPorts.js'
+
+/** Interval between checks of running exchanges: a third of the shortest pause that counts as a stall. */
+const CHECK_INTERVAL_MS = 40
+/** A check that is this late means that the process was suspended, and that data received meanwhile has not been read yet. */
+const LATE_CHECK_MS = 40
+
+/**
+ * A started stream sends an event every 50 to 150 ms; silence of this length is a stall, whatever the rest of its group
+ * appears to do. Callers abandon a stream after two seconds, which leaves time to continue elsewhere.
+ */
+const STREAM_STALL_MS = 650
+/** Multiple of a stream's longest on-time gap, where that exceeds the fixed limit. */
+const GAP_FACTOR = 2.5
+/** Multiple of the target latency within which the first event must arrive. */
+const FIRST_EVENT_FACTOR = 3
+const MIN_FIRST_EVENT_TIMEOUT_MS = 1_000
+/** Data received from an endpoint within this time takes precedence over other nodes' reports about it. */
+const OWN_EVIDENCE_MS = 150
+
+interface WatchedExchange {
+  readonly route: Route
+  readonly startedAtMs: number
+  progressAtMs: number
+  events: number
+  /** The caller is not reading, so the absence of events says nothing about the endpoint. */
+  isCallerPaused: boolean
+  readonly target: DispatchTarget
+  /** Whether the request may be sent to another endpoint; otherwise it keeps waiting, since its group may only be slow. */
+  readonly mayMove: boolean
+  readonly onSilent: () => void
+}
+
+/** Callbacks of the detector. */
+export interface StallDetectorListener {
+  onProgress (target: DispatchTarget, headers: ResponseHeaders | null, gapMs: number | null): void
+  /** Longest pause of all streams of a working endpoint at the same time. */
+  pauseLimitMs (target: DispatchTarget): number
+  /** All streams of an endpoint have paused for longer than `limitMs`. */
+  onStalled (target: DispatchTarget, silentMs: number, limitMs: number): void
+  /** Whether the retry budget allows another attempt for a request of the service. */
+  mayRetry (service: ServiceId): boolean
+}
+
+export interface ExchangeHandle {
+  noteProgress (headers: ResponseHeaders | null): void
+  noteCallerPaused (held: boolean): void
+  stop (): void
+}
+
+/** Confidence that an endpoint has stalled. */
+export enum StallCertainty {
+  /** Streams of at least one node have paused for longer than the endpoint's workload explains. */
+  Suspected = 'doubted',
+  /** The endpoint's group is known to have lost a member. */
+  Confirmed = 'known'
+}
+
+/**
+ * Detects stalled groups. A group that lost a member still accepts requests but sends nothing, and the endpoint list
+ * shows the loss only seconds later. Requests that wait there for their first event are moved to another group while
+ * they can still be on time.
+ */
+export class StallDetector {
+  private readonly watched = new Set<WatchedExchange>()
+  /** Time of the last bytes from each endpoint. */
+  private readonly lastBytesAtMs = new Map<EndpointId, number>()
+  /** Endpoints reported as stalled since their last bytes. */
+  private readonly reported = new Set<EndpointId>()
+  private checkedAtMs: number
+  private resumedAtMs = -Infinity
+  private cancelTimer: Teardown = () => {}
+
+  constructor (private readonly clock: Clock, private readonly listener: StallDetectorListener) {
+    this.checkedAtMs = clock.nowMs()
+  }
+
+  start (): void {
+    this.cancelTimer = this.clock.registerTimer(CHECK_INTERVAL_MS, () => {
+      this.start()
+      this.check()
+    })
+  }
+
+  stop (): void {
+    this.cancelTimer()
+  }
+
+  /** Evicts endpoints that are no longer listed. */
+  retain (endpoints: ReadonlySet<EndpointId>): void {
+    for (const endpoint of this.lastBytesAtMs.keys()) {
+      if (!endpoints.has(endpoint)) this.lastBytesAtMs.delete(endpoint)
+    }
+    for (const endpoint of this.reported) {
+      if (!endpoints.has(endpoint)) this.reported.delete(endpoint)
+    }
+  }
+
+  begin (target: DispatchTarget, route: Route, mayMove: boolean, onSilent: () => void): ExchangeHandle {
+    const nowMs = this.clock.nowMs()
+    const watched: WatchedExchange = { route, startedAtMs: nowMs, progressAtMs: nowMs, events: 0, isCallerPaused: false, target, mayMove, onSilent }
+    if (route.kind === RequestKind.Streaming) this.watched.add(watched)
+    return {
+      noteProgress: (headers) => { this.noteProgress(watched, headers) },
+      noteCallerPaused: (held) => {
+        watched.isCallerPaused = held
+        watched.progressAtMs = this.clock.nowMs()
+      },
+      stop: () => { this.watched.delete(watched) }
+    }
+  }
+
+  /**
+   * Handles another node's report that an endpoint has stalled. Exchanges there are abandoned, so that they continue
+   * elsewhere, unless this node has received bytes from it too recently for the report to cover. Returns whether the
+   * report was accepted.
+   */
+  noteStalled (endpoint: EndpointId, certainty: StallCertainty): boolean {
+    if (this.clock.nowMs() - this.lastBytesFrom(endpoint) < OWN_EVIDENCE_MS) return false
+    this.abandon((watched) => this.canMoveFrom(watched, endpoint) && (watched.events === 0 || certainty === StallCertainty.Confirmed))
+    return true
+  }
+
+  private noteProgress (watched: WatchedExchange, headers: ResponseHeaders | null): void {
+    const nowMs = this.clock.nowMs()
+    const { target, events, progressAtMs } = watched
+    watched.progressAtMs = nowMs
+    this.lastBytesAtMs.set(target.endpoint, nowMs)
+    this.reported.delete(target.endpoint)
+    if (headers === null) watched.events += 1
+    this.listener.onProgress(target, headers, events > 0 && !watched.isCallerPaused ? nowMs - progressAtMs : null)
+  }
+
+  private lastBytesFrom (endpoint: EndpointId): number {
+    return this.lastBytesAtMs.get(endpoint) ?? -Infinity
+  }
+
+  private check (): void {
+    const nowMs = this.clock.nowMs()
+    if (nowMs - this.checkedAtMs > CHECK_INTERVAL_MS + LATE_CHECK_MS) this.resumedAtMs = nowMs
+    this.checkedAtMs = nowMs
+    for (const target of this.streamingTargets()) this.checkTarget(target, nowMs)
+    this.abandon((watched) => nowMs - Math.max(watched.progressAtMs, this.resumedAtMs) >= allowedSilenceMs(watched))
+  }
+
+  /** Endpoints with a started stream whose caller is reading, each once. */
+  private streamingTargets (): Iterable<DispatchTarget> {
+    const targets = new Map<EndpointId, DispatchTarget>()
+    for (const { target, events, isCallerPaused } of this.watched) {
+      if (events > 0 && !isCallerPaused) targets.set(target.endpoint, target)
+    }
+    return targets.values()
+  }
+
+  private checkTarget (target: DispatchTarget, nowMs: number): void {
+    const silentMs = nowMs - Math.max(this.lastBytesFrom(target.endpoint), this.resumedAtMs)
+    if (this.reported.has(target.endpoint)) return
+    const limitMs = this.listener.pauseLimitMs(target)
+    if (silentMs < limitMs) return
+    this.reported.add(target.endpoint)
+    this.listener.onStalled(target, silentMs, limitMs)
+    this.abandon((watched) => this.canMoveFrom(watched, target.endpoint) && watched.events === 0)
+  }
+
+  private canMoveFrom ({ target, mayMove }: WatchedExchange, endpoint: EndpointId): boolean {
+    return target.endpoint === endpoint && mayMove && this.listener.mayRetry(target.service)
+  }
+
+  private abandon (isOver: (watched: WatchedExchange) => boolean): void {
+    for (const watched of [...this.watched].filter((candidate) => !candidate.isCallerPaused && isOver(candidate))) {
+      this.watched.delete(watched)
+      watched.onSilent()
+    }
+  }
+}
+
+function allowedSilenceMs ({ route, events }: WatchedExchange): number {
+  if (events === 0) return Math.max(MIN_FIRST_EVENT_TIMEOUT_MS, route.targetLatencyMs * FIRST_EVENT_FACTOR)
+  return Math.max(STREAM_STALL_MS, (route.targetGapMs ?? 0) * GAP_FACTOR)
+}
--- a/packages/dotterelspur-gateway/src/request/EndpointCall.ts
+++ b/packages/dotterelspur-gateway/src/request/EndpointCall.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders } from 'node:http'
 import type { Dispatcher } from 'undici'
 import { ExchangeEnd } from 'dotterelspur'
-import type { AnswerHead, WireFormat } from '../process/GatewayPorts.js'
+import type { ResponseHeaders, WireFormat } from '../process/GatewayPorts.js'
 
 const MISDIRECTED = 421
 const FIRST_SUCCESS = 200
@@ -39,8 +39,8 @@
   /** Null if the complete response is to be buffered. */
   readonly sink: ResponseSink | null
   /** Called when a response head or data arrives, which shows that the endpoint is alive. */
-  readonly onProgress: (head: AnswerHead | null) => void
-  readonly onEnd: (end: ExchangeEnd, buffered: BufferedResponse | null, head: AnswerHead | null) => void
+  readonly onProgress: (head: ResponseHeaders | null) => void
+  readonly onEnd: (end: ExchangeEnd, buffered: BufferedResponse | null, head: ResponseHeaders | null) => void
 }
 
 /** undici's error codes for bytes that are not a valid HTTP response. */
@@ -54,7 +54,7 @@
   private ended = false
   private abortedWith: ExchangeEnd | null = null
   private start: ResponseStart | null = null
-  private head: AnswerHead | null = null
+  private head: ResponseHeaders | null = null
   private readonly chunks: Buffer[] = []
   private streaming = false
   private unframed = false
@@ -83,7 +83,7 @@
   onResponseStart (_controller: Dispatcher.DispatchController, status: number, headers: IncomingHttpHeaders): void {
     if (this.ended || status < FIRST_SUCCESS) return
     this.start = { status, headers }
-    this.head = this.options.wire.readAnswer(status, headers)
+    this.head = this.options.wire.readResponseHeaders(status, headers)
     if (this.head.requestId !== this.options.requestId) return this.abort(ExchangeEnd.Foreign)
     this.options.onProgress(this.head)
     this.unframed = headers['content-length'] === undefined && headers['transfer-encoding'] === undefined
@@ -128,7 +128,7 @@
 }
 
 /** The outcome of an exchange that ended with a complete response. */
-function classifyResponse (status: number, head: AnswerHead): ExchangeEnd {
+function classifyResponse (status: number, head: ResponseHeaders): ExchangeEnd {
   if (status === MISDIRECTED) return ExchangeEnd.Misdirected
   if (head.notExecuted) return ExchangeEnd.Rejected
   return status >= FIRST_SERVER_ERROR ? ExchangeEnd.Failed : ExchangeEnd.Answered
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -6,8 +6,8 @@
 } from 'dotterelspur'
 import { forwardedHeaders } from '../connection/headers.js'
 import type { Dispatch, DispatchExchange } from '../process/Dispatch.js'
-import type { CallerHead, WireFormat } from '../process/GatewayPorts.js'
-import type { PoisonKeeper } from '../process/PoisonKeeper.js'
+import type { CallerHeaders, WireFormat } from '../process/GatewayPorts.js'
+import type { PoisonTracker } from '../process/PoisonTracker.js'
 import { GatewayErrorKind, type CallerResponse } from './CallerResponse.js'
 import { EndpointCall, type ResponseStart, type BufferedResponse } from './EndpointCall.js'
 
@@ -21,14 +21,14 @@
   readonly clock: Clock
   readonly wire: WireFormat
   readonly dispatch: Dispatch
-  readonly poison: PoisonKeeper
+  readonly poison: PoisonTracker
 }
 
 /** A request that has been authenticated, routed and admitted, before it is sent to an endpoint. */
 export interface AdmittedRequest {
   readonly request: IncomingMessage
   readonly content: RequestContent
-  readonly head: CallerHead
+  readonly head: CallerHeaders
   readonly requestId: string
   readonly route: Route
   readonly service: ServiceId
@@ -84,7 +84,7 @@
       [DispatchEffectKind.Place]: (effect) => this.place(effect),
       [DispatchEffectKind.Exchange]: async (effect) => await this.exchange(effect),
       [DispatchEffectKind.JudgeLoss]: async () => await this.mayRetryAfterLoss(),
-      [DispatchEffectKind.SpendRetry]: () => this.stoppedWith === null && this.parts.dispatch.spendRepeat(this.admitted.service)
+      [DispatchEffectKind.SpendRetry]: () => this.stoppedWith === null && this.parts.dispatch.trySpendRetry(this.admitted.service)
     })
     cancelDeadline()
     const answeredWith = this.respond(end)
@@ -110,7 +110,7 @@
   private place ({ excluded }: PlaceEffect): DispatchTarget | PlacementRefusal {
     const { head, service, route, arrivedAtMs, spentBeforeMs } = this.admitted
     const spentMs = spentBeforeMs + this.parts.clock.nowMs() - arrivedAtMs
-    return this.parts.dispatch.place({ service, route, head, excluded, leftMs: this.leftMs(), spentMs })
+    return this.parts.dispatch.place({ service, route, head, excluded, leftMs: this.leftMs(), elapsedMs: spentMs })
   }
 
   private leftMs (): number {
@@ -129,9 +129,9 @@
     const end = await new Promise<ExchangeEnd>((resolve) => { this.send(target, mayRetry, resolve) })
     this.currentCall = null
     execution.end()
-    dispatch.exchangeEnded(target)
+    dispatch.endExchange(target)
     if (EXCHANGE_RULES[end].mayHaveCrashedEndpoint) this.lossRecorded = this.noteLoss(target, clock.nowMs() - sentAtMs)
-    if (EXCHANGE_RULES[end].penalizesEndpoint) dispatch.blame(target, end)
+    if (EXCHANGE_RULES[end].penalizesEndpoint) dispatch.noteFailure(target, end)
     return { end, hasPartialResponse: this.response.isStarted }
   }
 
@@ -144,7 +144,7 @@
   private send (target: DispatchTarget, mayMove: boolean, resolve: (end: ExchangeEnd) => void): void {
     const { wire, dispatch } = this.parts
     const streams = this.admitted.route.kind === RequestKind.Streaming
-    const running = dispatch.exchangeBegan(target, this.admitted, mayMove, () => { this.currentCall?.abort(ExchangeEnd.Silent) })
+    const running = dispatch.beginExchange(target, this.admitted, mayMove, () => { this.currentCall?.abort(ExchangeEnd.Silent) })
     this.currentExchange = running
     const channel = dispatch.acquireChannel(target)
     const call = new EndpointCall({
@@ -156,7 +156,7 @@
       onEnd: (end, buffered, head) => {
         running.stop()
         dispatch.releaseChannel(target, channel)
-        if (end === ExchangeEnd.Rejected && head !== null && head.lostMember !== null) dispatch.blame(target, end)
+        if (end === ExchangeEnd.Rejected && head !== null && head.lostMember !== null) dispatch.noteFailure(target, end)
         const finalEnd = this.reclassifyEnd(end, buffered)
         this.handleEnd(finalEnd, buffered)
         resolve(finalEnd)
@@ -168,7 +168,7 @@
 
   private requestOptions (target: DispatchTarget): Dispatcher.DispatchOptions {
     const { request, content: { body }, workspace, priority, head } = this.admitted
-    const headers = this.parts.wire.writeForwarded(forwardedHeaders(request.rawHeaders), {
+    const headers = this.parts.wire.writeForwardedHeaders(forwardedHeaders(request.rawHeaders), {
       endpoint: target.endpoint,
       workspace,
       deadlineMs: Math.max(1, Math.round(this.leftMs())),
@@ -186,7 +186,7 @@
     this.noteProgress()
     this.startStream()
     this.paused = !this.response.write(completeEvents)
-    if (this.paused) this.currentExchange?.noteHeld(true)
+    if (this.paused) this.currentExchange?.noteCallerPaused(true)
     return !this.paused
   }
 
@@ -221,7 +221,7 @@
   private resume (): void {
     if (!this.paused) return
     this.paused = false
-    this.currentExchange?.noteHeld(false)
+    this.currentExchange?.noteCallerPaused(false)
     this.currentCall?.resume()
   }
 
