--- a/packages/dotterelspur-gateway/src/__tests__/unit/StallDetector.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/StallDetector.test.ts
@@ -29,8 +29,8 @@
     this.detector.start()
   }
 
-  send (name: string, endpoint: string, mayMove = true): ExchangeHandle {
-    return this.detector.begin(createTarget(endpoint), ROUTE, mayMove, () => { this.abandoned.push(name) })
+  send (name: string, endpoint: string, mayRetry = true): ExchangeHandle {
+    return this.detector.begin(createTarget(endpoint), ROUTE, mayRetry, () => { this.abandoned.push(name) })
   }
 
   /** Starts a stream and lets it continue for `passes` steps. */
--- a/packages/dotterelspur-gateway/src/__tests__/unit/VerifiedReportClient.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/VerifiedReportClient.test.ts
@@ -17,7 +17,7 @@
   return { client: new VerifiedReportClient({ control, isSuperseded: ({ endpoint }) => ended.has(endpoint) }), ended }
 }
 
-async function ask (client: VerifiedReportClient, times: number): Promise<ReportResultKind[]> {
+async function requestReports (client: VerifiedReportClient, times: number): Promise<ReportResultKind[]> {
   const kinds: ReportResultKind[] = []
   for (let asked = 0; asked < times; asked++) kinds.push((await client.report(LOCATION, TIMEOUT_MS)).kind)
   return kinds
@@ -29,7 +29,7 @@
     // requests before it is listed; only its order count, which never decreases within one incarnation, shows the
     // difference.
     const { client } = createClient([answered(2), answered(3), answered(0), answered(0)])
-    expect(await ask(client, 4)).to.deep.equal([ReportResultKind.Answered, ReportResultKind.Answered, ReportResultKind.Gone, ReportResultKind.Answered])
+    expect(await requestReports(client, 4)).to.deep.equal([ReportResultKind.Answered, ReportResultKind.Answered, ReportResultKind.Gone, ReportResultKind.Answered])
   })
 
   it('compares with the counts known when the request was sent', async () => {
@@ -41,13 +41,13 @@
   it('queries no endpoint at whose address another one is listed or has responded', async () => {
     const { client, ended } = createClient([answered(null), answered(null)])
     ended.add('w1')
-    expect(await ask(client, 1)).to.deep.equal([ReportResultKind.Gone])
+    expect(await requestReports(client, 1)).to.deep.equal([ReportResultKind.Gone])
     ended.clear()
     client.noteAddressTaken(LOCATION)
-    expect(await ask(client, 1)).to.deep.equal([ReportResultKind.Gone])
+    expect(await requestReports(client, 1)).to.deep.equal([ReportResultKind.Gone])
     const moved = await client.report({ ...LOCATION, address: '10.0.0.2:1' }, TIMEOUT_MS)
     expect(moved.kind).to.equal(ReportResultKind.Answered)
     client.retain(new Map())
-    expect(await ask(client, 1)).to.deep.equal([ReportResultKind.Answered])
+    expect(await requestReports(client, 1)).to.deep.equal([ReportResultKind.Answered])
   })
 })
--- a/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
+++ b/packages/dotterelspur-gateway/src/connection/PeerLinks.ts
@@ -51,8 +51,8 @@
   onNewerLease (lease: StoredObject<LeaseObject>): void
   /** The state that this node broadcasts as the lease holder; null unless it holds the lease. */
   leaseHolderState (): LeaseHolderState | null
-  onLeaseHolderState (word: LeaseHolderState): void
-  onFeedUpdate (news: FeedUpdate): void
+  onLeaseHolderState (state: LeaseHolderState): void
+  onFeedUpdate (update: FeedUpdate): void
   onPoisonRecords (records: readonly PoisonRecord[]): void
   /** The records to send to a newly linked node: `all` of them if it is the coordinator, otherwise those that are shared with all nodes. */
   poisonRecords (all: boolean): readonly PoisonRecord[]
@@ -156,8 +156,8 @@
 
   /** Broadcasts the lease holder's state immediately, for example when a group is lost. */
   broadcastState (): void {
-    const word = this.listener.leaseHolderState()
-    if (word !== null) this.send(this.linkedSockets(), { kind: PeerFrameKind.LeaseHolderState, word })
+    const state = this.listener.leaseHolderState()
+    if (state !== null) this.send(this.linkedSockets(), { kind: PeerFrameKind.LeaseHolderState, word: state })
   }
 
   /** Informs all nodes of suspected groups, so that each does not have to wait until its own streams there pause. */
@@ -166,8 +166,8 @@
   }
 
   /** A node that misses an update detects the gap in versions and reads from the store. */
-  broadcastFeedUpdate (news: FeedUpdate): void {
-    this.send(this.linkedSockets(), { kind: PeerFrameKind.FeedUpdate, news })
+  broadcastFeedUpdate (update: FeedUpdate): void {
+    this.send(this.linkedSockets(), { kind: PeerFrameKind.FeedUpdate, news: update })
   }
 
   /** Sends `all` records to the coordinator, and the `shared` ones to the nodes that this node coordinates. */
--- a/packages/dotterelspur-gateway/src/process/Dispatch.ts
+++ b/packages/dotterelspur-gateway/src/process/Dispatch.ts
@@ -146,10 +146,10 @@
     const { load, speeds, backpressure } = fleetView
     fleetView.checkFreshness()
     const nowMs = parts.clock.nowMs()
-    const sender = this.ownPlace()
+    const sender = this.ownPosition()
     const engine = this.engineTiming.engine(query.service)
     const key = poolKey(query.service, engine === null ? null : query.head.model)
-    const placed = place({
+    const placement = place({
       promptTokens: query.head.promptTokens,
       targetMs: query.route.targetLatencyMs,
       targetGapMs: query.route.targetGapMs,
@@ -169,11 +169,11 @@
       random: parts.random,
       nowMs
     })
-    if ('endpoint' in placed) {
-      backpressure.noteSent(placed.endpoint, nowMs)
-      this.backpressureLog.noteSent(placed.endpoint, query.excluded.length > 0)
+    if ('endpoint' in placement) {
+      backpressure.noteSent(placement.endpoint, nowMs)
+      this.backpressureLog.noteSent(placement.endpoint, query.excluded.length > 0)
     }
-    return placed
+    return placement
   }
 
   acquireChannel (target: DispatchTarget): EndpointChannel {
@@ -184,12 +184,12 @@
     this.channels.release(target.endpoint, channel)
   }
 
-  beginExchange (target: DispatchTarget, { route, head }: Pick<DispatchQuery, 'route' | 'head'>, mayMove: boolean, onSilent: () => void): DispatchExchange {
+  beginExchange (target: DispatchTarget, { route, head }: Pick<DispatchQuery, 'route' | 'head'>, mayRetry: boolean, onSilent: () => void): DispatchExchange {
     const beganAtMs = this.parts.clock.nowMs()
     const declaredMs = this.engineTiming.declaredFirstEventMs(target, head.promptTokens, beganAtMs)
     this.fleetView.load.begin(poolKeyOf(target), target.endpoint, beganAtMs)
     return {
-      ...this.stallDetector.begin(target, route, mayMove, onSilent),
+      ...this.stallDetector.begin(target, route, mayRetry, onSilent),
       noteFirstEvent: () => {
         if (declaredMs !== null) this.fleetView.firstEvents.noteFirstEvent(target.model!, this.parts.clock.nowMs() - beganAtMs, declaredMs)
       }
@@ -245,10 +245,10 @@
     if (gapMs !== null) this.engineTiming.noteGap(target, gapMs, nowMs)
   }
 
-  private noteBackpressure ({ endpoint }: DispatchTarget, need: ReportedBackpressure, nowMs: number): void {
-    this.backpressureLog.note(endpoint, need)
-    this.fleetView.backpressure.note(endpoint, need, nowMs)
-    if (need.isLeaving) this.parts.endpoints.noteLeaving([endpoint])
+  private noteBackpressure ({ endpoint }: DispatchTarget, reported: ReportedBackpressure, nowMs: number): void {
+    this.backpressureLog.note(endpoint, reported)
+    this.fleetView.backpressure.note(endpoint, reported, nowMs)
+    if (reported.isLeaving) this.parts.endpoints.noteLeaving([endpoint])
   }
 
   private noteEndpoints (endpoints: ReadonlyMap<EndpointId, EndpointRecord>): void {
@@ -266,13 +266,13 @@
     this.fleetView.updatePools([...this.pools.values()])
   }
 
-  private ownPlace (): SenderPosition {
+  private ownPosition (): SenderPosition {
     const { senders, node, failureDomain } = this.parts
-    const known = senders()
-    if (known !== this.arrangedSenders) {
-      this.arrangedSenders = known
-      this.sender = senderPosition(known, { node, failureDomain })
-      this.fleetView.backpressure.rateLimits.noteNodes(known.map((sender) => sender.node))
+    const current = senders()
+    if (current !== this.arrangedSenders) {
+      this.arrangedSenders = current
+      this.sender = senderPosition(current, { node, failureDomain })
+      this.fleetView.backpressure.rateLimits.noteNodes(current.map((sender) => sender.node))
     }
     return this.sender
   }
--- a/packages/dotterelspur-gateway/src/process/EndpointRegistry.ts
+++ b/packages/dotterelspur-gateway/src/process/EndpointRegistry.ts
@@ -59,7 +59,7 @@
   }
 
   /** Whether the endpoint list has been read at least once. */
-  get isSynced (): boolean {
+  get isSynchronized (): boolean {
     return this.listed
   }
 
--- a/packages/dotterelspur-gateway/src/process/FleetLease.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetLease.ts
@@ -49,7 +49,7 @@
 
 /** Acquires, renews, observes and releases the fleet's lease; `step` is called several times a second. */
 export class FleetLease {
-  private sighting: LeaseSighting = NO_SIGHTING
+  private leaseObservation: LeaseSighting = NO_SIGHTING
   private held: LeaseTerm | null = null
   /** Fencing number of this node's last term if it expired; null once another node is known to have taken over. */
   private lapsedFencing: number | null = null
@@ -66,7 +66,7 @@
   private failedChallenges = 0
   private stopped = false
   private isRenewalRequested = false
-  private readonly knownListeners = new Set<() => void>()
+  private readonly synchronizedListeners = new Set<() => void>()
 
   constructor (
     private readonly store: ObjectStore, private readonly self: LeaseIdentity, private readonly clock: Clock, private readonly random: Random, private readonly log: DecisionLog,
@@ -82,14 +82,14 @@
   }
 
   /** Whether the store has returned the lease or confirmed that there is none. */
-  get isKnown (): boolean {
-    return this.sighting.firstSeenAtMs !== null
+  get isSynchronized (): boolean {
+    return this.leaseObservation.firstSeenAtMs !== null
   }
 
   /** Registers a listener that runs once the state of the lease is known. */
-  registerKnown (listener: () => void): Teardown {
-    this.knownListeners.add(listener)
-    return () => { this.knownListeners.delete(listener) }
+  registerSynchronizedListener (listener: () => void): Teardown {
+    this.synchronizedListeners.add(listener)
+    return () => { this.synchronizedListeners.delete(listener) }
   }
 
   /** Makes the holder write the lease without waiting for the next renewal, because the state stored with it has changed. */
@@ -109,7 +109,7 @@
    */
   isCoordinator (): boolean {
     if (this.held !== null) return true
-    return this.lapsedFencing !== null && (this.sighting.lease?.fencing ?? 0) <= this.lapsedFencing
+    return this.lapsedFencing !== null && (this.leaseObservation.lease?.fencing ?? 0) <= this.lapsedFencing
   }
 
   /** Fencing number of the held term, which rises with each takeover; null while another node holds the lease. */
@@ -178,7 +178,7 @@
    * may take it at once.
    */
   private isHeldByFormerIncarnation (): boolean {
-    return this.sighting.lease?.holder === this.self.node
+    return this.leaseObservation.lease?.holder === this.self.node
   }
 
   private async renew (term: LeaseTerm, nowMs: number): Promise<void> {
@@ -196,7 +196,7 @@
   }
 
   private async challenge (nowMs: number): Promise<void> {
-    const decision = decideChallenge(this.sighting, { ...this.self, rank: 0, hasOneLife: true }, FLEET_LEASE_TIMING, nowMs)
+    const decision = decideChallenge(this.leaseObservation, { ...this.self, rank: 0, hasOneLife: true }, FLEET_LEASE_TIMING, nowMs)
     if (decision.kind === ChallengeKind.Wait) {
       this.challengeAtMs = null
       return await this.readLease(nowMs)
@@ -207,9 +207,9 @@
     if (result.kind === LeaseResultKind.Held) {
       this.held = result.term
       this.lapsedFencing = null
-      const former = this.sighting.lease
+      const former = this.leaseObservation.lease
       if (former !== null && !former.released && former.holder !== this.self.node) this.onLapsedHolder({ node: former.holder, incarnation: former.holderIncarnation })
-      return this.log.write(LogKind.LeaseTaken, { fencing: result.term.fencing, version: result.term.version, formerHolder: this.sighting.lease?.holder ?? null })
+      return this.log.write(LogKind.LeaseTaken, { fencing: result.term.fencing, version: result.term.version, formerHolder: this.leaseObservation.lease?.holder ?? null })
     }
     if (result.observed !== null) this.observe(result.observed)
     this.failedChallenges = result.observed === null ? this.failedChallenges + 1 : 0
@@ -227,24 +227,24 @@
   private async readLease (nowMs: number): Promise<void> {
     if (nowMs < this.nextReadAtMs) return
     this.nextReadAtMs = nowMs + READ_INTERVAL_MS
-    const freshness = this.sighting.firstSeenAtMs === null ? ReadFreshness.Newest : ReadFreshness.MayBeStale
+    const freshness = this.leaseObservation.firstSeenAtMs === null ? ReadFreshness.Newest : ReadFreshness.MayBeStale
     const read = await this.store.get<LeaseObject>(leaseKey(FLEET_LEASE_NAME), freshness)
     if (read.ok) this.observe(read.value)
-    else if (read.error.kind === StoreErrorKind.NotFound) this.setSighting(observeAbsence(this.sighting, this.clock.nowMs()))
+    else if (read.error.kind === StoreErrorKind.NotFound) this.setLeaseObservation(observeAbsence(this.leaseObservation, this.clock.nowMs()))
   }
 
   private observe (stored: StoredObject<LeaseObject>): void {
     if (!stored.deleted && stored.body.fencing >= (this.latestLease?.body.fencing ?? 0)) this.latestLease = stored
     if (stored.deleted) return
     this.memory.restore((stored.body as StoredLease).memory ?? {})
-    this.setSighting(observeLease(this.sighting, stored.version, stored.body, this.clock.nowMs()))
+    this.setLeaseObservation(observeLease(this.leaseObservation, stored.version, stored.body, this.clock.nowMs()))
   }
 
-  private setSighting (sighting: LeaseSighting): void {
-    const wasKnown = this.isKnown
-    this.sighting = sighting
-    if (wasKnown || !this.isKnown) return
-    for (const listener of this.knownListeners) listener()
+  private setLeaseObservation (leaseObservation: LeaseSighting): void {
+    const wasSynchronized = this.isSynchronized
+    this.leaseObservation = leaseObservation
+    if (wasSynchronized || !this.isSynchronized) return
+    for (const listener of this.synchronizedListeners) listener()
   }
 
   private lose (reason: LeaseLoss): void {
@@ -252,7 +252,7 @@
     this.held = null
     if (term === null) return
     this.lapsedFencing = reason === LeaseLoss.Expired ? term.fencing : null
-    this.sighting = raiseFencingFloor({ ...this.sighting, firstSeenAtMs: this.clock.nowMs() }, term.fencing)
+    this.leaseObservation = raiseFencingFloor({ ...this.leaseObservation, firstSeenAtMs: this.clock.nowMs() }, term.fencing)
     this.nextReadAtMs = 0
     this.log.write(LogKind.LeaseLost, { fencing: term.fencing, reason })
   }
--- a/packages/dotterelspur-gateway/src/process/FleetView.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetView.ts
@@ -90,14 +90,14 @@
   /** Called before the view is used: without fresh fleet observations a node falls back to its own. */
   checkFreshness (): void {
     const nowMs = this.clock.nowMs()
-    const isTold = this.load.hasFreshObservation(nowMs)
-    if (isTold === this.wasFresh) return
-    this.wasFresh = isTold
-    if (!isTold) {
+    const isFresh = this.load.hasFreshObservation(nowMs)
+    if (isFresh === this.wasFresh) return
+    this.wasFresh = isFresh
+    if (!isFresh) {
       this.speeds.applyFleetObservation(null)
       this.demand.applyFleetObservation(null)
       this.pauses.applyFleetObservation({})
     }
-    this.log.write(isTold ? LogKind.DependencyRegained : LogKind.DependencyLost, { dependency: 'fleet observations', ageMs: this.load.observationAgeMs(nowMs) })
+    this.log.write(isFresh ? LogKind.DependencyRegained : LogKind.DependencyLost, { dependency: 'fleet observations', ageMs: this.load.observationAgeMs(nowMs) })
   }
 }
--- a/packages/dotterelspur-gateway/src/process/FormationController.ts
+++ b/packages/dotterelspur-gateway/src/process/FormationController.ts
@@ -174,8 +174,8 @@
   private decide (service: ServiceSpec, engine: EngineSpec): void {
     const { clock } = this.parts
     const endpoints = [...this.records.values()].filter((record) => record.service === service.service)
-    const sound = endpoints.filter(({ leaving }) => !leaving).length
-    const fullSize = Math.max(sound, this.fullSizes.get(service.service) ?? 0)
+    const remainingCount = endpoints.filter(({ leaving }) => !leaving).length
+    const fullSize = Math.max(remainingCount, this.fullSizes.get(service.service) ?? 0)
     this.fullSizes.set(service.service, fullSize)
     const decisions = planFormations({
       endpoints,
--- a/packages/dotterelspur-gateway/src/process/GatewayPorts.ts
+++ b/packages/dotterelspur-gateway/src/process/GatewayPorts.ts
@@ -78,7 +78,7 @@
 
 /** Sends orders and report requests to endpoints. Neither call throws. */
 export interface EndpointControl {
-  /** @param expectedOrders the endpoint rejects the order as unfit unless it has carried out exactly this many; null sets no condition. */
-  order (location: EndpointLocation, order: EndpointOrder, expectedOrders: number | null): Promise<OrderReply>
+  /** @param expectedOrderCount the endpoint rejects the order as unfit unless it has carried out exactly this many; null sets no condition. */
+  order (location: EndpointLocation, order: EndpointOrder, expectedOrderCount: number | null): Promise<OrderReply>
   report (location: EndpointLocation, timeoutMs: number): Promise<ReportResult>
 }
--- a/packages/dotterelspur-gateway/src/process/InitialSync.ts
+++ b/packages/dotterelspur-gateway/src/process/InitialSync.ts
@@ -10,8 +10,8 @@
 
 /** A source that is read once after process start. */
 export interface InitialSyncSource {
-  readonly isKnown: boolean
-  registerKnown (listener: () => void): Teardown
+  readonly isSynchronized: boolean
+  registerSynchronizedListener (listener: () => void): Teardown
 }
 
 /**
@@ -27,11 +27,11 @@
     this.startedAtMs = clock.nowMs()
     manifest.registerListener(() => { this.check() })
     endpoints.registerListener(() => { this.check() })
-    for (const other of otherSources) other.registerKnown(() => { this.check() })
+    for (const other of otherSources) other.registerSynchronizedListener(() => { this.check() })
   }
 
   get isComplete (): boolean {
-    return this.manifest.current !== null && this.endpoints.isSynced
+    return this.manifest.current !== null && this.endpoints.isSynchronized
   }
 
   /** Resolves once all sources are read, or when the wait limit since process start has passed. */
@@ -52,7 +52,7 @@
 
   /** Includes the quarantine: after all nodes were killed, requests that crash endpoints arrive as soon as a node listens. */
   private get isAllRead (): boolean {
-    return this.isComplete && this.otherSources.every(({ isKnown }) => isKnown)
+    return this.isComplete && this.otherSources.every(({ isSynchronized }) => isSynchronized)
   }
 
   private check (): void {
--- a/packages/dotterelspur-gateway/src/process/StallDetector.ts
+++ b/packages/dotterelspur-gateway/src/process/StallDetector.ts
@@ -28,7 +28,7 @@
   isCallerPaused: boolean
   readonly target: DispatchTarget
   /** Whether the request may be sent to another endpoint; otherwise it keeps waiting, since its group may only be slow. */
-  readonly mayMove: boolean
+  readonly mayRetry: boolean
   readonly onSilent: () => void
 }
 
@@ -97,9 +97,9 @@
     }
   }
 
-  begin (target: DispatchTarget, route: Route, mayMove: boolean, onSilent: () => void): ExchangeHandle {
+  begin (target: DispatchTarget, route: Route, mayRetry: boolean, onSilent: () => void): ExchangeHandle {
     const nowMs = this.clock.nowMs()
-    const watched: WatchedExchange = { route, startedAtMs: nowMs, progressAtMs: nowMs, events: 0, isCallerPaused: false, target, mayMove, onSilent }
+    const watched: WatchedExchange = { route, startedAtMs: nowMs, progressAtMs: nowMs, events: 0, isCallerPaused: false, target, mayRetry, onSilent }
     if (route.kind === RequestKind.Streaming) this.watched.add(watched)
     return {
       noteProgress: (headers) => { this.noteProgress(watched, headers) },
@@ -118,7 +118,7 @@
    */
   noteStalled (endpoint: EndpointId, certainty: StallCertainty): boolean {
     if (this.clock.nowMs() - this.lastBytesFrom(endpoint) < OWN_EVIDENCE_MS) return false
-    this.abandon((watched) => this.canMoveFrom(watched, endpoint) && (watched.events === 0 || certainty === StallCertainty.Confirmed))
+    this.abandon((watched) => this.mayRetryFrom(watched, endpoint) && (watched.events === 0 || certainty === StallCertainty.Confirmed))
     return true
   }
 
@@ -160,11 +160,11 @@
     if (silentMs < limitMs) return
     this.reported.add(target.endpoint)
     this.listener.onStalled(target, silentMs, limitMs)
-    this.abandon((watched) => this.canMoveFrom(watched, target.endpoint) && watched.events === 0)
+    this.abandon((watched) => this.mayRetryFrom(watched, target.endpoint) && watched.events === 0)
   }
 
-  private canMoveFrom ({ target, mayMove }: WatchedExchange, endpoint: EndpointId): boolean {
-    return target.endpoint === endpoint && mayMove && this.listener.mayRetry(target.service)
+  private mayRetryFrom ({ target, mayRetry }: WatchedExchange, endpoint: EndpointId): boolean {
+    return target.endpoint === endpoint && mayRetry && this.listener.mayRetry(target.service)
   }
 
   private abandon (isOver: (watched: WatchedExchange) => boolean): void {
--- a/packages/dotterelspur-gateway/src/process/VerifiedReportClient.ts
+++ b/packages/dotterelspur-gateway/src/process/VerifiedReportClient.ts
@@ -24,12 +24,12 @@
   async report (location: EndpointLocation, timeoutMs: number): Promise<ReportResult> {
     // Of two concurrent requests the later one may be answered first, so the count is compared with the one known when
     // this request was sent.
-    const knownCount = this.orderCounts.get(location.endpoint) ?? 0
+    const previousCount = this.orderCounts.get(location.endpoint) ?? 0
     if (this.isAddressTaken(location)) return GONE
     const result = await this.parts.control.report(location, timeoutMs)
     if (result.kind !== ReportResultKind.Answered) return result
     if (this.isAddressTaken(location)) return GONE
-    return this.isSameIncarnation(location.endpoint, result.report.orderCount, knownCount) ? result : GONE
+    return this.isSameIncarnation(location.endpoint, result.report.orderCount, previousCount) ? result : GONE
   }
 
   /** Records that another endpoint responded to an order sent to this one. */
@@ -48,9 +48,9 @@
    * Whether the count can belong to the same incarnation. After a decrease the stored count is dropped, so that the
    * next report of a new incarnation under the same id is accepted.
    */
-  private isSameIncarnation (endpoint: EndpointId, count: number | null, knownCount: number): boolean {
+  private isSameIncarnation (endpoint: EndpointId, count: number | null, previousCount: number): boolean {
     if (count === null) return true
-    if (count < knownCount) {
+    if (count < previousCount) {
       this.orderCounts.delete(endpoint)
       return false
     }
--- a/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
+++ b/packages/dotterelspur-gateway/src/request/GatewayRequest.ts
@@ -141,10 +141,10 @@
     await poison.noteLoss({ requestId, content, target, events: this.eventCount, tookMs, besides: dispatch.ownInFlight(target) })
   }
 
-  private send (target: DispatchTarget, mayMove: boolean, resolve: (end: ExchangeEnd) => void): void {
+  private send (target: DispatchTarget, mayRetry: boolean, resolve: (end: ExchangeEnd) => void): void {
     const { wire, dispatch } = this.parts
     const streams = this.admitted.route.kind === RequestKind.Streaming
-    const running = dispatch.beginExchange(target, this.admitted, mayMove, () => { this.currentCall?.abort(ExchangeEnd.Silent) })
+    const running = dispatch.beginExchange(target, this.admitted, mayRetry, () => { this.currentCall?.abort(ExchangeEnd.Silent) })
     this.currentExchange = running
     const channel = dispatch.acquireChannel(target)
     const call = new EndpointCall({
--- a/packages/dotterelspur-poison/src/process/QuarantineRegistry.ts
+++ b/packages/dotterelspur-poison/src/process/QuarantineRegistry.ts
@@ -40,7 +40,7 @@
   constructor (private readonly options: QuarantineRegistryOptions) {}
 
   /** Whether the list has been read at least once. */
-  get isKnown (): boolean {
+  get isSynchronized (): boolean {
     return this.listed
   }
 
@@ -50,7 +50,7 @@
   }
 
   /** Calls the listener once the list has been read for the first time. */
-  registerKnown (listener: () => void): Teardown {
+  registerSynchronizedListener (listener: () => void): Teardown {
     this.synchronizedListeners.add(listener)
     return () => { this.synchronizedListeners.delete(listener) }
   }
--- a/packages/dotterelspur/src/request/poison/PoisonLedger.ts
+++ b/packages/dotterelspur/src/request/poison/PoisonLedger.ts
@@ -1,5 +1,5 @@
 import type { WorkspaceId } from '../../process/ids.js'
-import { judgePoison, type PoisonJudgement } from './judgePoison.js'
+import { assessPoison, type PoisonAssessment } from './assessPoison.js'
 import { mergeRecords, hasMoreEvidence, type EndpointTermination, type PoisonRecord } from './PoisonRecord.js'
 import type { RequestFingerprint } from './RequestContent.js'
 
@@ -54,7 +54,7 @@
   /** When each of the other requests was first identified as a cause. */
   private readonly quarantinedAtMs = new Map<RequestFingerprint, number>()
   private outlines: ReadonlySet<number> | null = null
-  private judgement: PoisonJudgement | null = null
+  private assessment: PoisonAssessment | null = null
 
   constructor (private readonly limits: PoisonLimits) {}
 
@@ -70,7 +70,7 @@
   }
 
   stateOf (fingerprint: RequestFingerprint, nowMs: number): PoisonState {
-    const { quarantined, weights } = this.judge()
+    const { quarantined, weights } = this.assess()
     if (this.decided.has(fingerprint)) return PoisonState.Quarantined
     if (quarantined.has(fingerprint)) return this.hasSettled(fingerprint, nowMs) ? PoisonState.Quarantined : PoisonState.Settling
     return (weights.get(fingerprint) ?? 0) >= this.suspectWeight ? PoisonState.Suspected : PoisonState.Trusted
@@ -78,12 +78,12 @@
 
   /** Requests that are no longer sent anywhere. */
   get quarantined (): ReadonlySet<RequestFingerprint> {
-    return this.judge().quarantined
+    return this.assess().quarantined
   }
 
   /** Requests that are suspects, but not in quarantine. */
   get suspected (): RequestFingerprint[] {
-    return [...this.judge().weights].filter(([, weight]) => weight >= this.suspectWeight).map(([fingerprint]) => fingerprint)
+    return [...this.assess().weights].filter(([, weight]) => weight >= this.suspectWeight).map(([fingerprint]) => fingerprint)
   }
 
   recordOf (fingerprint: RequestFingerprint): PoisonRecord | undefined {
@@ -145,11 +145,11 @@
     return this.limits.quarantineEnds - SUSPECT_MARGIN
   }
 
-  private judge (): PoisonJudgement {
-    if (this.judgement !== null) return this.judgement
-    this.judgement = judgePoison([...this.entries.values()].map(({ record }) => record), new Set(this.decided.keys()), this.limits.quarantineEnds)
-    for (const fingerprint of this.quarantinedAtMs.keys()) if (!this.judgement.quarantined.has(fingerprint)) this.quarantinedAtMs.delete(fingerprint)
-    return this.judgement
+  private assess (): PoisonAssessment {
+    if (this.assessment !== null) return this.assessment
+    this.assessment = assessPoison([...this.entries.values()].map(({ record }) => record), new Set(this.decided.keys()), this.limits.quarantineEnds)
+    for (const fingerprint of this.quarantinedAtMs.keys()) if (!this.assessment.quarantined.has(fingerprint)) this.quarantinedAtMs.delete(fingerprint)
+    return this.assessment
   }
 
   /** Returns the merged record if it holds more evidence than before. */
@@ -184,7 +184,7 @@
   }
 
   private invalidate (): void {
-    this.judgement = null
+    this.assessment = null
     this.outlines = null
   }
 }
--- a/packages/dotterelspur/src/request/poison/__tests__/unit/judgePoison.test.ts
+++ b/packages/dotterelspur/src/request/poison/__tests__/unit/assessPoison.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { judgePoison } from '../../judgePoison.js'
+import { assessPoison } from '../../assessPoison.js'
 import type { PoisonRecord } from '../../PoisonRecord.js'
 
 const QUARANTINE_ENDS = 3
@@ -10,10 +10,10 @@
 }
 
 function quarantined (records: readonly PoisonRecord[], decided: readonly string[] = []): string[] {
-  return [...judgePoison(records, new Set(decided), QUARANTINE_ENDS).quarantined].sort()
+  return [...assessPoison(records, new Set(decided), QUARANTINE_ENDS).quarantined].sort()
 }
 
-describe('judgePoison', () => {
+describe('assessPoison', () => {
   it('needs three terminations of a request that had no part of an answer', () => {
     expect(quarantined([createRecord('poison', ['e1', 'e2'])])).to.deep.equal([])
     expect(quarantined([createRecord('poison', ['e1', 'e2', 'e3'])])).to.deep.equal(['poison'])
@@ -27,7 +27,7 @@
   it('quarantines only the request with the most terminations where others were present as well', () => {
     const records = [createRecord('poison', ['e1', 'e2', 'e3', 'e4']), createRecord('beside', ['e1', 'e2', 'e3']), createRecord('also', ['e2', 'e3', 'e4'])]
     expect(quarantined(records)).to.deep.equal(['poison'])
-    expect(judgePoison(records, new Set(), QUARANTINE_ENDS).weights.get('beside')).to.equal(1.5)
+    expect(assessPoison(records, new Set(), QUARANTINE_ENDS).weights.get('beside')).to.equal(1.5)
   })
 
   it('quarantines neither of two requests with the same terminations, until one has another', () => {
--- a/packages/dotterelspur/src/request/poison/judgePoison.ts
+++ b/packages/dotterelspur/src/request/poison/assessPoison.ts
@@ -30,7 +30,7 @@
 }
 
 /** The classification of all requests that lost their endpoints. */
-export interface PoisonJudgement {
+export interface PoisonAssessment {
   /** Requests that are no longer sent anywhere. */
   readonly quarantined: ReadonlySet<RequestFingerprint>
   /** Weight of the terminations of each other request. */
@@ -45,7 +45,7 @@
  * @param decided requests that were judged before; their terminations need no other explanation.
  * @param quarantineEnds terminations from which on a request is considered the cause.
  */
-export function judgePoison (records: Iterable<PoisonRecord>, decided: ReadonlySet<RequestFingerprint>, quarantineEnds: number): PoisonJudgement {
+export function assessPoison (records: Iterable<PoisonRecord>, decided: ReadonlySet<RequestFingerprint>, quarantineEnds: number): PoisonAssessment {
   const all: Candidate[] = [...records]
   const quarantined = new Set(decided)
   const explained = new Set(all.filter(({ fingerprint }) => decided.has(fingerprint)).flatMap(({ ends }) => ends.map(({ endpoint }) => endpoint)))
--- a/packages/dotterelspur/src/request/poison/index.ts
+++ b/packages/dotterelspur/src/request/poison/index.ts
@@ -1,4 +1,4 @@
 export * from './PoisonLedger.js'
 export * from './PoisonRecord.js'
 export * from './RequestContent.js'
-export * from './judgePoison.js'
+export * from './assessPoison.js'
