--- a/packages/dotterelspur-mesh/src/__tests__/unit/Calls.test.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/Calls.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { CallEventKind, homeOf, MeshErrorKind } from 'dotterelspur'
 import { type Mesh } from '../../index.js'
-import { collect, createFleet, type Fleet, until } from './meshFixture.js'
+import { collect, createFleet, type Fleet, waitUntil } from './meshFixture.js'
 
 const NEVER = new AbortController().signal
 
@@ -10,9 +10,9 @@
 
   afterEach(async () => { await fleet.stop() })
 
-  async function createPair (servedCalls = 100): Promise<readonly [Mesh, Mesh]> {
-    fleet = await createFleet(2, { callLimits: { creditWindow: 8, servedCalls } })
-    await until(() => fleet.meshes.every((mesh) => mesh.members().length === 2))
+  async function createPair (maxServedCalls = 100): Promise<readonly [Mesh, Mesh]> {
+    fleet = await createFleet(2, { callLimits: { creditWindow: 8, maxServedCalls } })
+    await waitUntil(() => fleet.meshes.every((mesh) => mesh.members().length === 2))
     return [fleet.meshes[0]!, fleet.meshes[1]!]
   }
 
@@ -37,8 +37,8 @@
       expect(counter.produced).to.be.at.most(read + 8)
       if (read === 30) break
     }
-    await until(() => counter.aborted)
-    await until(() => server.sizes().runningCalls === 0)
+    await waitUntil(() => counter.aborted)
+    await waitUntil(() => server.sizes().runningCalls === 0)
   })
 
   it('cancels the handler when the caller aborts, and tells the caller that it was interrupted', async () => {
@@ -46,10 +46,10 @@
     const counter = registerCounter(server)
     const abort = new AbortController()
     const reading = collect(caller.call(homeOf(server.self), 'count', null, abort.signal))
-    await until(() => counter.produced > 20)
+    await waitUntil(() => counter.produced > 20)
     abort.abort()
     expect((await reading).last).to.have.nested.property('error.kind', MeshErrorKind.Interrupted)
-    await until(() => counter.aborted)
+    await waitUntil(() => counter.aborted)
   })
 
   /*
@@ -62,7 +62,7 @@
     const counter = registerCounter(server)
     const home = homeOf(server.self)
     const reading = collect(caller.call(home, 'count', null, NEVER))
-    await until(() => counter.produced > 0)
+    await waitUntil(() => counter.produced > 0)
     await server.stop()
     expect((await reading).last).to.have.nested.property('error.kind', MeshErrorKind.Interrupted)
     const later = await collect(caller.call(home, 'count', null, NEVER))
@@ -82,7 +82,7 @@
     const counter = registerCounter(server)
     const abort = new AbortController()
     const first = collect(caller.call(homeOf(server.self), 'count', null, abort.signal))
-    await until(() => counter.produced > 0)
+    await waitUntil(() => counter.produced > 0)
     const second = await collect(caller.call(homeOf(server.self), 'count', null, NEVER))
     expect(second.last).to.have.nested.property('error.kind', MeshErrorKind.Overloaded)
     abort.abort()
--- a/packages/dotterelspur-mesh/src/__tests__/unit/Handshake.test.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/Handshake.test.ts
@@ -3,10 +3,10 @@
 import { WebSocket } from 'ws'
 import { ConnectionPurpose } from '../../connection/Connection.js'
 import { encodeFrame } from '../../connection/FrameCodec.js'
-import { introduceAsDialer, RefusalReason } from '../../connection/Handshake.js'
+import { handshakeAsDialer, RefusalReason } from '../../connection/Handshake.js'
 import { CredentialsKind, type Mesh, type MeshCredentials } from '../../index.js'
 import { createAuthority, createCertificate } from './certificateFixture.js'
-import { createDocument, createFleet, FAST_TIMING, type Fleet, realClock, until } from './meshFixture.js'
+import { createDocument, createFleet, FAST_TIMING, type Fleet, realClock, waitUntil } from './meshFixture.js'
 
 const KEY: MeshCredentials = { kind: CredentialsKind.SharedKey, key: 'test key' }
 
@@ -22,7 +22,7 @@
 async function createRawPeer (mesh: Mesh): Promise<WebSocket> {
   const socket = new WebSocket(`ws://${mesh.self.meshAddress}/mesh`)
   await new Promise((resolve) => { socket.once('open', resolve) })
-  const introduced = await introduceAsDialer(socket, ConnectionPurpose.Gossip, { node: null, incarnation: 0 }, { self: createStranger, credentials: KEY, clock: realClock, timeoutMs: 5_000, certifies: () => true })
+  const introduced = await handshakeAsDialer(socket, ConnectionPurpose.Gossip, { node: null, incarnation: 0 }, { self: createStranger, credentials: KEY, clock: realClock, timeoutMs: 5_000, isCertifiedAs: () => true })
   expect(introduced.ok).to.equal(true)
   return socket
 }
@@ -45,7 +45,7 @@
   it('joins nodes whose certificates name them', async () => {
     const authority = await createAuthority('authority')
     const meshes = await createPair([await createCertificate(authority, 'node-0'), await createCertificate(authority, 'node-1')])
-    await until(() => meshes.every((mesh) => mesh.members().length === 2))
+    await waitUntil(() => meshes.every((mesh) => mesh.members().length === 2))
   })
 
   const cases: ReadonlyArray<{ readonly name: string, readonly reason: RefusalReason, credentials (): Promise<readonly MeshCredentials[]> }> = [
@@ -87,7 +87,7 @@
   for (const { name, reason, credentials } of cases) {
     it(`refuses ${name}, whoever dials, and says why`, async () => {
       const meshes = await createPair(await credentials())
-      await until(() => meshes.every((mesh) => refusals(mesh, reason) > 0))
+      await waitUntil(() => meshes.every((mesh) => refusals(mesh, reason) > 0))
       expect(meshes.map((mesh) => mesh.members().length)).to.deep.equal([1, 1])
       expect(meshes.map((mesh) => mesh.counters().handshakes)).to.deep.equal([0, 0])
     })
@@ -116,7 +116,7 @@
   it('closes a link on a frame that is not well formed, with the reason, and goes on', async () => {
     fleet = await createFleet(2)
     const [mesh] = fleet.meshes
-    await until(() => mesh!.sizes().gossipLinks === 1)
+    await waitUntil(() => mesh!.sizes().gossipLinks === 1)
     const frames = [Buffer.from([0xc1]), Buffer.from([0x91, 0x63]), Buffer.from('81a16101', 'hex'), Buffer.from('9101', 'hex'), Buffer.from('911'.padEnd(8, 'f'), 'hex'), Buffer.from('9214a0', 'hex')]
     for (const frame of frames) {
       const socket = await createRawPeer(mesh!)
@@ -126,7 +126,7 @@
       expect(reason).to.not.equal('')
     }
     expect(mesh!.counters().malformedFrames).to.equal(frames.length)
-    await until(() => mesh!.sizes().gossipLinks === 1)
+    await waitUntil(() => mesh!.sizes().gossipLinks === 1)
   })
 
   /*
@@ -142,7 +142,7 @@
     socket.pause()
     const want = encodeFrame({ kind: FrameKind.Want, keys: ['teams/large'] })
     for (let asked = 0; asked < 60; asked += 1) socket.send(want)
-    await until(() => (mesh!.counters().dropped[FrameKind[FrameKind.Documents]] ?? 0) > 0)
+    await waitUntil(() => (mesh!.counters().dropped[FrameKind[FrameKind.Documents]] ?? 0) > 0)
     socket.terminate()
   })
 
--- a/packages/dotterelspur-mesh/src/__tests__/unit/Mesh.test.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/Mesh.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { CallEventKind, homeOf, MeshErrorKind, NodeState } from 'dotterelspur'
-import { collect, createDocument, createFleet, createGroupPresence, type Fleet, stateOf, until } from './meshFixture.js'
+import { collect, createDocument, createFleet, createGroupPresence, type Fleet, stateOf, waitUntil } from './meshFixture.js'
 
 const NEVER = new AbortController().signal
 
@@ -11,16 +11,16 @@
 
   async function createConnectedFleet (size: number): Promise<Fleet> {
     fleet = await createFleet(size)
-    await until(() => fleet.meshes.every((mesh) => mesh.members().length === size))
+    await waitUntil(() => fleet.meshes.every((mesh) => mesh.members().length === size))
     return fleet
   }
 
   it('comes to know all members, draining and leaving included', async () => {
     const { meshes } = await createConnectedFleet(4)
     meshes[1]!.announceDraining()
-    await until(() => meshes.every((mesh) => stateOf(mesh, 'node-1') === NodeState.Draining))
+    await waitUntil(() => meshes.every((mesh) => stateOf(mesh, 'node-1') === NodeState.Draining))
     await meshes[1]!.leave()
-    await until(() => [meshes[0]!, meshes[2]!, meshes[3]!].every((mesh) => stateOf(mesh, 'node-1') === NodeState.Left))
+    await waitUntil(() => [meshes[0]!, meshes[2]!, meshes[3]!].every((mesh) => stateOf(mesh, 'node-1') === NodeState.Left))
   })
 
   it('spreads documents to nodes that are there and to those that come later, and never lowers a version', async () => {
@@ -28,10 +28,10 @@
     const heard: number[] = []
     meshes[2]!.registerDocumentListener('teams/', (document) => heard.push(document.version))
     expect(meshes[0]!.offerDocument(createDocument('teams/tradeline', 7))).to.equal(true)
-    await until(() => meshes.every((mesh) => mesh.document('teams/tradeline')?.version === 7))
+    await waitUntil(() => meshes.every((mesh) => mesh.document('teams/tradeline')?.version === 7))
     expect(meshes[1]!.offerDocument(createDocument('teams/tradeline', 6))).to.equal(false)
     const late = await fleet.add()
-    await until(() => late.document('teams/tradeline')?.version === 7)
+    await waitUntil(() => late.document('teams/tradeline')?.version === 7)
     expect(late.document('teams/tradeline')?.body).to.deep.equal({ text: 'teams/tradeline@7' })
     expect(heard).to.deep.equal([7])
   })
@@ -39,17 +39,17 @@
   it('carries group presence to every node with its age counted on', async () => {
     const { meshes } = await createConnectedFleet(4)
     meshes[0]!.publishPresence([createGroupPresence('g1', { ageMs: 100 })], [])
-    await until(() => meshes.every((mesh) => mesh.groupPresence().length === 1))
+    await waitUntil(() => meshes.every((mesh) => mesh.groupPresence().length === 1))
     for (const mesh of meshes) expect(mesh.groupPresence()[0]!.ageMs).to.be.at.least(100)
     meshes[0]!.publishPresence([createGroupPresence('g1', { complete: false })], [])
-    await until(() => meshes.every((mesh) => mesh.groupPresence()[0]?.complete === false))
+    await waitUntil(() => meshes.every((mesh) => mesh.groupPresence()[0]?.complete === false))
   })
 
   it('tells how old the last contact with the store and with peers is', async () => {
     const { meshes } = await createConnectedFleet(3)
     expect(meshes[2]!.storeContactAgeMs()).to.equal(Infinity)
     meshes[0]!.noteStoreContact()
-    await until(() => meshes.every((mesh) => mesh.storeContactAgeMs() < Infinity))
+    await waitUntil(() => meshes.every((mesh) => mesh.storeContactAgeMs() < Infinity))
     expect(meshes[2]!.peerContactAgeMs()).to.be.lessThan(Infinity)
   })
 
@@ -82,7 +82,7 @@
   it('reports the nodes that answer when others are gone', async () => {
     const { meshes } = await createConnectedFleet(7)
     meshes[0]!.offerDocument(createDocument('teams/piedmont', 3))
-    await until(() => meshes.every((mesh) => mesh.document('teams/piedmont') !== undefined))
+    await waitUntil(() => meshes.every((mesh) => mesh.document('teams/piedmont') !== undefined))
     await Promise.all([meshes[1]!.stop(), meshes[2]!.stop()])
     const reports = await meshes[0]!.inForce('teams/piedmont', 5_000)
     expect(reports.map((report) => report.node).sort()).to.deep.equal(['node-0', 'node-3', 'node-4', 'node-5', 'node-6'])
@@ -91,7 +91,7 @@
   it('reports which nodes hold which version', async () => {
     const { meshes } = await createConnectedFleet(5)
     meshes[0]!.offerDocument(createDocument('teams/piedmont', 3))
-    await until(() => meshes.every((mesh) => mesh.document('teams/piedmont') !== undefined))
+    await waitUntil(() => meshes.every((mesh) => mesh.document('teams/piedmont') !== undefined))
     const reports = await meshes[4]!.inForce('teams/piedmont', 5_000)
     expect([...reports].sort((left, right) => left.node < right.node ? -1 : 1)).to.deep.equal(meshes.map((mesh) => ({ node: mesh.self.node, version: 3 })))
   })
--- a/packages/dotterelspur-mesh/src/__tests__/unit/StoreFollower.test.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/StoreFollower.test.ts
@@ -2,7 +2,7 @@
 import { createRandom, ManualClock, type NodeObject, NodeState, type StoredObject } from 'dotterelspur'
 import { createMember, MemoryFaultKind, MemoryMesh, MemoryObjectStore } from 'dotterelspur-testkit'
 import { createStoreFollower, type StoreFollower, WATCHERS_PER_FAILURE_DOMAIN } from '../../index.js'
-import { deletionsOf } from '../../version/deletionsOf.js'
+import { findDeletions } from '../../version/findDeletions.js'
 
 interface FollowerFixture {
   readonly clock: ManualClock
@@ -51,7 +51,7 @@
       const { follower, pass } = createFollowerFixture(name, names.filter((other) => other !== name))
       follower.start()
       await pass(3_000)
-      if (follower.watching) chosen.push(name)
+      if (follower.isWatching) chosen.push(name)
       follower.stop()
     }
     expect(chosen).to.have.length(WATCHERS_PER_FAILURE_DOMAIN)
@@ -59,13 +59,13 @@
     const { follower, mesh, pass } = createFollowerFixture(notChosen)
     follower.start()
     await pass(3_000)
-    expect(follower.watching).to.equal(true)
+    expect(follower.isWatching).to.equal(true)
     mesh.setOthers(names.filter((name) => name !== notChosen).map((node) => createMember({ node })))
     await pass(12_000)
-    expect(follower.watching).to.equal(false)
+    expect(follower.isWatching).to.equal(false)
     mesh.setOthers(chosen.map((node) => createMember({ node, state: NodeState.Dead })))
     await pass(1_000)
-    expect(follower.watching).to.equal(true)
+    expect(follower.isWatching).to.equal(true)
     follower.stop()
   })
 
@@ -93,8 +93,8 @@
    */
   it('takes no deletion from a listing that is older than the document', () => {
     const held = [{ key: 'teams/a', version: 9, body: 1, deleted: false }, { key: 'teams/b', version: 7, body: 1, deleted: false }]
-    expect(deletionsOf(held, { objects: [], version: 8 }).map((document) => document.key)).to.deep.equal(['teams/b'])
-    expect(deletionsOf(held, { objects: [{ key: 'teams/b', version: 7, body: 1, deleted: false }], version: 8 })).to.deep.equal([])
+    expect(findDeletions(held, { objects: [], version: 8 }).map((document) => document.key)).to.deep.equal(['teams/b'])
+    expect(findDeletions(held, { objects: [{ key: 'teams/b', version: 7, body: 1, deleted: false }], version: 8 })).to.deep.equal([])
   })
 
   // Symptom: a node that watches the store spends 5 kB/s more than its share at the design size.
--- a/packages/dotterelspur-mesh/src/__tests__/unit/meshFixture.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/meshFixture.ts
@@ -60,8 +60,8 @@
 }
 
 /** Waits until something holds; the test's own timeout is the only bound. A wait that was given up does not keep the process. */
-export async function until (holds: () => boolean): Promise<void> {
-  while (!holds()) await new Promise((resolve) => { setTimeout(resolve, 10).unref() })
+export async function waitUntil (condition: () => boolean): Promise<void> {
+  while (!condition()) await new Promise((resolve) => { setTimeout(resolve, 10).unref() })
 }
 
 export function stateOf (mesh: Mesh, node: string): string | undefined {
--- a/packages/dotterelspur-mesh/src/connection/Connection.ts
+++ b/packages/dotterelspur-mesh/src/connection/Connection.ts
@@ -5,21 +5,21 @@
 import type { SocketMessage } from './SocketInbox.js'
 
 /** Gossip frames are dropped rather than queued above this part of the bound; digests and retries make up for them. */
-const GOSSIP_SHARE = 1 / 8
+const GOSSIP_QUEUE_SHARE = 1 / 8
 /** A call is refused above this part of the bound, before anything of it is sent. */
-const CALL_SHARE = 1 / 2
+const CALL_QUEUE_SHARE = 1 / 2
 const POLICY_VIOLATION = 1008
 const NORMAL_CLOSE = 1000
 const MAX_REASON_BYTES = 100
 
 /** Bounds of one connection; both ends of a fleet's connections should have the same. */
-export interface ConnectionBounds {
+export interface ConnectionLimits {
   readonly maxFrameBytes: number
   readonly maxQueuedBytes: number
 }
 
 /** A document body is at most a megabyte; the rest of a frame is for what goes around it. */
-export const DEFAULT_BOUNDS: ConnectionBounds = { maxFrameBytes: 1_310_720, maxQueuedBytes: 8_388_608 }
+export const DEFAULT_CONNECTION_LIMITS: ConnectionLimits = { maxFrameBytes: 1_310_720, maxQueuedBytes: 8_388_608 }
 
 export enum SendResult {
   Sent = 'sent',
@@ -38,8 +38,8 @@
 export class Connection {
   private frameListener: ((frame: Frame) => void) | undefined
   private closeListener: ((reason: string) => void) | undefined
-  private early: Frame[] = []
-  private closedReason: string | undefined
+  private earlyFrames: Frame[] = []
+  private closeReason: string | undefined
 
   constructor (
     private readonly socket: WebSocket,
@@ -47,23 +47,23 @@
     readonly purpose: ConnectionPurpose,
     readonly dialed: boolean,
     private readonly metrics: MeshMetrics,
-    private readonly bounds: ConnectionBounds,
+    private readonly bounds: ConnectionLimits,
     early: readonly SocketMessage[]
   ) {
     for (const message of early) this.onMessage(message.data, message.isBinary)
     socket.on('message', (data, isBinary) => this.onMessage(data, isBinary))
     socket.on('close', (_code, reason) => this.onClose(reason.toString()))
     socket.on('error', (error) => this.onClose(error.message))
-    if (socket.readyState === socket.CLOSED) this.closedReason = 'connection lost'
+    if (socket.readyState === socket.CLOSED) this.closeReason = 'connection lost'
   }
 
-  get open (): boolean {
-    return this.closedReason === undefined && this.socket.readyState === this.socket.OPEN
+  get isOpen (): boolean {
+    return this.closeReason === undefined && this.socket.readyState === this.socket.OPEN
   }
 
   /** No room for another call. */
-  get full (): boolean {
-    return this.socket.bufferedAmount > this.bounds.maxQueuedBytes * CALL_SHARE
+  get isFull (): boolean {
+    return this.socket.bufferedAmount > this.bounds.maxQueuedBytes * CALL_QUEUE_SHARE
   }
 
   get queuedBytes (): number {
@@ -74,35 +74,35 @@
   setListeners (onFrame: (frame: Frame) => void, onClose: (reason: string) => void): void {
     this.frameListener = onFrame
     this.closeListener = onClose
-    const early = this.early
-    this.early = []
+    const early = this.earlyFrames
+    this.earlyFrames = []
     for (const frame of early) onFrame(frame)
-    if (this.closedReason !== undefined) onClose(this.closedReason)
+    if (this.closeReason !== undefined) onClose(this.closeReason)
   }
 
   /** Sends a gossip frame, or drops and counts it when the peer takes nothing. */
   sendGossip (frame: Frame): void {
-    if (!this.open) return
-    if (this.socket.bufferedAmount > this.bounds.maxQueuedBytes * GOSSIP_SHARE) this.metrics.countDropped(frame.kind)
+    if (!this.isOpen) return
+    if (this.socket.bufferedAmount > this.bounds.maxQueuedBytes * GOSSIP_QUEUE_SHARE) this.metrics.countDropped(frame.kind)
     else this.write(frame)
   }
 
   sendCall (frame: Frame): SendResult {
-    return this.open ? this.write(frame) : SendResult.Closed
+    return this.isOpen ? this.write(frame) : SendResult.Closed
   }
 
   ping (): void {
-    if (this.open) this.socket.ping()
+    if (this.isOpen) this.socket.ping()
   }
 
   /** Calls back on signs of life that are no frames, for links that carry no beats. */
-  setAliveListener (listener: () => void): void {
+  setActivityListener (listener: () => void): void {
     this.socket.on('pong', listener)
     this.socket.on('ping', listener)
   }
 
   close (reason: string): void {
-    if (this.closedReason !== undefined) return
+    if (this.closeReason !== undefined) return
     this.metrics.countClosed(reason)
     this.socket.close(NORMAL_CLOSE, reason.slice(0, MAX_REASON_BYTES))
   }
@@ -140,7 +140,7 @@
       this.socket.close(POLICY_VIOLATION, 'frame on the wrong kind of connection')
       return
     }
-    if (this.frameListener === undefined) this.early.push(frame)
+    if (this.frameListener === undefined) this.earlyFrames.push(frame)
     else this.frameListener(frame)
   }
 
@@ -149,9 +149,9 @@
   }
 
   private onClose (reason: string): void {
-    if (this.closedReason !== undefined) return
-    this.closedReason = reason === '' ? 'connection lost' : reason
-    this.closeListener?.(this.closedReason)
+    if (this.closeReason !== undefined) return
+    this.closeReason = reason === '' ? 'connection lost' : reason
+    this.closeListener?.(this.closeReason)
   }
 }
 
--- a/packages/dotterelspur-mesh/src/connection/Credentials.ts
+++ b/packages/dotterelspur-mesh/src/connection/Credentials.ts
@@ -29,20 +29,20 @@
 }
 
 /** Proof of the shared key. Without one, the certificate proves the node and the proof is empty. */
-export function makeProof (credentials: MeshCredentials, role: ProofRole, subject: ProofSubject): string {
+export function createProof (credentials: MeshCredentials, role: ProofRole, subject: ProofSubject): string {
   if (credentials.kind === CredentialsKind.MutualTls) return ''
   const text = [role, subject.dialerNonce, subject.acceptorNonce, subject.dialer, subject.acceptor].join('\n')
   return createHmac('sha256', credentials.key).update(text).digest('base64url')
 }
 
 export function checkProof (credentials: MeshCredentials, role: ProofRole, subject: ProofSubject, proof: string): boolean {
-  const expected = Buffer.from(makeProof(credentials, role, subject))
+  const expected = Buffer.from(createProof(credentials, role, subject))
   const given = Buffer.from(proof)
   return expected.length === given.length && timingSafeEqual(expected, given)
 }
 
 /** Whether a certificate names the node: as a DNS name of its alternative names, or as the subject's common name. */
-export function certificateNames (certificate: PeerCertificate, node: NodeId): boolean {
+export function isNamedInCertificate (certificate: PeerCertificate, node: NodeId): boolean {
   const names = (certificate.subjectaltname ?? '').split(', ').filter((name) => name.startsWith('DNS:')).map((name) => name.slice('DNS:'.length))
   return names.includes(node) || certificate.subject?.CN === node
 }
--- a/packages/dotterelspur-mesh/src/connection/FrameCodec.ts
+++ b/packages/dotterelspur-mesh/src/connection/FrameCodec.ts
@@ -119,7 +119,7 @@
 }
 
 /** A reader over the fields of one message, with this package's bounds. */
-export function readerOf (fields: readonly unknown[]): FieldReader {
+export function createReader (fields: readonly unknown[]): FieldReader {
   return new FieldReader(fields, MAX_LIST_ENTRIES)
 }
 
@@ -129,7 +129,7 @@
   const [kind, ...fields] = unpacked.value
   const codec = typeof kind === 'number' && Object.hasOwn(CODECS, kind) ? CODECS[kind as Frame['kind']] as Codec<Frame> : undefined
   if (codec === undefined) return failed({ reason: 'unknown kind of frame' })
-  const reader = readerOf(fields)
+  const reader = createReader(fields)
   const body = codec.read(reader)
   if (reader.fault !== undefined) return failed({ reason: `${FrameKind[kind as FrameKind]}: ${reader.fault}` })
   return success({ kind, ...body } as Frame)
--- a/packages/dotterelspur-mesh/src/connection/Handshake.ts
+++ b/packages/dotterelspur-mesh/src/connection/Handshake.ts
@@ -2,9 +2,9 @@
 import type { WebSocket } from 'ws'
 import { type Clock, failed, MESH_PROTOCOL_VERSION, type MemberRecord, type NodeId, type Result, success } from 'dotterelspur'
 import { ConnectionPurpose } from './Connection.js'
-import { checkProof, makeProof, type MeshCredentials, ProofRole, type ProofSubject } from './Credentials.js'
+import { checkProof, createProof, type MeshCredentials, ProofRole, type ProofSubject } from './Credentials.js'
 import type { FieldReader } from './FieldReader.js'
-import { packFields, readerOf, unpackFields } from './FrameCodec.js'
+import { packFields, createReader, unpackFields } from './FrameCodec.js'
 import { readMember, writeMember } from './recordCodec.js'
 import { SocketInbox, type SocketMessage } from './SocketInbox.js'
 
@@ -34,11 +34,11 @@
 }
 
 /** What a handshake settles. */
-export interface Introduction {
+export interface HandshakeResult {
   readonly peer: MemberRecord
   readonly purpose: ConnectionPurpose
   /** Messages that arrived right behind the handshake. */
-  readonly early: readonly SocketMessage[]
+  readonly earlyMessages: readonly SocketMessage[]
 }
 
 export interface HandshakeContext {
@@ -47,7 +47,7 @@
   readonly clock: Clock
   readonly timeoutMs: number
   /** Whether the peer's certificate, if there is one, names the node. */
-  readonly certifies: (node: NodeId) => boolean
+  readonly isCertifiedAs: (node: NodeId) => boolean
 }
 
 /** The process that a dialer means; an incarnation of 0 stands for any. */
@@ -56,7 +56,7 @@
   readonly incarnation: number
 }
 
-enum Step {
+enum HandshakeMessageKind {
   Hello = 1,
   Welcome = 2,
   Proof = 3,
@@ -76,58 +76,58 @@
 }
 
 /** The dialer's side: it proves itself after the acceptor has, and is done when the acceptor says so. */
-export async function introduceAsDialer (socket: WebSocket, purpose: ConnectionPurpose, expected: ExpectedPeer, context: HandshakeContext): Promise<Result<Introduction, Refusal>> {
+export async function handshakeAsDialer (socket: WebSocket, purpose: ConnectionPurpose, expected: ExpectedPeer, context: HandshakeContext): Promise<Result<HandshakeResult, Refusal>> {
   const inbox = new SocketInbox(socket)
   const cancelDeadline = inbox.registerDeadline(context.clock, context.timeoutMs)
-  const result = await dialerSteps(socket, inbox, purpose, expected, context)
+  const result = await runDialerHandshake(socket, inbox, purpose, expected, context)
   cancelDeadline()
   return finish(socket, inbox, result)
 }
 
 /** The acceptor's side. */
-export async function introduceAsAcceptor (socket: WebSocket, context: HandshakeContext): Promise<Result<Introduction, Refusal>> {
+export async function handshakeAsAcceptor (socket: WebSocket, context: HandshakeContext): Promise<Result<HandshakeResult, Refusal>> {
   const inbox = new SocketInbox(socket)
   const cancelDeadline = inbox.registerDeadline(context.clock, context.timeoutMs)
-  const result = await acceptorSteps(socket, inbox, context)
+  const result = await runAcceptorHandshake(socket, inbox, context)
   cancelDeadline()
   return finish(socket, inbox, result)
 }
 
-type Settled = Pick<Introduction, 'peer' | 'purpose'>
+type EstablishedPeer = Pick<HandshakeResult, 'peer' | 'purpose'>
 
-async function dialerSteps (socket: WebSocket, inbox: SocketInbox, purpose: ConnectionPurpose, expected: ExpectedPeer, context: HandshakeContext): Promise<Result<Settled, Refusal>> {
+async function runDialerHandshake (socket: WebSocket, inbox: SocketInbox, purpose: ConnectionPurpose, expected: ExpectedPeer, context: HandshakeContext): Promise<Result<EstablishedPeer, Refusal>> {
   const self = context.self()
   const dialerNonce = createNonce()
-  socket.send(packFields([Step.Hello, MESH_PROTOCOL_VERSION, purpose, writeMember(self), expected.node ?? '', expected.incarnation, dialerNonce]))
-  const welcome = await readStep(inbox, Step.Welcome, (fields) => ({ peer: fields.nestedFields('record', readMember), nonce: fields.text('nonce'), proof: fields.text('proof') }))
+  socket.send(packFields([HandshakeMessageKind.Hello, MESH_PROTOCOL_VERSION, purpose, writeMember(self), expected.node ?? '', expected.incarnation, dialerNonce]))
+  const welcome = await readMessage(inbox, HandshakeMessageKind.Welcome, (fields) => ({ peer: fields.nestedFields('record', readMember), nonce: fields.text('nonce'), proof: fields.text('proof') }))
   if (!welcome.ok) return welcome
   const { peer, nonce, proof } = welcome.value
   if (peer.node === self.node) return refuse(RefusalReason.Self, 'that is this node itself')
   if (expected.node !== null && peer.node !== expected.node) return refuse(RefusalReason.WrongNode, `${peer.node} answers instead of ${expected.node}`)
-  if (!context.certifies(peer.node)) return refuse(RefusalReason.WrongName, `the certificate does not name ${peer.node}`)
+  if (!context.isCertifiedAs(peer.node)) return refuse(RefusalReason.WrongName, `the certificate does not name ${peer.node}`)
   const subject: ProofSubject = { dialerNonce, acceptorNonce: nonce, dialer: processName(self), acceptor: processName(peer) }
   if (!checkProof(context.credentials, ProofRole.Acceptor, subject, proof)) return refuse(RefusalReason.WrongKey, `${peer.node} has another key`)
-  socket.send(packFields([Step.Proof, makeProof(context.credentials, ProofRole.Dialer, subject)]))
-  const ready = await readStep(inbox, Step.Ready, () => ({}))
+  socket.send(packFields([HandshakeMessageKind.Proof, createProof(context.credentials, ProofRole.Dialer, subject)]))
+  const ready = await readMessage(inbox, HandshakeMessageKind.Ready, () => ({}))
   return ready.ok ? success({ peer, purpose }) : ready
 }
 
-async function acceptorSteps (socket: WebSocket, inbox: SocketInbox, context: HandshakeContext): Promise<Result<Settled, Refusal>> {
+async function runAcceptorHandshake (socket: WebSocket, inbox: SocketInbox, context: HandshakeContext): Promise<Result<EstablishedPeer, Refusal>> {
   const self = context.self()
-  const hello = await readStep(inbox, Step.Hello, readHello)
+  const hello = await readMessage(inbox, HandshakeMessageKind.Hello, readHello)
   if (!hello.ok) return hello
   const { protocol, purpose, peer, expectedNode, expectedIncarnation, nonce } = hello.value
   if (protocol !== MESH_PROTOCOL_VERSION) return refuse(RefusalReason.WrongProtocol, `this node speaks ${MESH_PROTOCOL_VERSION}, the peer ${protocol}`)
   if (peer.node === self.node) return refuse(RefusalReason.Self, 'a node of this name is here')
   if (expectedNode !== '' && expectedNode !== self.node) return refuse(RefusalReason.WrongNode, `this is ${self.node}, not ${expectedNode}`)
   if (expectedIncarnation !== 0 && expectedIncarnation !== self.incarnation) return refuse(RefusalReason.WrongIncarnation, `this is incarnation ${self.incarnation}, not ${expectedIncarnation}`)
-  if (!context.certifies(peer.node)) return refuse(RefusalReason.WrongName, `the certificate does not name ${peer.node}`)
+  if (!context.isCertifiedAs(peer.node)) return refuse(RefusalReason.WrongName, `the certificate does not name ${peer.node}`)
   const subject: ProofSubject = { dialerNonce: nonce, acceptorNonce: createNonce(), dialer: processName(peer), acceptor: processName(self) }
-  socket.send(packFields([Step.Welcome, writeMember(self), subject.acceptorNonce, makeProof(context.credentials, ProofRole.Acceptor, subject)]))
-  const proof = await readStep(inbox, Step.Proof, (fields) => fields.text('proof'))
+  socket.send(packFields([HandshakeMessageKind.Welcome, writeMember(self), subject.acceptorNonce, createProof(context.credentials, ProofRole.Acceptor, subject)]))
+  const proof = await readMessage(inbox, HandshakeMessageKind.Proof, (fields) => fields.text('proof'))
   if (!proof.ok) return proof
   if (!checkProof(context.credentials, ProofRole.Dialer, subject, proof.value)) return refuse(RefusalReason.WrongKey, `${peer.node} has another key`)
-  socket.send(packFields([Step.Ready]))
+  socket.send(packFields([HandshakeMessageKind.Ready]))
   return success({ peer, purpose })
 }
 
@@ -142,15 +142,15 @@
   }
 }
 
-async function readStep<Value> (inbox: SocketInbox, step: Step, read: (fields: FieldReader) => Value): Promise<Result<Value, Refusal>> {
+async function readMessage<Value> (inbox: SocketInbox, step: HandshakeMessageKind, read: (fields: FieldReader) => Value): Promise<Result<Value, Refusal>> {
   const message = await inbox.next()
   if (!message.ok) return refuse(message.error === 'handshake timed out' ? RefusalReason.TimedOut : RefusalReason.Unreachable, message.error)
   const unpacked = unpackFields(message.value.data as Buffer)
   if (!unpacked.ok) return refuse(RefusalReason.Malformed, unpacked.error.reason)
   const [kind, ...rest] = unpacked.value
-  const fields = readerOf(rest)
-  if (kind === Step.Refused) return readRefusal(fields)
-  if (kind !== step) return refuse(RefusalReason.Malformed, `expected ${Step[step]}`)
+  const fields = createReader(rest)
+  if (kind === HandshakeMessageKind.Refused) return readRefusal(fields)
+  if (kind !== step) return refuse(RefusalReason.Malformed, `expected ${HandshakeMessageKind[step]}`)
   const value = read(fields)
   return fields.fault === undefined ? success(value) : refuse(RefusalReason.Malformed, fields.fault)
 }
@@ -166,11 +166,11 @@
 
 const NORMAL_CLOSE = 1000
 
-function finish (socket: WebSocket, inbox: SocketInbox, result: Result<Settled, Refusal>): Result<Introduction, Refusal> {
-  const early = inbox.handOver()
-  if (result.ok) return success({ ...result.value, early })
+function finish (socket: WebSocket, inbox: SocketInbox, result: Result<EstablishedPeer, Refusal>): Result<HandshakeResult, Refusal> {
+  const earlyMessages = inbox.detach()
+  if (result.ok) return success({ ...result.value, earlyMessages })
   socket.on('error', () => {})
-  if (socket.readyState === socket.OPEN) socket.send(packFields([Step.Refused, result.error.reason, result.error.detail]))
+  if (socket.readyState === socket.OPEN) socket.send(packFields([HandshakeMessageKind.Refused, result.error.reason, result.error.detail]))
   socket.close(NORMAL_CLOSE, result.error.reason)
   return result
 }
--- a/packages/dotterelspur-mesh/src/connection/SocketInbox.ts
+++ b/packages/dotterelspur-mesh/src/connection/SocketInbox.ts
@@ -8,12 +8,12 @@
 }
 
 /** Messages kept while nobody asks for them; a peer that sends more before it is known is cut off. */
-const MAX_WAITING = 64
+const MAX_QUEUED_MESSAGES = 64
 
 /** Lets a handshake take one message after the other, and hands over what came too early for it. */
 export class SocketInbox {
-  private waiting: SocketMessage[] = []
-  private taker: ((message: Result<SocketMessage, string>) => void) | undefined
+  private queue: SocketMessage[] = []
+  private pendingRead: ((message: Result<SocketMessage, string>) => void) | undefined
   private closedReason: string | undefined
   private readonly onMessage = (data: RawData, isBinary: boolean): void => this.deliver({ data, isBinary })
   private readonly onEnd = (reason: string): void => this.end(reason)
@@ -28,10 +28,10 @@
 
   /** The next message, or why none will come. */
   next (): Promise<Result<SocketMessage, string>> {
-    const message = this.waiting.shift()
+    const message = this.queue.shift()
     if (message !== undefined) return Promise.resolve(success(message))
     if (this.closedReason !== undefined) return Promise.resolve(failed(this.closedReason))
-    return new Promise((resolve) => { this.taker = resolve })
+    return new Promise((resolve) => { this.pendingRead = resolve })
   }
 
   /** Ends the wait at a deadline. */
@@ -40,20 +40,20 @@
   }
 
   /** Detaches, and returns the messages that were not taken. */
-  handOver (): readonly SocketMessage[] {
+  detach (): readonly SocketMessage[] {
     this.socket.off('message', this.onMessage)
     this.socket.off('close', this.onClose)
     this.socket.off('error', this.onError)
-    return this.waiting
+    return this.queue
   }
 
   private deliver (message: SocketMessage): void {
-    const taker = this.taker
+    const taker = this.pendingRead
     if (taker !== undefined) {
-      this.taker = undefined
+      this.pendingRead = undefined
       taker(success(message))
-    } else if (this.waiting.length < MAX_WAITING) {
-      this.waiting.push(message)
+    } else if (this.queue.length < MAX_QUEUED_MESSAGES) {
+      this.queue.push(message)
     } else {
       this.socket.terminate()
     }
@@ -61,8 +61,8 @@
 
   private end (reason: string): void {
     this.closedReason ??= reason
-    const taker = this.taker
-    this.taker = undefined
+    const taker = this.pendingRead
+    this.pendingRead = undefined
     taker?.(failed(this.closedReason))
   }
 }
--- a/packages/dotterelspur-mesh/src/connection/Transport.ts
+++ b/packages/dotterelspur-mesh/src/connection/Transport.ts
@@ -4,9 +4,9 @@
 import type { TLSSocket } from 'node:tls'
 import { WebSocket, WebSocketServer } from 'ws'
 import { type Clock, failed, type MemberRecord, type NodeId, type Result, success } from 'dotterelspur'
-import { Connection, type ConnectionBounds, type ConnectionPurpose } from './Connection.js'
-import { certificateNames, CredentialsKind, type MeshCredentials } from './Credentials.js'
-import { type ExpectedPeer, type HandshakeContext, introduceAsAcceptor, introduceAsDialer, type Refusal, RefusalReason } from './Handshake.js'
+import { Connection, type ConnectionLimits, type ConnectionPurpose } from './Connection.js'
+import { isNamedInCertificate, CredentialsKind, type MeshCredentials } from './Credentials.js'
+import { type ExpectedPeer, type HandshakeContext, handshakeAsAcceptor, handshakeAsDialer, type Refusal, RefusalReason } from './Handshake.js'
 import type { MeshMetrics } from './MeshMetrics.js'
 
 const MESH_PATH = '/mesh'
@@ -22,7 +22,7 @@
   readonly clock: Clock
   readonly handshakeTimeoutMs: number
   readonly maxConnections: number
-  readonly bounds: ConnectionBounds
+  readonly connectionLimits: ConnectionLimits
   readonly self: () => MemberRecord
   readonly metrics: MeshMetrics
   readonly onConnection: (connection: Connection) => void
@@ -45,7 +45,7 @@
   private readonly connections = new Set<WebSocket>()
 
   constructor (private readonly options: TransportOptions) {
-    this.sockets = new WebSocketServer({ noServer: true, maxPayload: options.bounds.maxFrameBytes, perMessageDeflate: false })
+    this.sockets = new WebSocketServer({ noServer: true, maxPayload: options.connectionLimits.maxFrameBytes, perMessageDeflate: false })
   }
 
   /** Returns the port on which the node listens. */
@@ -69,13 +69,13 @@
       return opened
     }
     const { socket, tls } = opened.value
-    const introduced = await introduceAsDialer(socket, purpose, expected, this.handshakeContext(tls))
+    const introduced = await handshakeAsDialer(socket, purpose, expected, this.handshakeContext(tls))
     if (!introduced.ok) {
       metrics.countRefused(introduced.error.reason)
       return introduced
     }
     metrics.countHandshake()
-    return success(new Connection(socket, introduced.value.peer, purpose, true, metrics, this.options.bounds, introduced.value.early))
+    return success(new Connection(socket, introduced.value.peer, purpose, true, metrics, this.options.connectionLimits, introduced.value.earlyMessages))
   }
 
   async close (): Promise<void> {
@@ -112,20 +112,20 @@
   }
 
   private async accept (socket: WebSocket, tls: TLSSocket | undefined): Promise<void> {
-    const introduced = await introduceAsAcceptor(socket, this.handshakeContext(tls))
+    const introduced = await handshakeAsAcceptor(socket, this.handshakeContext(tls))
     if (!introduced.ok) {
       this.options.metrics.countRefused(introduced.error.reason)
       return
     }
     this.options.metrics.countHandshake()
-    const { peer, purpose, early } = introduced.value
-    this.options.onConnection(new Connection(socket, peer, purpose, false, this.options.metrics, this.options.bounds, early))
+    const { peer, purpose, earlyMessages } = introduced.value
+    this.options.onConnection(new Connection(socket, peer, purpose, false, this.options.metrics, this.options.connectionLimits, earlyMessages))
   }
 
   private handshakeContext (tls: TLSSocket | undefined): HandshakeContext {
     const { self, credentials, clock, handshakeTimeoutMs } = this.options
-    const certifies = (node: NodeId): boolean => tls === undefined || certificateNames(tls.getPeerCertificate(), node)
-    return { self, credentials, clock, timeoutMs: handshakeTimeoutMs, certifies }
+    const isCertifiedAs = (node: NodeId): boolean => tls === undefined || isNamedInCertificate(tls.getPeerCertificate(), node)
+    return { self, credentials, clock, timeoutMs: handshakeTimeoutMs, isCertifiedAs }
   }
 
   private openSocket (address: string): Promise<Result<OpenedSocket, Refusal>> {
@@ -136,17 +136,17 @@
       ? { cert: credentials.certificate, key: credentials.privateKey, ca: credentials.authority, checkServerIdentity: () => undefined }
       : {}
     const socket = new WebSocket(`${secure ? 'wss' : 'ws'}://${address}${MESH_PATH}`, {
-      ...identity, localAddress, handshakeTimeout: handshakeTimeoutMs, maxPayload: this.options.bounds.maxFrameBytes, perMessageDeflate: false
+      ...identity, localAddress, handshakeTimeout: handshakeTimeoutMs, maxPayload: this.options.connectionLimits.maxFrameBytes, perMessageDeflate: false
     })
     this.track(socket)
     return new Promise((resolve) => {
       let tls: TLSSocket | undefined
       socket.once('upgrade', (response) => { tls = secure ? response.socket as TLSSocket : undefined })
       socket.once('open', () => resolve(success({ socket, tls })))
-      socket.once('error', (error) => resolve(failed(refusalOf(error))))
+      socket.once('error', (error) => resolve(failed(refusalFromError(error))))
       socket.once('unexpected-response', (_request, response) => {
         readBody(response, (body) => {
-          resolve(failed(refusalOfBody(body)))
+          resolve(failed(refusalFromBody(body)))
           socket.terminate()
         })
       })
@@ -162,12 +162,12 @@
 
 const CERTIFICATE_ERRORS = /CERT|SELF_SIGNED|UNABLE_TO_VERIFY/
 
-function refusalOf (error: Error & { readonly code?: string }): Refusal {
+function refusalFromError (error: Error & { readonly code?: string }): Refusal {
   const reason = CERTIFICATE_ERRORS.test(error.code ?? '') ? RefusalReason.CertificateRejected : RefusalReason.Unreachable
   return { reason, detail: error.code ?? error.message }
 }
 
-function refusalOfBody (body: string): Refusal {
+function refusalFromBody (body: string): Refusal {
   const [reason, detail] = body.split(': ')
   const known = Object.values(RefusalReason).find((value) => value === reason)
   return { reason: known ?? RefusalReason.Unreachable, detail: detail ?? body }
--- a/packages/dotterelspur-mesh/src/process/InForce.ts
+++ b/packages/dotterelspur-mesh/src/process/InForce.ts
@@ -11,16 +11,16 @@
 }
 
 /** Nodes asked side by side, by the first node and by each that asks for it. */
-const FAN_OUT = 32
+const MAX_CONCURRENT_QUERIES = 32
 /** Part of the time that a node leaves to those that it asks, so that its own answer is not late. */
-const SHARE_FOR_OTHERS = 0.7
+const FORWARDED_TIMEOUT_SHARE = 0.7
 
 /** Serves the call at each node. */
 export function createInForceHandler (mesh: MeshApi): CallHandler {
   return async function * (request) {
     const { key, timeoutMs, homes } = request as InForceRequest
     yield { node: mesh.self.node, version: mesh.document(key)?.version ?? 0 }
-    yield * await askAll(mesh, homes.map((home) => ({ home, request: { key, timeoutMs: timeoutMs * SHARE_FOR_OTHERS, homes: [] } })), timeoutMs)
+    yield * await queryAll(mesh, homes.map((home) => ({ home, request: { key, timeoutMs: timeoutMs * FORWARDED_TIMEOUT_SHARE, homes: [] } })), timeoutMs)
   }
 }
 
@@ -31,30 +31,30 @@
 export async function collectInForce (mesh: MeshApi, key: string, timeoutMs: number): Promise<readonly InForceReport[]> {
   const own: InForceReport = { node: mesh.self.node, version: mesh.document(key)?.version ?? 0 }
   const others = mesh.members().filter((member) => member.node !== mesh.self.node && isUp(member))
-  const questions = [...byFailureDomain(others).values()].map(([first, ...rest]) =>
-    ({ home: homeOf(first!), request: { key, timeoutMs: timeoutMs * SHARE_FOR_OTHERS, homes: rest.map(homeOf) } }))
-  const reports = await askAll(mesh, questions, timeoutMs * SHARE_FOR_OTHERS)
+  const queries = [...groupByFailureDomain(others).values()].map(([first, ...rest]) =>
+    ({ home: homeOf(first!), request: { key, timeoutMs: timeoutMs * FORWARDED_TIMEOUT_SHARE, homes: rest.map(homeOf) } }))
+  const reports = await queryAll(mesh, queries, timeoutMs * FORWARDED_TIMEOUT_SHARE)
   const answered = new Set<NodeId>(reports.map((report) => report.node))
   const missing = others.filter((member) => !answered.has(member.node))
-  const retried = await askAll(mesh, missing.map((member) => ({ home: homeOf(member), request: { key, timeoutMs, homes: [] } })), timeoutMs * (1 - SHARE_FOR_OTHERS))
+  const retried = await queryAll(mesh, missing.map((member) => ({ home: homeOf(member), request: { key, timeoutMs, homes: [] } })), timeoutMs * (1 - FORWARDED_TIMEOUT_SHARE))
   return [own, ...reports, ...retried]
 }
 
-interface Question {
+interface InForceQuery {
   readonly home: HomeId
   readonly request: InForceRequest
 }
 
-async function askAll (mesh: MeshApi, questions: readonly Question[], timeoutMs: number): Promise<InForceReport[]> {
+async function queryAll (mesh: MeshApi, queries: readonly InForceQuery[], timeoutMs: number): Promise<InForceReport[]> {
   const deadline = AbortSignal.timeout(Math.max(1, Math.round(timeoutMs)))
   const reports: InForceReport[] = []
-  const waiting = [...questions]
+  const waiting = [...queries]
   const worker = async (): Promise<void> => {
-    for (let question = waiting.shift(); question !== undefined; question = waiting.shift()) {
-      for await (const event of mesh.call(question.home, IN_FORCE_METHOD, question.request, deadline)) reports.push(...reportOf(event))
+    for (let query = waiting.shift(); query !== undefined; query = waiting.shift()) {
+      for await (const event of mesh.call(query.home, IN_FORCE_METHOD, query.request, deadline)) reports.push(...reportOf(event))
     }
   }
-  await Promise.all(Array.from({ length: Math.min(FAN_OUT, questions.length) }, worker))
+  await Promise.all(Array.from({ length: Math.min(MAX_CONCURRENT_QUERIES, queries.length) }, worker))
   return reports
 }
 
@@ -68,7 +68,7 @@
   return member.state !== NodeState.Dead && member.state !== NodeState.Left
 }
 
-function byFailureDomain (members: readonly NodeMember[]): Map<string, NodeMember[]> {
+function groupByFailureDomain (members: readonly NodeMember[]): Map<string, NodeMember[]> {
   const domains = new Map<string, NodeMember[]>()
   for (const member of members) domains.set(member.failureDomain, [...domains.get(member.failureDomain) ?? [], member])
   return domains
--- a/packages/dotterelspur-mesh/src/process/Mesh.ts
+++ b/packages/dotterelspur-mesh/src/process/Mesh.ts
@@ -4,7 +4,7 @@
   type InForceReport, type LinkId, MemberHealth, memberOf, type MeshApi, type MeshDocument, type MeshEffect, MeshEffectKind, MeshErrorKind, type MeshLimits, MeshMachine,
   type MeshTiming, type NodeMember, type Random, type Result, type ServicePresence, success, type Teardown
 } from 'dotterelspur'
-import { type Connection, ConnectionPurpose, DEFAULT_BOUNDS } from '../connection/Connection.js'
+import { type Connection, ConnectionPurpose, DEFAULT_CONNECTION_LIMITS } from '../connection/Connection.js'
 import type { MeshCredentials } from '../connection/Credentials.js'
 import { type MeshCounters, MeshMetrics, type MeshSizes } from '../connection/MeshMetrics.js'
 import { type ListenError, Transport } from '../connection/Transport.js'
@@ -17,7 +17,7 @@
 
 const log = createDebug('dotterelspur:mesh')
 const TICK_INTERVAL_MS = 100
-const FAREWELL_MS = 100
+const LEAVE_GRACE_MS = 100
 const MAX_CONNECTIONS = 1_024
 
 export interface MeshOptions {
@@ -70,11 +70,11 @@
   private readonly memberListeners = new Listeners<readonly NodeMember[]>()
   private readonly documentListeners = new Listeners<MeshDocument>()
   private readonly timing: MeshTiming
-  private readonly queue: MeshEffect[] = []
-  private draining = false
-  private lastLink = 0
+  private readonly effectQueue: MeshEffect[] = []
+  private isRunningEffects = false
+  private lastLinkId = 0
   private cancelTick: Teardown | undefined
-  private left = false
+  private hasLeft = false
 
   constructor (private readonly options: MeshOptions) {
     const { clock, random, seeds, credentials } = options
@@ -90,10 +90,10 @@
       clock,
       handshakeTimeoutMs: this.timing.dialTimeoutMs,
       maxConnections: MAX_CONNECTIONS,
-      bounds: { maxFrameBytes: options.maxFrameBytes ?? DEFAULT_BOUNDS.maxFrameBytes, maxQueuedBytes: options.maxQueuedBytes ?? DEFAULT_BOUNDS.maxQueuedBytes },
+      connectionLimits: { maxFrameBytes: options.maxFrameBytes ?? DEFAULT_CONNECTION_LIMITS.maxFrameBytes, maxQueuedBytes: options.maxQueuedBytes ?? DEFAULT_CONNECTION_LIMITS.maxQueuedBytes },
       self: () => this.machine.self,
       metrics: this.metrics,
-      onConnection: (connection) => this.adopt(connection, undefined)
+      onConnection: (connection) => this.addConnection(connection, undefined)
     })
     this.server = new CallServer(options.self.incarnation, callLimits)
     this.client = new CallClient({ transport: this.transport, clock, limits: callLimits, record: (node) => this.machine.record(node) })
@@ -122,14 +122,14 @@
   }
 
   async leave (): Promise<void> {
-    if (this.left) return
-    this.left = true
-    this.run(this.machine.leave(this.options.clock.nowMs()))
-    await new Promise<void>((resolve) => { this.options.clock.registerTimer(FAREWELL_MS, resolve) })
+    if (this.hasLeft) return
+    this.hasLeft = true
+    this.runEffects(this.machine.leave(this.options.clock.nowMs()))
+    await new Promise<void>((resolve) => { this.options.clock.registerTimer(LEAVE_GRACE_MS, resolve) })
   }
 
   announceDraining (): void {
-    this.run(this.machine.announceDraining(this.options.clock.nowMs()))
+    this.runEffects(this.machine.announceDraining(this.options.clock.nowMs()))
   }
 
   members (): readonly NodeMember[] {
@@ -150,7 +150,7 @@
 
   offerDocument (document: MeshDocument): boolean {
     const { taken, effects } = this.machine.offer([document])
-    this.run(effects)
+    this.runEffects(effects)
     return taken.length > 0
   }
 
@@ -159,7 +159,7 @@
   }
 
   publishPresence (groups: readonly GroupPresence[], services: readonly ServicePresence[]): void {
-    this.run(this.machine.publish(groups, services, this.options.clock.nowMs()))
+    this.runEffects(this.machine.publish(groups, services, this.options.clock.nowMs()))
   }
 
   groupPresence (): readonly GroupPresence[] {
@@ -224,38 +224,38 @@
     this.cancelTick = this.options.clock.registerTimer(TICK_INTERVAL_MS, () => {
       this.scheduleTick()
       const nowMs = this.options.clock.nowMs()
-      this.run(this.machine.tick(nowMs))
+      this.runEffects(this.machine.tick(nowMs))
       this.keepAlive.tick(nowMs)
     })
   }
 
-  private adopt (connection: Connection, dialedAddress: string | undefined): void {
+  private addConnection (connection: Connection, dialedAddress: string | undefined): void {
     if (connection.purpose === ConnectionPurpose.Call) return this.keepAlive.serve(this.server, connection, this.options.clock)
-    const link = ++this.lastLink
+    const link = ++this.lastLinkId
     this.connections.set(link, connection)
-    this.run(this.machine.linkUp(link, connection.peer, dialedAddress, this.options.clock.nowMs()))
+    this.runEffects(this.machine.linkUp(link, connection.peer, dialedAddress, this.options.clock.nowMs()))
     connection.setListeners(
-      (frame) => this.run(this.machine.receive(link, frame as GossipFrame, this.options.clock.nowMs())),
+      (frame) => this.runEffects(this.machine.receive(link, frame as GossipFrame, this.options.clock.nowMs())),
       (reason) => {
         log('%s: link to %s closed: %s', this.options.self.node, connection.peer.node, reason)
         this.connections.delete(link)
-        this.run(this.machine.linkDown(link))
+        this.runEffects(this.machine.linkDown(link))
       })
   }
 
   /** Runs effects in order; those that listeners cause are queued behind. */
-  private run (effects: readonly MeshEffect[]): void {
-    this.queue.push(...effects)
-    if (this.draining) return
-    this.draining = true
+  private runEffects (effects: readonly MeshEffect[]): void {
+    this.effectQueue.push(...effects)
+    if (this.isRunningEffects) return
+    this.isRunningEffects = true
     try {
-      for (let effect = this.queue.shift(); effect !== undefined; effect = this.queue.shift()) this.runOne(effect)
+      for (let effect = this.effectQueue.shift(); effect !== undefined; effect = this.effectQueue.shift()) this.runEffect(effect)
     } finally {
-      this.draining = false
+      this.isRunningEffects = false
     }
   }
 
-  private readonly runners: { readonly [Kind in MeshEffectKind]: (effect: Extract<MeshEffect, { kind: Kind }>) => void } = {
+  private readonly effectHandlers: { readonly [Kind in MeshEffectKind]: (effect: Extract<MeshEffect, { kind: Kind }>) => void } = {
     [MeshEffectKind.Send]: (effect) => this.connections.get(effect.link)?.sendGossip(effect.frame),
     [MeshEffectKind.Dial]: (effect) => { this.dial(effect.address, effect.node).catch((error) => log('dial of %s: %O', effect.address, error)) },
     [MeshEffectKind.Close]: (effect) => this.connections.get(effect.link)?.close(effect.reason),
@@ -263,15 +263,15 @@
     [MeshEffectKind.DocumentsChanged]: (effect) => effect.documents.forEach((document) => this.documentListeners.notify(document))
   }
 
-  private runOne (effect: MeshEffect): void {
-    const runner = this.runners[effect.kind] as (effect: MeshEffect) => void
+  private runEffect (effect: MeshEffect): void {
+    const runner = this.effectHandlers[effect.kind] as (effect: MeshEffect) => void
     runner(effect)
   }
 
   private async dial (address: string, node: string | null): Promise<void> {
     const dialed = await this.transport.dial(address, { node, incarnation: 0 }, ConnectionPurpose.Gossip)
-    if (dialed.ok) return this.adopt(dialed.value, address)
+    if (dialed.ok) return this.addConnection(dialed.value, address)
     log('%s: dial of %s failed: %s (%s)', this.options.self.node, address, dialed.error.reason, dialed.error.detail)
-    this.run(this.machine.dialFailed(address, this.options.clock.nowMs()))
+    this.runEffects(this.machine.dialFailed(address, this.options.clock.nowMs()))
   }
 }
--- a/packages/dotterelspur-mesh/src/process/NodeRegistration.ts
+++ b/packages/dotterelspur-mesh/src/process/NodeRegistration.ts
@@ -44,7 +44,7 @@
     if (!current) return RegistrationOutcome.Abandoned
     const read = yield * perform<Extract<RegistrationEffect, { kind: RegistrationEffectKind.Read }>>({ kind: RegistrationEffectKind.Read, key })
     if (read.ok && !read.value.deleted) {
-      if (saysTheSame(read.value.body, body)) return RegistrationOutcome.Written
+      if (isSameRegistration(read.value.body, body)) return RegistrationOutcome.Written
       if (read.value.body.incarnation > body.incarnation) return RegistrationOutcome.Superseded
     }
     const written = yield * writeAfterRead(key, body, read)
@@ -54,7 +54,7 @@
   }
 }
 
-function saysTheSame (stored: NodeObject, body: NodeObject): boolean {
+function isSameRegistration (stored: NodeObject, body: NodeObject): boolean {
   return stored.incarnation === body.incarnation && stored.draining === body.draining && stored.meshAddress === body.meshAddress
 }
 
@@ -78,7 +78,7 @@
 
 /** Keeps `nodes/<node>` written: at start and at drain, without a heartbeat. */
 export class NodeRegistration {
-  private round = 0
+  private writeGeneration = 0
   private cancelWait: Teardown | undefined
 
   constructor (private readonly options: NodeRegistrationOptions) {}
@@ -95,12 +95,12 @@
   }
 
   stop (): void {
-    this.round += 1
+    this.writeGeneration += 1
     this.cancelWait?.()
   }
 
   private async write (draining: boolean): Promise<RegistrationOutcome> {
-    const round = ++this.round
+    const round = ++this.writeGeneration
     const body = nodeObjectOf(this.options.mesh.self, draining)
     const outcome = await runProcedure(writeNodeObject(body, this.options.random), this.handlers(round))
     log('%s registered, draining %s: %s', body.node, draining, outcome)
@@ -114,7 +114,7 @@
       [RegistrationEffectKind.Create]: (effect) => store.create(effect.key, effect.body),
       [RegistrationEffectKind.Update]: (effect) => store.update(effect.key, effect.body, effect.version),
       [RegistrationEffectKind.Wait]: (effect) => new Promise<void>((resolve) => { this.cancelWait = clock.registerTimer(effect.durationMs, resolve) }),
-      [RegistrationEffectKind.IsCurrent]: () => round === this.round
+      [RegistrationEffectKind.IsCurrent]: () => round === this.writeGeneration
     }
   }
 }
--- a/packages/dotterelspur-mesh/src/process/StoreFollower.ts
+++ b/packages/dotterelspur-mesh/src/process/StoreFollower.ts
@@ -3,7 +3,7 @@
   ASSIGNMENT_PREFIX, type Clock, DRAIN_PREFIX, mergeTeardowns, type MeshApi, NODE_PREFIX, NodeState, type ObjectStore, QUARANTINE_PREFIX, type Random, rendezvousOrder,
   TEAM_PREFIX, type Teardown, type WatchEvent, WatchEventKind
 } from 'dotterelspur'
-import { deletionsOf } from '../version/deletionsOf.js'
+import { findDeletions } from '../version/findDeletions.js'
 import { NodeRegistration } from './NodeRegistration.js'
 
 const log = createDebug('dotterelspur:store-follower')
@@ -18,11 +18,11 @@
 
 const CHECK_INTERVAL_MS = 500
 /** A node that has just started waits this long for peers before it counts itself alone, so that a restart of all doesn't open a watch from each. */
-const SETTLE_MS = 2_000
+const PEER_DISCOVERY_MS = 2_000
 /** Without settings or a word of the store for this long, the node says that it has none. */
-const BARE_AFTER_MS = 5_000
+const NO_SETTINGS_AFTER_MS = 5_000
 /** A node that is a watcher no more keeps its watch for this long, so that a flapping member costs no new listings. */
-const LINGER_MS = 10_000
+const UNWATCH_DELAY_MS = 10_000
 
 export interface StoreFollowerOptions {
   readonly mesh: MeshApi
@@ -38,7 +38,7 @@
   start (): void
   /** Writes that this node drains; resolves when that is written, or when `timeoutMs` is over. */
   registerDraining (timeoutMs: number): Promise<boolean>
-  readonly watching: boolean
+  readonly isWatching: boolean
   /** Holds no settings and has heard of the store neither itself nor through peers. */
   readonly withoutSettings: boolean
   stop (): void
@@ -54,19 +54,19 @@
   private teardown: Teardown | undefined
   private cancelCheck: Teardown | undefined
   private startedAtMs = 0
-  private notChosenSinceMs: number | undefined
-  private bare = false
+  private notWatcherSinceMs: number | undefined
+  private hasNoSettings = false
 
   constructor (private readonly options: StoreFollowerOptions) {
     this.registration = new NodeRegistration(options)
   }
 
-  get watching (): boolean {
+  get isWatching (): boolean {
     return this.watches !== undefined
   }
 
   get withoutSettings (): boolean {
-    return this.bare
+    return this.hasNoSettings
   }
 
   start (): void {
@@ -92,28 +92,28 @@
     const { clock, random } = this.options
     this.cancelCheck = clock.registerTimer(CHECK_INTERVAL_MS * (0.5 + random.next()), () => this.check())
     const nowMs = clock.nowMs()
-    this.noteBare(nowMs)
-    if (this.isChosen(nowMs)) {
-      this.notChosenSinceMs = undefined
-      if (!this.watching) this.watch()
+    this.updateHasNoSettings(nowMs)
+    if (this.isWatcher(nowMs)) {
+      this.notWatcherSinceMs = undefined
+      if (!this.isWatching) this.watch()
       return
     }
-    this.notChosenSinceMs ??= nowMs
-    if (this.watching && nowMs - this.notChosenSinceMs >= LINGER_MS) this.unwatch()
+    this.notWatcherSinceMs ??= nowMs
+    if (this.isWatching && nowMs - this.notWatcherSinceMs >= UNWATCH_DELAY_MS) this.unwatch()
   }
 
   /** When all nodes restart while the store is out, nobody has settings to pass on: say so rather than look empty. */
-  private noteBare (nowMs: number): void {
+  private updateHasNoSettings (nowMs: number): void {
     const { mesh } = this.options
-    const bare = mesh.documents(TEAM_PREFIX).length === 0 && mesh.storeContactAgeMs() === Infinity && nowMs - this.startedAtMs >= BARE_AFTER_MS
-    if (bare !== this.bare) log(bare ? '%s holds no settings: the store has not been heard, and no peer has any' : '%s has heard the store or has settings again', mesh.self.node)
-    this.bare = bare
+    const hasNoSettings = mesh.documents(TEAM_PREFIX).length === 0 && mesh.storeContactAgeMs() === Infinity && nowMs - this.startedAtMs >= NO_SETTINGS_AFTER_MS
+    if (hasNoSettings !== this.hasNoSettings) log(hasNoSettings ? '%s holds no settings: the store has not been heard, and no peer has any' : '%s has heard the store or has settings again', mesh.self.node)
+    this.hasNoSettings = hasNoSettings
   }
 
-  private isChosen (nowMs: number): boolean {
+  private isWatcher (nowMs: number): boolean {
     const { mesh } = this.options
     const alone = mesh.members().length === 1
-    if (alone && mesh.peerContactAgeMs() > 0 && nowMs - this.startedAtMs < SETTLE_MS) return false
+    if (alone && mesh.peerContactAgeMs() > 0 && nowMs - this.startedAtMs < PEER_DISCOVERY_MS) return false
     const { failureDomain, node } = mesh.self
     const living = mesh.members().filter((member) => member.failureDomain === failureDomain && (member.state === NodeState.Alive || member.node === node))
     return rendezvousOrder(failureDomain, living.map((member) => member.node)).slice(0, WATCHERS_PER_FAILURE_DOMAIN).includes(node)
@@ -138,7 +138,7 @@
     if (event.kind === WatchEventKind.Object) this.offer(event.object)
     if (event.kind !== WatchEventKind.Listing) return
     for (const object of event.listing.objects) this.offer(object)
-    for (const deletion of deletionsOf(mesh.documents(prefix), event.listing)) mesh.offerDocument(deletion)
+    for (const deletion of findDeletions(mesh.documents(prefix), event.listing)) mesh.offerDocument(deletion)
   }
 
   private offer (object: { readonly key: string, readonly version: number, readonly body: unknown, readonly deleted: boolean }): void {
--- a/packages/dotterelspur-mesh/src/request/CallClient.ts
+++ b/packages/dotterelspur-mesh/src/request/CallClient.ts
@@ -3,7 +3,7 @@
 import { type Refusal, RefusalReason } from '../connection/Handshake.js'
 import type { Transport } from '../connection/Transport.js'
 import type { CallLimits } from './CallLimits.js'
-import { KEEP_ALIVE_MISSES } from './CallLimits.js'
+import { MAX_MISSED_KEEP_ALIVES } from './CallLimits.js'
 import { CallLink } from './CallLink.js'
 
 type LinkResult = Result<CallLink, MeshError>
@@ -17,7 +17,7 @@
 
 /** Makes calls, each over a connection to the one process that it names. Connections are kept for a while. */
 export class CallClient {
-  private readonly links = new Map<HomeId, Promise<LinkResult>>()
+  private readonly pendingLinks = new Map<HomeId, Promise<LinkResult>>()
   private readonly established = new Map<HomeId, CallLink>()
 
   constructor (private readonly options: CallClientOptions) {}
@@ -48,16 +48,16 @@
 
   /** Closes what is idle for long and breaks off what is silent. */
   tick (nowMs: number): void {
-    const { idleLinkMs, keepAliveMs } = this.options.limits
+    const { idleTimeoutMs, keepAliveIntervalMs } = this.options.limits
     for (const link of this.established.values()) {
-      if (nowMs - link.aliveAtMs >= KEEP_ALIVE_MISSES * keepAliveMs) link.connection.terminate('silent')
-      else if (link.idle && nowMs - link.idleSinceMs >= idleLinkMs) link.connection.close('idle')
+      if (nowMs - link.lastActivityAtMs >= MAX_MISSED_KEEP_ALIVES * keepAliveIntervalMs) link.connection.terminate('silent')
+      else if (link.isIdle && nowMs - link.idleSinceMs >= idleTimeoutMs) link.connection.close('idle')
     }
   }
 
   /** Counts silence from now on. */
-  restartSilence (nowMs: number): void {
-    for (const link of this.established.values()) link.aliveAtMs = nowMs
+  resetActivity (nowMs: number): void {
+    for (const link of this.established.values()) link.lastActivityAtMs = nowMs
   }
 
   ping (): void {
@@ -66,21 +66,21 @@
 
   private linkTo (home: HomeId): Promise<LinkResult> {
     const held = this.established.get(home)
-    if (held?.connection.open === true) return Promise.resolve(success(held))
-    const pending = this.links.get(home)
+    if (held?.connection.isOpen === true) return Promise.resolve(success(held))
+    const pending = this.pendingLinks.get(home)
     if (pending !== undefined) return pending
-    const connecting = this.connect(home).finally(() => this.links.delete(home))
-    this.links.set(home, connecting)
+    const connecting = this.connect(home).finally(() => this.pendingLinks.delete(home))
+    this.pendingLinks.set(home, connecting)
     return connecting
   }
 
   private async connect (home: HomeId): Promise<LinkResult> {
     const target = this.findTarget(home)
     if (!target.ok) return target
-    if (!this.makeRoom()) return failed({ kind: MeshErrorKind.Overloaded, reason: 'too many calls are under way to other nodes' })
+    if (!this.evictIdleLink()) return failed({ kind: MeshErrorKind.Overloaded, reason: 'too many calls are under way to other nodes' })
     const { node, incarnation, meshAddress } = target.value
     const dialed = await this.options.transport.dial(meshAddress, { node, incarnation }, ConnectionPurpose.Call)
-    return dialed.ok ? success(this.adopt(home, dialed.value)) : failed(errorOfRefusal(dialed.error))
+    return dialed.ok ? success(this.addLink(home, dialed.value)) : failed(errorOfRefusal(dialed.error))
   }
 
   private findTarget (home: HomeId): Result<MemberRecord, MeshError> {
@@ -94,7 +94,7 @@
     return success({ ...record, incarnation })
   }
 
-  private adopt (home: HomeId, connection: Connection): CallLink {
+  private addLink (home: HomeId, connection: Connection): CallLink {
     const nowMs = (): number => this.options.clock.nowMs()
     const link: CallLink = new CallLink(connection, this.options.limits, nowMs, () => {
       if (this.established.get(home) === link) this.established.delete(home)
@@ -103,9 +103,9 @@
     return link
   }
 
-  private makeRoom (): boolean {
-    if (this.established.size < this.options.limits.outgoingLinks) return true
-    const idle = [...this.established.values()].filter((link) => link.idle).sort((left, right) => left.idleSinceMs - right.idleSinceMs)[0]
+  private evictIdleLink (): boolean {
+    if (this.established.size < this.options.limits.maxOutgoingLinks) return true
+    const idle = [...this.established.values()].filter((link) => link.isIdle).sort((left, right) => left.idleSinceMs - right.idleSinceMs)[0]
     idle?.connection.close('making room')
     return idle !== undefined
   }
--- a/packages/dotterelspur-mesh/src/request/CallLimits.ts
+++ b/packages/dotterelspur-mesh/src/request/CallLimits.ts
@@ -3,21 +3,21 @@
   /** Messages that a handler may send ahead of its caller. */
   readonly creditWindow: number
   /** Calls that run here for others at once. */
-  readonly servedCalls: number
+  readonly maxServedCalls: number
   /** Connections for calls that this node keeps to others. */
-  readonly outgoingLinks: number
+  readonly maxOutgoingLinks: number
   /** A connection without calls is closed after this long. */
-  readonly idleLinkMs: number
+  readonly idleTimeoutMs: number
   /** A connection is pinged this often, and broken off after three times as long without a sign of life. */
-  readonly keepAliveMs: number
+  readonly keepAliveIntervalMs: number
 }
 
 export const DEFAULT_CALL_LIMITS: CallLimits = {
   creditWindow: 32,
-  servedCalls: 4_096,
-  outgoingLinks: 512,
-  idleLinkMs: 60_000,
-  keepAliveMs: 2_000
+  maxServedCalls: 4_096,
+  maxOutgoingLinks: 512,
+  idleTimeoutMs: 60_000,
+  keepAliveIntervalMs: 2_000
 }
 
-export const KEEP_ALIVE_MISSES = 3
+export const MAX_MISSED_KEEP_ALIVES = 3
--- a/packages/dotterelspur-mesh/src/request/CallLink.ts
+++ b/packages/dotterelspur-mesh/src/request/CallLink.ts
@@ -8,30 +8,30 @@
 /** A connection to one other process, for calls that this node makes. */
 export class CallLink {
   private readonly calls = new Map<number, OutgoingCall>()
-  private lastCall = 0
+  private lastCallId = 0
   idleSinceMs: number
-  aliveAtMs: number
+  lastActivityAtMs: number
 
   constructor (readonly connection: Connection, private readonly limits: CallLimits, private readonly nowMs: () => number, onClosed: () => void) {
     this.idleSinceMs = nowMs()
-    this.aliveAtMs = nowMs()
-    connection.setAliveListener(() => { this.aliveAtMs = nowMs() })
+    this.lastActivityAtMs = nowMs()
+    connection.setActivityListener(() => { this.lastActivityAtMs = nowMs() })
     connection.setListeners((frame) => this.onFrame(frame), (reason) => {
       this.failAll(reason)
       onClosed()
     })
   }
 
-  get idle (): boolean {
+  get isIdle (): boolean {
     return this.calls.size === 0
   }
 
   /** Sends the call. An error means that nothing was sent. */
   open (method: string, request: unknown): Result<OutgoingCall, MeshError> {
     const { connection } = this
-    if (connection.full) return failed({ kind: MeshErrorKind.Overloaded, reason: `${connection.queuedBytes} bytes wait for ${connection.peer.node}` })
-    this.lastCall += 1
-    const call = this.lastCall
+    if (connection.isFull) return failed({ kind: MeshErrorKind.Overloaded, reason: `${connection.queuedBytes} bytes wait for ${connection.peer.node}` })
+    this.lastCallId += 1
+    const call = this.lastCallId
     const { incarnation } = connection.peer
     const sent = connection.sendCall({ kind: FrameKind.CallOpen, call, incarnation, credit: this.limits.creditWindow, method, request })
     if (sent === SendResult.Closed) return failed({ kind: MeshErrorKind.Unreachable, reason: 'the connection closed before the call was sent' })
@@ -49,7 +49,7 @@
   }
 
   private onFrame (frame: Frame): void {
-    this.aliveAtMs = this.nowMs()
+    this.lastActivityAtMs = this.nowMs()
     if (frame.kind === FrameKind.CallMessage) this.calls.get(frame.call)?.deliver(frame.message)
     else if (frame.kind === FrameKind.CallEnd) this.calls.get(frame.call)?.end()
     else if (frame.kind === FrameKind.CallError) this.calls.get(frame.call)?.fail({ kind: errorKindOf(frame.error), reason: frame.reason })
--- a/packages/dotterelspur-mesh/src/request/CallServer.ts
+++ b/packages/dotterelspur-mesh/src/request/CallServer.ts
@@ -8,12 +8,12 @@
 /** Serves the calls that other nodes make to this process. */
 export class CallServer {
   private readonly handlers = new Map<string, CallHandler>()
-  private running = 0
+  private runningCount = 0
 
   constructor (private readonly incarnation: number, private readonly limits: CallLimits) {}
 
   get runningCalls (): number {
-    return this.running
+    return this.runningCount
   }
 
   handler (method: string): CallHandler | undefined {
@@ -27,17 +27,17 @@
   }
 
   /** Takes calls from a connection until it closes; what still runs then is cancelled. */
-  attach (connection: Connection, onAlive: () => void, onGone: () => void): void {
+  attach (connection: Connection, onActivity: () => void, onClosed: () => void): void {
     const calls = new Map<number, ServedCall>()
     const onFrame = (frame: Frame): void => {
-      onAlive()
+      onActivity()
       if (frame.kind === FrameKind.CallOpen) this.open(connection, calls, frame)
       else if (frame.kind === FrameKind.CallCredit) calls.get(frame.call)?.grant(frame.credit)
       else if (frame.kind === FrameKind.CallCancel) calls.get(frame.call)?.cancel()
     }
     connection.setListeners(onFrame, () => {
       for (const call of calls.values()) call.cancel()
-      onGone()
+      onClosed()
     })
   }
 
@@ -49,14 +49,14 @@
     if (frame.incarnation !== this.incarnation) return refuse(MeshErrorKind.WrongIncarnation, `this is incarnation ${this.incarnation}`)
     const handler = this.handlers.get(frame.method)
     if (handler === undefined) return refuse(MeshErrorKind.Rejected, `no handler of ${frame.method}`)
-    if (this.running >= this.limits.servedCalls) return refuse(MeshErrorKind.Overloaded, `${this.running} calls run here`)
+    if (this.runningCount >= this.limits.maxServedCalls) return refuse(MeshErrorKind.Overloaded, `${this.runningCount} calls run here`)
     if (calls.has(frame.call)) return connection.close('a call number is used twice')
     const call = new ServedCall(connection, frame.call, Math.min(frame.credit, this.limits.creditWindow))
     calls.set(frame.call, call)
-    this.running += 1
+    this.runningCount += 1
     call.run(handler, frame.request, connection.peer.node).finally(() => {
       calls.delete(frame.call)
-      this.running -= 1
+      this.runningCount -= 1
     })
   }
 }
--- a/packages/dotterelspur-mesh/src/request/KeepAlive.ts
+++ b/packages/dotterelspur-mesh/src/request/KeepAlive.ts
@@ -1,7 +1,7 @@
 import type { Clock } from 'dotterelspur'
 import type { Connection } from '../connection/Connection.js'
 import type { CallClient } from './CallClient.js'
-import { type CallLimits, KEEP_ALIVE_MISSES } from './CallLimits.js'
+import { type CallLimits, MAX_MISSED_KEEP_ALIVES } from './CallLimits.js'
 import type { CallServer } from './CallServer.js'
 
 /**
@@ -9,7 +9,7 @@
  * word would otherwise hold its callers until the system's own timeout, which is minutes.
  */
 export class KeepAlive {
-  private readonly served = new Map<Connection, number>()
+  private readonly lastActivityAtMs = new Map<Connection, number>()
   private nextPingAtMs = 0
   private lastTickMs = 0
 
@@ -17,27 +17,27 @@
 
   /** Lets the server take calls from a connection, and watches it. */
   serve (server: CallServer, connection: Connection, clock: Clock): void {
-    const alive = (): void => { this.served.set(connection, clock.nowMs()) }
-    alive()
-    connection.setAliveListener(alive)
-    server.attach(connection, alive, () => { this.served.delete(connection) })
+    const noteActivity = (): void => { this.lastActivityAtMs.set(connection, clock.nowMs()) }
+    noteActivity()
+    connection.setActivityListener(noteActivity)
+    server.attach(connection, noteActivity, () => { this.lastActivityAtMs.delete(connection) })
   }
 
   tick (nowMs: number): void {
     // After a pause of this process, signs of life wait unread: silence during it proves nothing.
-    if (nowMs - this.lastTickMs >= this.limits.keepAliveMs) this.restart(nowMs)
+    if (nowMs - this.lastTickMs >= this.limits.keepAliveIntervalMs) this.resetActivity(nowMs)
     this.lastTickMs = nowMs
     this.client.tick(nowMs)
     if (nowMs < this.nextPingAtMs) return
-    this.nextPingAtMs = nowMs + this.limits.keepAliveMs
+    this.nextPingAtMs = nowMs + this.limits.keepAliveIntervalMs
     this.client.ping()
-    for (const [connection, aliveAtMs] of this.served) {
-      if (nowMs - aliveAtMs >= KEEP_ALIVE_MISSES * this.limits.keepAliveMs) connection.terminate('silent')
+    for (const [connection, aliveAtMs] of this.lastActivityAtMs) {
+      if (nowMs - aliveAtMs >= MAX_MISSED_KEEP_ALIVES * this.limits.keepAliveIntervalMs) connection.terminate('silent')
     }
   }
 
-  private restart (nowMs: number): void {
-    this.client.restartSilence(nowMs)
-    for (const connection of this.served.keys()) this.served.set(connection, nowMs)
+  private resetActivity (nowMs: number): void {
+    this.client.resetActivity(nowMs)
+    for (const connection of this.lastActivityAtMs.keys()) this.lastActivityAtMs.set(connection, nowMs)
   }
 }
--- a/packages/dotterelspur-mesh/src/request/OutgoingCall.ts
+++ b/packages/dotterelspur-mesh/src/request/OutgoingCall.ts
@@ -4,8 +4,8 @@
 /** One call that this node makes: events wait here until the caller takes them, as many as the credit allows. */
 export class OutgoingCall {
   private readonly events: CallEvent[] = []
-  private taker: ((event: CallEvent) => void) | undefined
-  private ended = false
+  private pendingRead: ((event: CallEvent) => void) | undefined
+  private isEnded = false
   private consumed = 0
 
   constructor (private readonly connection: Connection, readonly call: number, private readonly creditWindow: number) {}
@@ -24,28 +24,28 @@
 
   /** Tells the peer to stop. What it has done until then is done. */
   cancel (reason: string): void {
-    if (this.ended) return
+    if (this.isEnded) return
     this.connection.sendCall({ kind: FrameKind.CallCancel, call: this.call })
     this.fail({ kind: MeshErrorKind.Interrupted, reason })
   }
 
   async next (): Promise<CallEvent> {
     const waiting = this.events.shift()
-    const event = waiting ?? await new Promise<CallEvent>((resolve) => { this.taker = resolve })
+    const event = waiting ?? await new Promise<CallEvent>((resolve) => { this.pendingRead = resolve })
     if (event.kind === CallEventKind.Message) this.noteConsumed()
     return event
   }
 
   private finish (event: CallEvent): void {
-    if (this.ended) return
+    if (this.isEnded) return
     this.push(event)
-    this.ended = true
+    this.isEnded = true
   }
 
   private push (event: CallEvent): void {
-    if (this.ended) return
-    const taker = this.taker
-    this.taker = undefined
+    if (this.isEnded) return
+    const taker = this.pendingRead
+    this.pendingRead = undefined
     if (taker === undefined) this.events.push(event)
     else taker(event)
   }
@@ -53,7 +53,7 @@
   /** Grants credit in portions of half the window, so that one credit frame serves many messages. */
   private noteConsumed (): void {
     this.consumed += 1
-    if (this.ended || this.consumed < this.creditWindow / 2) return
+    if (this.isEnded || this.consumed < this.creditWindow / 2) return
     this.connection.sendCall({ kind: FrameKind.CallCredit, call: this.call, credit: this.consumed })
     this.consumed = 0
   }
