--- a/packages/dotterelspur-gateway/src/__tests__/unit/leavingEndpoints.test.ts
+++ b/packages/dotterelspur-gateway/src/__tests__/unit/leavingEndpoints.test.ts
@@ -63,7 +63,8 @@
     expect(leaving.requests).to.have.length(1)
   }).timeout(10_000)
 
-  // Guards against callers that are refused although the endpoint that leaves was never asked to take more.
+  // Guards against using an endpoint that has announced that it is leaving as a last resort when no other endpoint is
+  // left: callers must be rejected with 503 instead, and the endpoint must receive no further request.
   it('receives no requests even as the last endpoint; callers are rejected at once', async () => {
     await startNodes('n1')
     staying.close()
--- a/packages/dotterelspur-gateway/src/process/FleetLease.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetLease.ts
@@ -86,7 +86,7 @@
     return this.leaseObservation.firstSeenAtMs !== null
   }
 
-  /** Registers a listener that runs once the state of the lease is known. */
+  /** Registers a listener that runs once the store has returned the lease or confirmed that there is none. */
   registerSynchronizedListener (listener: () => void): Teardown {
     this.synchronizedListeners.add(listener)
     return () => { this.synchronizedListeners.delete(listener) }
--- a/packages/dotterelspur-mesh/src/__tests__/unit/Calls.test.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/Calls.test.ts
@@ -16,7 +16,7 @@
     return [fleet.meshes[0]!, fleet.meshes[1]!]
   }
 
-  /** A handler that counts what it produces and notices when it is to stop. */
+  /** Registers a handler that counts the messages it produces and records when it is aborted. */
   function registerCounter (mesh: Mesh): { produced: number, aborted: boolean } {
     const counter = { produced: 0, aborted: false }
     mesh.registerCallHandler('count', async function * (_request, _from, signal) {
@@ -26,7 +26,7 @@
     return counter
   }
 
-  it('lets a handler run no further ahead of its caller than the credit, and stops it when the caller stops reading', async () => {
+  it('lets a handler run ahead of its caller by no more than the credit, and aborts it when the caller stops reading', async () => {
     const [caller, server] = await createPair()
     const counter = registerCounter(server)
     let read = 0
@@ -41,7 +41,7 @@
     await waitUntil(() => server.sizes().runningCalls === 0)
   })
 
-  it('cancels the handler when the caller aborts, and tells the caller that it was interrupted', async () => {
+  it('aborts the handler when the caller aborts, and reports the call as interrupted', async () => {
     const [caller, server] = await createPair()
     const counter = registerCounter(server)
     const abort = new AbortController()
@@ -52,12 +52,9 @@
     await waitUntil(() => counter.aborted)
   })
 
-  /*
-   * Symptom: a request runs twice, or is reported as not run though it ran.
-   * Sequence: a call is sent; the connection breaks before any answer.
-   * Cause: "could not be sent" and "sent, then lost" taken for the same. Only the first may be tried elsewhere.
-   */
-  it('tells a call that broke after it was sent from one that was never sent', async () => {
+  // Guards against a request that runs twice, or is reported as not run although it ran: the connection breaks after a
+  // call was sent and before any response. Only a call that could not be sent may be retried elsewhere.
+  it('distinguishes a call that was interrupted after it was sent from one that was never sent', async () => {
     const [caller, server] = await createPair()
     const counter = registerCounter(server)
     const home = homeOf(server.self)
@@ -69,7 +66,7 @@
     expect(later.last).to.have.nested.property('error.kind').that.is.oneOf([MeshErrorKind.Unreachable, MeshErrorKind.UnknownNode])
   })
 
-  it('sends nothing for a call that was aborted before it was made', async () => {
+  it('sends nothing for a call that was aborted before it started', async () => {
     const [caller, server] = await createPair()
     const counter = registerCounter(server)
     const { last } = await collect(caller.call(homeOf(server.self), 'count', null, AbortSignal.abort()))
@@ -77,7 +74,7 @@
     expect(counter.produced).to.equal(0)
   })
 
-  it('refuses calls beyond its bound without running them', async () => {
+  it('rejects calls above its limit without running them', async () => {
     const [caller, server] = await createPair(1)
     const counter = registerCounter(server)
     const abort = new AbortController()
@@ -91,7 +88,7 @@
 
   const failures = [
     { name: 'a handler that throws', message: () => { throw new Error('no such trip') }, reason: 'no such trip' },
-    { name: 'a message larger than a frame', message: () => 'x'.repeat(1_400_000), reason: 'a message is larger than a frame may be' }
+    { name: 'a message larger than a frame', message: () => 'x'.repeat(1_400_000), reason: 'a message exceeds the maximum frame size' }
   ]
   for (const { name, message, reason } of failures) {
     it(`ends a call with Rejected on ${name}`, async () => {
@@ -109,7 +106,7 @@
     expect(last).to.have.nested.property('error.kind', MeshErrorKind.Rejected)
   })
 
-  it('serves calls of a process to itself in the same way', async () => {
+  it('serves calls of a process to itself', async () => {
     const [caller] = await createPair()
     caller.registerCallHandler('own', async function * (request) { yield request })
     expect(await collect(caller.call(homeOf(caller.self), 'own', 5, NEVER))).to.deep.equal({ messages: [5], last: { kind: CallEventKind.End } })
--- a/packages/dotterelspur-mesh/src/__tests__/unit/FrameCodec.test.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/FrameCodec.test.ts
@@ -41,53 +41,53 @@
 ]
 
 describe('FrameCodec', () => {
-  it('has a frame of each kind under test', () => {
+  it('is tested with a frame of each kind', () => {
     const kinds = Object.values(FrameKind).filter((kind) => typeof kind === 'number')
     expect(new Set(FRAMES.map((frame) => frame.kind))).to.deep.equal(new Set(kinds))
   })
 
   for (const frame of FRAMES) {
-    it(`reads the ${FrameKind[frame.kind]} that it writes`, () => {
+    it(`decodes the ${FrameKind[frame.kind]} that it encodes`, () => {
       expect(decodeFrame(encodeFrame(frame))).to.deep.equal({ ok: true, value: frame })
     })
   }
 
-  /** Seeded: bytes changed, cut, added, repeated. Each result is a whole frame or a reason; nothing is thrown. */
-  it('answers damaged frames with a reason and never throws', () => {
+  // From a fixed seed, bytes are changed, truncated, removed and repeated. Each result is a complete frame or a reason.
+  it('rejects corrupted frames with a reason and never throws', () => {
     const random = createRandom(11)
-    let refused = 0
+    let rejectedCount = 0
     for (let round = 0; round < 20_000; round += 1) {
       const bytes = [...encodeFrame(FRAMES[random.integer(FRAMES.length)]!)]
       const changes = 1 + random.integer(4)
       for (let change = 0; change < changes; change += 1) {
         const at = random.integer(bytes.length + 1)
-        const act = random.integer(4)
-        if (act === 0) bytes[Math.min(at, Math.max(0, bytes.length - 1))] = random.integer(256)
-        else if (act === 1) bytes.length = at
-        else if (act === 2) bytes.splice(at, 0, random.integer(256))
+        const mutation = random.integer(4)
+        if (mutation === 0) bytes[Math.min(at, Math.max(0, bytes.length - 1))] = random.integer(256)
+        else if (mutation === 1) bytes.length = at
+        else if (mutation === 2) bytes.splice(at, 0, random.integer(256))
         else bytes.splice(at, random.integer(8), ...bytes.slice(0, random.integer(8)))
       }
       const decoded = decodeFrame(Buffer.from(bytes))
       if (decoded.ok) expect(FrameKind[decoded.value.kind]).to.be.a('string')
       else {
-        refused += 1
+        rejectedCount += 1
         expect(decoded.error.reason).to.be.a('string').and.not.equal('')
       }
     }
-    expect(refused).to.be.greaterThan(1_000)
+    expect(rejectedCount).to.be.greaterThan(1_000)
   })
 
-  const hostile = [
-    { name: 'a list that claims four thousand million entries', hex: '9201ddffffffff' },
-    { name: 'a text that claims two gigabytes', hex: '9201db7fffffff' },
-    { name: 'lists nested a hundred thousand deep', hex: '91'.repeat(100_000) },
-    { name: 'a kind that is a property of every object', hex: '91a8746f537472696e67' },
-    { name: 'a version that is no safe integer', hex: '92049192a161cb43e0000000000000' },
+  const malformedFrames = [
+    { name: 'a list that claims 4294967295 entries', hex: '9201ddffffffff' },
+    { name: 'a string that claims 2 GiB', hex: '9201db7fffffff' },
+    { name: 'lists nested 100000 levels deep', hex: '91'.repeat(100_000) },
+    { name: 'a kind that names an inherited object property', hex: '91a8746f537472696e67' },
+    { name: 'a version that is not a safe integer', hex: '92049192a161cb43e0000000000000' },
     { name: 'a version of zero', hex: '92049192a16100' },
-    { name: 'nothing at all', hex: '' }
+    { name: 'an empty buffer', hex: '' }
   ]
-  for (const { name, hex } of hostile) {
-    it(`refuses ${name}`, () => {
+  for (const { name, hex } of malformedFrames) {
+    it(`rejects ${name}`, () => {
       expect(decodeFrame(Buffer.from(hex, 'hex')).ok).to.equal(false)
     })
   }
--- a/packages/dotterelspur-mesh/src/__tests__/unit/Handshake.test.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/Handshake.test.ts
@@ -14,16 +14,16 @@
   return mesh.counters().refused[reason] ?? 0
 }
 
-function createStranger (): MemberRecord {
+function createUnknownMember (): MemberRecord {
   return { node: 'stranger', incarnation: 1, revision: 0, health: MemberHealth.Alive, draining: false, region: 'perth', failureDomain: 'fd-0', meshAddress: '127.0.0.1:1', entryAddress: '', adminAddress: '' }
 }
 
-/** A raw connection that knows the key, for sending what no node would send. */
+/** Opens a raw connection that has passed the handshake, for sending frames that no node would send. */
 async function createRawPeer (mesh: Mesh): Promise<WebSocket> {
   const socket = new WebSocket(`ws://${mesh.self.meshAddress}/mesh`)
   await new Promise((resolve) => { socket.once('open', resolve) })
-  const introduced = await handshakeAsDialer(socket, ConnectionPurpose.Gossip, { node: null, incarnation: 0 }, { self: createStranger, credentials: KEY, clock: realClock, timeoutMs: 5_000, isCertifiedAs: () => true })
-  expect(introduced.ok).to.equal(true)
+  const handshake = await handshakeAsDialer(socket, ConnectionPurpose.Gossip, { node: null, incarnation: 0 }, { self: createUnknownMember, credentials: KEY, clock: realClock, timeoutMs: 5_000, isCertifiedAs: () => true })
+  expect(handshake.ok).to.equal(true)
   return socket
 }
 
@@ -42,7 +42,7 @@
     return fleet.meshes
   }
 
-  it('joins nodes whose certificates name them', async () => {
+  it('connects nodes whose certificates name them', async () => {
     const authority = await createAuthority('authority')
     const meshes = await createPair([await createCertificate(authority, 'node-0'), await createCertificate(authority, 'node-1')])
     await waitUntil(() => meshes.every((mesh) => mesh.members().length === 2))
@@ -50,7 +50,7 @@
 
   const cases: ReadonlyArray<{ readonly name: string, readonly reason: RefusalReason, credentials (): Promise<readonly MeshCredentials[]> }> = [
     {
-      name: 'another shared key',
+      name: 'a different shared key',
       reason: RefusalReason.WrongKey,
       credentials: async () => [KEY, { kind: CredentialsKind.SharedKey, key: 'another key' }]
     },
@@ -71,7 +71,7 @@
       }
     },
     {
-      name: 'a certificate that has run out',
+      name: 'an expired certificate',
       reason: RefusalReason.CertificateRejected,
       credentials: async () => {
         const authority = await createAuthority('authority')
@@ -79,13 +79,13 @@
       }
     },
     {
-      name: 'a plain connection where certificates are asked for',
+      name: 'an unencrypted connection where certificates are required',
       reason: RefusalReason.Unreachable,
       credentials: async () => [await createCertificate(await createAuthority('authority'), 'node-0'), KEY]
     }
   ]
   for (const { name, reason, credentials } of cases) {
-    it(`refuses ${name}, whoever dials, and says why`, async () => {
+    it(`refuses ${name}, whichever node dials, and reports the reason`, async () => {
       const meshes = await createPair(await credentials())
       await waitUntil(() => meshes.every((mesh) => refusals(mesh, reason) > 0))
       expect(meshes.map((mesh) => mesh.members().length)).to.deep.equal([1, 1])
@@ -93,14 +93,14 @@
     })
   }
 
-  it('cuts off a peer that says nothing', async () => {
+  it('disconnects a peer that sends no handshake message', async () => {
     fleet = await createFleet(1, { timing: { ...FAST_TIMING, dialTimeoutMs: 200 } })
     const socket = new WebSocket(`ws://${fleet.meshes[0]!.self.meshAddress}/mesh`)
     expect(await closed(socket)).to.include({ reason: RefusalReason.TimedOut })
     expect(refusals(fleet.meshes[0]!, RefusalReason.TimedOut)).to.equal(1)
   })
 
-  it('refuses random bytes in place of a handshake and keeps nothing of them', async () => {
+  it('refuses random bytes in place of a handshake and keeps no state for them', async () => {
     fleet = await createFleet(1)
     const [mesh] = fleet.meshes
     const random = createRandom(5)
@@ -113,7 +113,7 @@
     expect(mesh!.sizes()).to.include({ members: 1, gossipLinks: 0 })
   })
 
-  it('closes a link on a frame that is not well formed, with the reason, and goes on', async () => {
+  it('closes a link on a malformed frame, with the reason, and keeps its other links', async () => {
     fleet = await createFleet(2)
     const [mesh] = fleet.meshes
     await waitUntil(() => mesh!.sizes().gossipLinks === 1)
@@ -129,24 +129,21 @@
     await waitUntil(() => mesh!.sizes().gossipLinks === 1)
   })
 
-  /*
-   * Symptom: a node's memory grows until it is killed.
-   * Sequence: a peer asks for large documents and stops reading.
-   * Cause: frames queued for a peer without a bound.
-   */
-  it('drops and counts what a peer that takes nothing has no room for', async () => {
+  // Guards against unbounded memory use: a peer requests large documents and stops reading, and the frames for it are
+  // queued without a limit.
+  it('drops and counts gossip frames to a peer that does not read', async () => {
     fleet = await createFleet(1, { maxQueuedBytes: 2_000_000 })
     const [mesh] = fleet.meshes
     mesh!.offerDocument(createDocument('teams/large', 1, 'x'.repeat(900_000)))
     const socket = await createRawPeer(mesh!)
     socket.pause()
     const want = encodeFrame({ kind: FrameKind.Want, keys: ['teams/large'] })
-    for (let asked = 0; asked < 60; asked += 1) socket.send(want)
+    for (let sent = 0; sent < 60; sent += 1) socket.send(want)
     await waitUntil(() => (mesh!.counters().dropped[FrameKind[FrameKind.Documents]] ?? 0) > 0)
     socket.terminate()
   })
 
-  it('closes a link on a frame larger than the bound', async () => {
+  it('closes a link on a frame above the size limit', async () => {
     fleet = await createFleet(1)
     const socket = await createRawPeer(fleet.meshes[0]!)
     socket.send(Buffer.alloc(1_500_000))
--- a/packages/dotterelspur-mesh/src/__tests__/unit/Mesh.test.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/Mesh.test.ts
@@ -15,7 +15,7 @@
     return fleet
   }
 
-  it('comes to know all members, draining and leaving included', async () => {
+  it('propagates membership to all nodes, including draining and leaving', async () => {
     const { meshes } = await createConnectedFleet(4)
     meshes[1]!.announceDraining()
     await waitUntil(() => meshes.every((mesh) => stateOf(mesh, 'node-1') === NodeState.Draining))
@@ -23,20 +23,20 @@
     await waitUntil(() => [meshes[0]!, meshes[2]!, meshes[3]!].every((mesh) => stateOf(mesh, 'node-1') === NodeState.Left))
   })
 
-  it('spreads documents to nodes that are there and to those that come later, and never lowers a version', async () => {
+  it('propagates documents to current nodes and to nodes that join later, and never lowers a version', async () => {
     const { meshes } = await createConnectedFleet(3)
-    const heard: number[] = []
-    meshes[2]!.registerDocumentListener('teams/', (document) => heard.push(document.version))
+    const notifiedVersions: number[] = []
+    meshes[2]!.registerDocumentListener('teams/', (document) => notifiedVersions.push(document.version))
     expect(meshes[0]!.offerDocument(createDocument('teams/tradeline', 7))).to.equal(true)
     await waitUntil(() => meshes.every((mesh) => mesh.document('teams/tradeline')?.version === 7))
     expect(meshes[1]!.offerDocument(createDocument('teams/tradeline', 6))).to.equal(false)
     const late = await fleet.add()
     await waitUntil(() => late.document('teams/tradeline')?.version === 7)
     expect(late.document('teams/tradeline')?.body).to.deep.equal({ text: 'teams/tradeline@7' })
-    expect(heard).to.deep.equal([7])
+    expect(notifiedVersions).to.deep.equal([7])
   })
 
-  it('carries group presence to every node with its age counted on', async () => {
+  it('propagates group presence to every node and adds the time since to its age', async () => {
     const { meshes } = await createConnectedFleet(4)
     meshes[0]!.publishPresence([createGroupPresence('g1', { ageMs: 100 })], [])
     await waitUntil(() => meshes.every((mesh) => mesh.groupPresence().length === 1))
@@ -45,7 +45,7 @@
     await waitUntil(() => meshes.every((mesh) => mesh.groupPresence()[0]?.complete === false))
   })
 
-  it('tells how old the last contact with the store and with peers is', async () => {
+  it('reports the age of the last contact with the store and with peers', async () => {
     const { meshes } = await createConnectedFleet(3)
     expect(meshes[2]!.storeContactAgeMs()).to.equal(Infinity)
     meshes[0]!.noteStoreContact()
@@ -53,7 +53,7 @@
     expect(meshes[2]!.peerContactAgeMs()).to.be.lessThan(Infinity)
   })
 
-  it('calls a handler on another process, streamed to its explicit end', async () => {
+  it('calls a handler on another process and streams its messages up to the explicit end', async () => {
     const { meshes } = await createConnectedFleet(2)
     meshes[1]!.registerCallHandler('count', async function * (request, from) {
       for (let index = 0; index < (request as number); index += 1) yield { index, from }
@@ -71,7 +71,7 @@
     { name: 'a method without a handler', home: 'node-1.1', kind: MeshErrorKind.Rejected }
   ]
   for (const { name, home, kind } of unservedCalls) {
-    it(`refuses a call to ${name}`, async () => {
+    it(`rejects a call to ${name}`, async () => {
       const { meshes } = await createConnectedFleet(2)
       const { messages, last } = await collect(meshes[0]!.call(home, 'absent', null, NEVER))
       expect(messages).to.deep.equal([])
@@ -79,7 +79,7 @@
     })
   }
 
-  it('reports the nodes that answer when others are gone', async () => {
+  it('reports the versions of the remaining nodes when others have stopped', async () => {
     const { meshes } = await createConnectedFleet(7)
     meshes[0]!.offerDocument(createDocument('teams/piedmont', 3))
     await waitUntil(() => meshes.every((mesh) => mesh.document('teams/piedmont') !== undefined))
@@ -88,7 +88,7 @@
     expect(reports.map((report) => report.node).sort()).to.deep.equal(['node-0', 'node-3', 'node-4', 'node-5', 'node-6'])
   })
 
-  it('reports which nodes hold which version', async () => {
+  it('reports the version that each node holds', async () => {
     const { meshes } = await createConnectedFleet(5)
     meshes[0]!.offerDocument(createDocument('teams/piedmont', 3))
     await waitUntil(() => meshes.every((mesh) => mesh.document('teams/piedmont') !== undefined))
--- a/packages/dotterelspur-mesh/src/__tests__/unit/certificateFixture.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/certificateFixture.ts
@@ -8,14 +8,14 @@
   readonly cert: string
 }
 
-/** A certificate authority for one test. */
+/** Creates a certificate authority for one test. */
 export async function createAuthority (name: string): Promise<KeyPair> {
   return await generate([{ name: 'commonName', value: name }], {
     keyType: 'ec', algorithm: 'sha256', extensions: [{ name: 'basicConstraints', cA: true, critical: true }, { name: 'keyUsage', keyCertSign: true, cRLSign: true }]
   })
 }
 
-/** Credentials of one node; `daysValid` below 0 makes a certificate that has run out. */
+/** Creates the credentials of one node; a negative `daysValid` gives an expired certificate. */
 export async function createCertificate (authority: KeyPair, node: string, daysValid = 1, trusted = authority): Promise<MeshCredentials> {
   const pair = await generate([{ name: 'commonName', value: node }], {
     keyType: 'ec',
--- a/packages/dotterelspur-mesh/src/__tests__/unit/meshFixture.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/meshFixture.ts
@@ -1,7 +1,7 @@
 import { type CallEvent, CallEventKind, type Clock, createRandom, type GroupPresence, type MeshDocument, type NodeMember } from 'dotterelspur'
 import { createMesh, CredentialsKind, type Mesh, type MeshOptions } from '../../index.js'
 
-/** The process's own clock, for tests with real connections. */
+/** The system clock, for tests with real connections. */
 export const realClock: Clock = {
   nowMs: () => performance.now(),
   wallMs: () => Date.now(),
@@ -11,12 +11,12 @@
   }
 }
 
-/** Times short enough for a test; nothing is asserted about them. */
+/** Timing short enough for tests; no test asserts these values. */
 export const FAST_TIMING = {
   beatIntervalMs: 50, silenceMs: 500, relaySilenceMs: 300, indirectProbeMs: 200, connectGraceMs: 1_000, suspicionMs: 600, linkTimeoutMs: 1_500, dialDeferMs: 100, rejoinIntervalMs: 200, mismatchGraceMs: 100, syncIntervalMs: 50
 }
 
-/** Options of one node on loopback; `seeds` is shared, so that a fleet finds itself. */
+/** Options of one node on loopback; the nodes of a fleet share `seeds`, by which they find each other. */
 export function createOptions (index: number, seeds: string[], change: Partial<MeshOptions> = {}): MeshOptions {
   return {
     self: { node: `node-${index}`, incarnation: 1, region: 'perth', failureDomain: `fd-${index % 3}`, entryAddress: `http://127.0.0.1:${9000 + index}`, adminAddress: `http://127.0.0.1:${9500 + index}` },
@@ -38,7 +38,7 @@
   stop (): Promise<void>
 }
 
-/** A fleet of nodes with real connections on loopback. */
+/** Starts a fleet of nodes with real connections on loopback. */
 export async function createFleet (size: number, change: Partial<MeshOptions> = {}): Promise<Fleet> {
   const meshes: Mesh[] = []
   const seeds: string[] = []
@@ -59,7 +59,7 @@
   return fleet
 }
 
-/** Waits until something holds; the test's own timeout is the only bound. A wait that was given up does not keep the process. */
+/** Polls until the condition is true; only the test's timeout limits the wait. An abandoned wait does not keep the process running. */
 export async function waitUntil (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => { setTimeout(resolve, 10).unref() })
 }
--- a/packages/dotterelspur-mesh/src/connection/Connection.ts
+++ b/packages/dotterelspur-mesh/src/connection/Connection.ts
@@ -4,28 +4,28 @@
 import type { MeshMetrics } from './MeshMetrics.js'
 import type { SocketMessage } from './SocketInbox.js'
 
-/** Gossip frames are dropped rather than queued above this part of the bound; digests and retries make up for them. */
+/** Gossip frames are dropped above this share of the queue limit; later digests and retries replace their content. */
 const GOSSIP_QUEUE_SHARE = 1 / 8
-/** A call is refused above this part of the bound, before anything of it is sent. */
+/** A call is rejected above this share of the queue limit, before any of its frames is sent. */
 const CALL_QUEUE_SHARE = 1 / 2
 const POLICY_VIOLATION = 1008
 const NORMAL_CLOSE = 1000
 const MAX_REASON_BYTES = 100
 
-/** Bounds of one connection; both ends of a fleet's connections should have the same. */
+/** Limits of one connection; all nodes of a fleet should use the same values. */
 export interface ConnectionLimits {
   readonly maxFrameBytes: number
   readonly maxQueuedBytes: number
 }
 
-/** A document body is at most a megabyte; the rest of a frame is for what goes around it. */
+/** A document body has at most 1 MiB; the rest of a frame is for its other fields. */
 export const DEFAULT_CONNECTION_LIMITS: ConnectionLimits = { maxFrameBytes: 1_310_720, maxQueuedBytes: 8_388_608 }
 
 export enum SendResult {
   Sent = 'sent',
-  /** The connection is not open any more; nothing was sent. */
+  /** The connection is closed; nothing was sent. */
   Closed = 'closed',
-  /** The peer would refuse the frame; nothing was sent. */
+  /** The frame exceeds the size that the peer accepts; nothing was sent. */
   TooLarge = 'too-large'
 }
 
@@ -45,12 +45,12 @@
     private readonly socket: WebSocket,
     readonly peer: MemberRecord,
     readonly purpose: ConnectionPurpose,
-    readonly dialed: boolean,
+    readonly isDialer: boolean,
     private readonly metrics: MeshMetrics,
-    private readonly bounds: ConnectionLimits,
-    early: readonly SocketMessage[]
+    private readonly limits: ConnectionLimits,
+    earlyMessages: readonly SocketMessage[]
   ) {
-    for (const message of early) this.onMessage(message.data, message.isBinary)
+    for (const message of earlyMessages) this.onMessage(message.data, message.isBinary)
     socket.on('message', (data, isBinary) => this.onMessage(data, isBinary))
     socket.on('close', (_code, reason) => this.onClose(reason.toString()))
     socket.on('error', (error) => this.onClose(error.message))
@@ -61,29 +61,29 @@
     return this.closeReason === undefined && this.socket.readyState === this.socket.OPEN
   }
 
-  /** No room for another call. */
+  /** Whether too many bytes are queued to start another call. */
   get isFull (): boolean {
-    return this.socket.bufferedAmount > this.bounds.maxQueuedBytes * CALL_QUEUE_SHARE
+    return this.socket.bufferedAmount > this.limits.maxQueuedBytes * CALL_QUEUE_SHARE
   }
 
   get queuedBytes (): number {
     return this.socket.bufferedAmount
   }
 
-  /** Frames that came before a listener was set are handed to it at once. */
+  /** Sets the listeners; frames received before are passed to `onFrame` at once. */
   setListeners (onFrame: (frame: Frame) => void, onClose: (reason: string) => void): void {
     this.frameListener = onFrame
     this.closeListener = onClose
-    const early = this.earlyFrames
+    const frames = this.earlyFrames
     this.earlyFrames = []
-    for (const frame of early) onFrame(frame)
+    for (const frame of frames) onFrame(frame)
     if (this.closeReason !== undefined) onClose(this.closeReason)
   }
 
-  /** Sends a gossip frame, or drops and counts it when the peer takes nothing. */
+  /** Sends a gossip frame, or drops and counts it if the peer reads too slowly. */
   sendGossip (frame: Frame): void {
     if (!this.isOpen) return
-    if (this.socket.bufferedAmount > this.bounds.maxQueuedBytes * GOSSIP_QUEUE_SHARE) this.metrics.countDropped(frame.kind)
+    if (this.socket.bufferedAmount > this.limits.maxQueuedBytes * GOSSIP_QUEUE_SHARE) this.metrics.countDropped(frame.kind)
     else this.write(frame)
   }
 
@@ -95,7 +95,7 @@
     if (this.isOpen) this.socket.ping()
   }
 
-  /** Calls back on signs of life that are no frames, for links that carry no beats. */
+  /** Registers a listener for pings and pongs, which show that the peer is alive while a connection carries no frames. */
   setActivityListener (listener: () => void): void {
     this.socket.on('pong', listener)
     this.socket.on('ping', listener)
@@ -115,12 +115,12 @@
 
   private write (frame: Frame): SendResult {
     const bytes = encodeFrame(frame)
-    if (bytes.length > this.bounds.maxFrameBytes) return SendResult.TooLarge
-    if (this.socket.bufferedAmount + bytes.length > this.bounds.maxQueuedBytes) {
+    if (bytes.length > this.limits.maxFrameBytes) return SendResult.TooLarge
+    if (this.socket.bufferedAmount + bytes.length > this.limits.maxQueuedBytes) {
       this.terminate('queue-full')
       return SendResult.Closed
     }
-    this.metrics.countSent(frame.kind, bytes.length + headerBytes(bytes.length, this.dialed))
+    this.metrics.countSent(frame.kind, bytes.length + headerBytes(bytes.length, this.isDialer))
     this.socket.send(bytes)
     return SendResult.Sent
   }
@@ -134,7 +134,7 @@
       return
     }
     const frame = decoded.value
-    this.metrics.countReceived(frame.kind, bytes.length + headerBytes(bytes.length, !this.dialed))
+    this.metrics.countReceived(frame.kind, bytes.length + headerBytes(bytes.length, !this.isDialer))
     if (this.purposeOf(frame) !== this.purpose) {
       this.metrics.countMalformed()
       this.socket.close(POLICY_VIOLATION, 'frame on the wrong kind of connection')
@@ -159,7 +159,7 @@
 const MEDIUM_PAYLOAD = 65_535
 const MASK_BYTES = 4
 
-/** Size of a WebSocket frame's header; the client end masks. */
+/** Size of a WebSocket frame's header; frames sent by the client end are masked. */
 export function headerBytes (payloadBytes: number, masked: boolean): number {
   const lengthBytes = payloadBytes <= SMALL_PAYLOAD ? 2 : payloadBytes <= MEDIUM_PAYLOAD ? 4 : 10
   return lengthBytes + (masked ? MASK_BYTES : 0)
--- a/packages/dotterelspur-mesh/src/connection/FieldReader.ts
+++ b/packages/dotterelspur-mesh/src/connection/FieldReader.ts
@@ -1,9 +1,9 @@
 const MAX_TEXT_LENGTH = 512
 
 /**
- * Reads the fields of a decoded frame one after the other and remembers the first that is not what it should
- * be. After a fault it returns neutral values; the caller looks at `fault` once, at the end, and then drops the
- * whole frame. So bytes from the network never throw here and never reach a state machine unchecked.
+ * Reads and validates the fields of a decoded frame in order, and records the first invalid one. It returns neutral
+ * values for invalid fields; the caller checks `fault` once all fields are read and then drops the whole frame. Bytes
+ * from the network thus never cause an exception here and never reach a state machine unchecked.
  */
 export class FieldReader {
   private position = 0
@@ -37,7 +37,7 @@
     return typeof value === 'boolean' ? value : this.fail(name, 'a boolean', false)
   }
 
-  /** Any value; what it must be is for its user to check. */
+  /** A value of any type; the code that uses it must validate it. */
   any (): unknown {
     return this.next()
   }
@@ -48,7 +48,7 @@
     return values.includes(value) ? value : this.fail(name, 'a known value', values[0]!)
   }
 
-  /** A list whose items are read by `read`, each with a reader of its own. */
+  /** A list; `read` is called for each item with a separate reader. */
   list<Item> (name: string, read: (item: FieldReader) => Item): Item[] {
     const value = this.next()
     if (!Array.isArray(value) || value.length > this.maxEntries) return this.fail(name, 'a bounded list', [])
--- a/packages/dotterelspur-mesh/src/connection/FrameCodec.ts
+++ b/packages/dotterelspur-mesh/src/connection/FrameCodec.ts
@@ -3,12 +3,12 @@
 import { FieldReader } from './FieldReader.js'
 import { readDocument, readFullLine, readHealth, readMember, readShortLine, writeDocument, writeFullLine, writeMember, writeShortLine } from './recordCodec.js'
 
-/** What is wrong with the bytes of a frame. */
+/** Why the bytes of a frame could not be decoded. */
 export interface MalformedFrame {
   readonly reason: string
 }
 
-/** How one kind of frame is written and read; the kind itself goes first on the wire. */
+/** Encodes and decodes the fields of one kind of frame; the kind precedes them on the wire. */
 interface Codec<One extends Frame> {
   readonly write: (frame: One) => unknown[]
   readonly read: (fields: FieldReader) => Omit<One, 'kind'>
@@ -93,7 +93,7 @@
   }
 }
 
-/** Entries that a received list may hold; a sender keeps far below it. */
+/** Maximum number of entries in a received list; senders stay far below it. */
 const MAX_LIST_ENTRIES = 65_536
 
 const packr = new Packr({ useRecords: false, encodeUndefinedAsNil: true })
@@ -103,7 +103,7 @@
   return packr.pack([frame.kind, ...codec.write(frame)])
 }
 
-/** Packs the fields of any message of this package, such as those of the handshake. */
+/** Packs the fields of a message that is not a frame, such as those of the handshake. */
 export function packFields (fields: readonly unknown[]): Buffer {
   return packr.pack(fields)
 }
@@ -118,7 +118,7 @@
   }
 }
 
-/** A reader over the fields of one message, with this package's bounds. */
+/** Creates a reader for the fields of one message, with the limit on list lengths. */
 export function createReader (fields: readonly unknown[]): FieldReader {
   return new FieldReader(fields, MAX_LIST_ENTRIES)
 }
--- a/packages/dotterelspur-mesh/src/connection/Handshake.ts
+++ b/packages/dotterelspur-mesh/src/connection/Handshake.ts
@@ -8,13 +8,13 @@
 import { readMember, writeMember } from './recordCodec.js'
 import { SocketInbox, type SocketMessage } from './SocketInbox.js'
 
-/** Why two processes do not talk; the words appear in logs, counters and the refused peer's log. */
+/** Why a handshake or connection was refused. The values appear in counters and in the logs of both peers. */
 export enum RefusalReason {
   WrongProtocol = 'wrong-protocol',
   WrongKey = 'wrong-key',
-  /** The certificate does not name the node that the peer says it is. */
+  /** The certificate does not name the node that the peer claims to be. */
   WrongName = 'wrong-name',
-  /** Another node than the one that was dialed. */
+  /** The peer is a different node from the one that was dialed. */
   WrongNode = 'wrong-node',
   WrongIncarnation = 'wrong-incarnation',
   /** A node dialed its own address. */
@@ -22,9 +22,9 @@
   Malformed = 'malformed',
   TimedOut = 'timed-out',
   TooManyConnections = 'too-many-connections',
-  /** The certificate is not of the authority, or out of date. */
+  /** The certificate was not issued by the authority, or is not valid at present. */
   CertificateRejected = 'certificate-rejected',
-  /** No connection, or it broke during the handshake. */
+  /** The connection could not be established, or was lost during the handshake. */
   Unreachable = 'unreachable'
 }
 
@@ -33,11 +33,11 @@
   readonly detail: string
 }
 
-/** What a handshake settles. */
+/** Result of a successful handshake. */
 export interface HandshakeResult {
   readonly peer: MemberRecord
   readonly purpose: ConnectionPurpose
-  /** Messages that arrived right behind the handshake. */
+  /** Messages that the peer sent right after the handshake. */
   readonly earlyMessages: readonly SocketMessage[]
 }
 
@@ -46,11 +46,11 @@
   readonly credentials: MeshCredentials
   readonly clock: Clock
   readonly timeoutMs: number
-  /** Whether the peer's certificate, if there is one, names the node. */
+  /** Whether the peer's certificate names the node; true for connections without certificates. */
   readonly isCertifiedAs: (node: NodeId) => boolean
 }
 
-/** The process that a dialer means; an incarnation of 0 stands for any. */
+/** The process that the dialer expects; a node of null or an incarnation of 0 matches any. */
 export interface ExpectedPeer {
   readonly node: NodeId | null
   readonly incarnation: number
@@ -75,7 +75,7 @@
   return randomBytes(NONCE_BYTES).toString('base64url')
 }
 
-/** The dialer's side: it proves itself after the acceptor has, and is done when the acceptor says so. */
+/** Runs the dialer's side: it authenticates itself after the acceptor, and completes when the acceptor sends Ready. */
 export async function handshakeAsDialer (socket: WebSocket, purpose: ConnectionPurpose, expected: ExpectedPeer, context: HandshakeContext): Promise<Result<HandshakeResult, Refusal>> {
   const inbox = new SocketInbox(socket)
   const cancelDeadline = inbox.registerDeadline(context.clock, context.timeoutMs)
@@ -84,7 +84,7 @@
   return finish(socket, inbox, result)
 }
 
-/** The acceptor's side. */
+/** Runs the acceptor's side. */
 export async function handshakeAsAcceptor (socket: WebSocket, context: HandshakeContext): Promise<Result<HandshakeResult, Refusal>> {
   const inbox = new SocketInbox(socket)
   const cancelDeadline = inbox.registerDeadline(context.clock, context.timeoutMs)
@@ -142,7 +142,7 @@
   }
 }
 
-async function readMessage<Value> (inbox: SocketInbox, step: HandshakeMessageKind, read: (fields: FieldReader) => Value): Promise<Result<Value, Refusal>> {
+async function readMessage<Value> (inbox: SocketInbox, expectedKind: HandshakeMessageKind, read: (fields: FieldReader) => Value): Promise<Result<Value, Refusal>> {
   const message = await inbox.next()
   if (!message.ok) return refuse(message.error === 'handshake timed out' ? RefusalReason.TimedOut : RefusalReason.Unreachable, message.error)
   const unpacked = unpackFields(message.value.data as Buffer)
@@ -150,12 +150,12 @@
   const [kind, ...rest] = unpacked.value
   const fields = createReader(rest)
   if (kind === HandshakeMessageKind.Refused) return readRefusal(fields)
-  if (kind !== step) return refuse(RefusalReason.Malformed, `expected ${HandshakeMessageKind[step]}`)
+  if (kind !== expectedKind) return refuse(RefusalReason.Malformed, `expected ${HandshakeMessageKind[expectedKind]}`)
   const value = read(fields)
   return fields.fault === undefined ? success(value) : refuse(RefusalReason.Malformed, fields.fault)
 }
 
-/** The peer's refusal, to be reported as its reason and not answered. */
+/** Reads the peer's refusal, which becomes the result of the handshake. */
 function readRefusal (fields: FieldReader): Result<never, Refusal> {
   return refuse(fields.oneOf('reason', REFUSAL_REASONS), fields.text('detail'))
 }
--- a/packages/dotterelspur-mesh/src/connection/MeshMetrics.ts
+++ b/packages/dotterelspur-mesh/src/connection/MeshMetrics.ts
@@ -1,12 +1,12 @@
 import { FrameKind } from 'dotterelspur'
 
-/** Frames and bytes of one kind in one direction. Bytes are those of the WebSocket frame, header included. */
+/** Number of frames of one kind in one direction, and their bytes including the WebSocket header. */
 export interface FrameCount {
   readonly frames: number
   readonly bytes: number
 }
 
-/** What the mesh has counted since the process started, by the names of frame kinds and reasons. */
+/** Counters since the process started, keyed by the names of frame kinds and reasons. */
 export interface MeshCounters {
   readonly sent: Readonly<Record<string, FrameCount>>
   readonly received: Readonly<Record<string, FrameCount>>
@@ -19,7 +19,7 @@
   readonly handshakes: number
 }
 
-/** Sizes now, for capacity and alarms. */
+/** Current sizes, for capacity planning and alerts. */
 export interface MeshSizes {
   readonly members: number
   readonly documents: number
@@ -29,7 +29,7 @@
   readonly runningCalls: number
 }
 
-/** The mesh's counters; one for each node. */
+/** Collects the counters of one node's mesh. */
 export class MeshMetrics {
   private readonly sent = new Map<string, FrameCount>()
   private readonly received = new Map<string, FrameCount>()
--- a/packages/dotterelspur-mesh/src/connection/SocketInbox.ts
+++ b/packages/dotterelspur-mesh/src/connection/SocketInbox.ts
@@ -1,16 +1,16 @@
 import type { RawData, WebSocket } from 'ws'
 import { type Clock, failed, type Result, success, type Teardown } from 'dotterelspur'
 
-/** A message as the socket gave it. */
+/** A message as the socket delivered it. */
 export interface SocketMessage {
   readonly data: RawData
   readonly isBinary: boolean
 }
 
-/** Messages kept while nobody asks for them; a peer that sends more before it is known is cut off. */
+/** Messages queued until they are read; a peer that sends more before it is authenticated is disconnected. */
 const MAX_QUEUED_MESSAGES = 64
 
-/** Lets a handshake take one message after the other, and hands over what came too early for it. */
+/** Lets a handshake read messages one at a time, and returns those that follow it for the established connection. */
 export class SocketInbox {
   private queue: SocketMessage[] = []
   private pendingRead: ((message: Result<SocketMessage, string>) => void) | undefined
@@ -26,7 +26,7 @@
     socket.on('error', this.onError)
   }
 
-  /** The next message, or why none will come. */
+  /** Resolves to the next message, or fails with the reason why there is none. */
   next (): Promise<Result<SocketMessage, string>> {
     const message = this.queue.shift()
     if (message !== undefined) return Promise.resolve(success(message))
@@ -34,12 +34,12 @@
     return new Promise((resolve) => { this.pendingRead = resolve })
   }
 
-  /** Ends the wait at a deadline. */
+  /** Makes a pending or later read fail once the timeout has passed; the teardown cancels the deadline. */
   registerDeadline (clock: Clock, timeoutMs: number): Teardown {
     return clock.registerTimer(timeoutMs, () => this.onEnd('handshake timed out'))
   }
 
-  /** Detaches, and returns the messages that were not taken. */
+  /** Stops listening to the socket and returns the messages that were not read. */
   detach (): readonly SocketMessage[] {
     this.socket.off('message', this.onMessage)
     this.socket.off('close', this.onClose)
@@ -48,10 +48,10 @@
   }
 
   private deliver (message: SocketMessage): void {
-    const taker = this.pendingRead
-    if (taker !== undefined) {
+    const read = this.pendingRead
+    if (read !== undefined) {
       this.pendingRead = undefined
-      taker(success(message))
+      read(success(message))
     } else if (this.queue.length < MAX_QUEUED_MESSAGES) {
       this.queue.push(message)
     } else {
@@ -61,8 +61,8 @@
 
   private end (reason: string): void {
     this.closedReason ??= reason
-    const taker = this.pendingRead
+    const read = this.pendingRead
     this.pendingRead = undefined
-    taker?.(failed(this.closedReason))
+    read?.(failed(this.closedReason))
   }
 }
--- a/packages/dotterelspur-mesh/src/connection/Transport.ts
+++ b/packages/dotterelspur-mesh/src/connection/Transport.ts
@@ -16,7 +16,7 @@
 export interface TransportOptions {
   readonly listenHost: string
   readonly listenPort: number
-  /** The address from which outgoing connections come; undefined leaves it to the system. */
+  /** Local address of outgoing connections; undefined lets the operating system choose. */
   readonly localAddress: string | undefined
   readonly credentials: MeshCredentials
   readonly clock: Clock
@@ -28,7 +28,7 @@
   readonly onConnection: (connection: Connection) => void
 }
 
-/** Why this node can't listen. */
+/** Why this node could not listen. */
 export interface ListenError {
   readonly reason: string
 }
@@ -38,7 +38,7 @@
   readonly tls: TLSSocket | undefined
 }
 
-/** Makes and accepts authenticated connections. */
+/** Opens and accepts authenticated connections. */
 export class Transport {
   private server: Server | undefined
   private readonly sockets: WebSocketServer
@@ -48,7 +48,7 @@
     this.sockets = new WebSocketServer({ noServer: true, maxPayload: options.connectionLimits.maxFrameBytes, perMessageDeflate: false })
   }
 
-  /** Returns the port on which the node listens. */
+  /** Starts listening and resolves to the port. */
   listen (): Promise<Result<number, ListenError>> {
     const server = this.createServer()
     this.server = server
@@ -60,7 +60,7 @@
     })
   }
 
-  /** Connects to a peer. A refusal means that no frame was sent. */
+  /** Connects to a peer. If it is refused, no frame was sent. */
   async dial (address: string, expected: ExpectedPeer, purpose: ConnectionPurpose): Promise<Result<Connection, Refusal>> {
     const { metrics } = this.options
     const opened = await this.openSocket(address)
@@ -69,13 +69,13 @@
       return opened
     }
     const { socket, tls } = opened.value
-    const introduced = await handshakeAsDialer(socket, purpose, expected, this.handshakeContext(tls))
-    if (!introduced.ok) {
-      metrics.countRefused(introduced.error.reason)
-      return introduced
+    const handshake = await handshakeAsDialer(socket, purpose, expected, this.handshakeContext(tls))
+    if (!handshake.ok) {
+      metrics.countRefused(handshake.error.reason)
+      return handshake
     }
     metrics.countHandshake()
-    return success(new Connection(socket, introduced.value.peer, purpose, true, metrics, this.options.connectionLimits, introduced.value.earlyMessages))
+    return success(new Connection(socket, handshake.value.peer, purpose, true, metrics, this.options.connectionLimits, handshake.value.earlyMessages))
   }
 
   async close (): Promise<void> {
@@ -89,7 +89,7 @@
   private createServer (): Server {
     const { credentials } = this.options
     if (credentials.kind === CredentialsKind.SharedKey) return createHttpServer()
-    // Certificates are judged at the upgrade, so that a refused peer is told why.
+    // Certificates are checked at the upgrade instead of in the TLS handshake, so that the response can state the reason.
     return createHttpsServer({ cert: credentials.certificate, key: credentials.privateKey, ca: credentials.authority, requestCert: true, rejectUnauthorized: false })
   }
 
@@ -112,13 +112,13 @@
   }
 
   private async accept (socket: WebSocket, tls: TLSSocket | undefined): Promise<void> {
-    const introduced = await handshakeAsAcceptor(socket, this.handshakeContext(tls))
-    if (!introduced.ok) {
-      this.options.metrics.countRefused(introduced.error.reason)
+    const handshake = await handshakeAsAcceptor(socket, this.handshakeContext(tls))
+    if (!handshake.ok) {
+      this.options.metrics.countRefused(handshake.error.reason)
       return
     }
     this.options.metrics.countHandshake()
-    const { peer, purpose, earlyMessages } = introduced.value
+    const { peer, purpose, earlyMessages } = handshake.value
     this.options.onConnection(new Connection(socket, peer, purpose, false, this.options.metrics, this.options.connectionLimits, earlyMessages))
   }
 
@@ -132,7 +132,7 @@
     const { credentials, localAddress, handshakeTimeoutMs } = this.options
     const secure = credentials.kind === CredentialsKind.MutualTls
     const identity = secure
-      // The name is checked in the handshake, against the node that the peer says it is: peers are dialed by IP number.
+      // Peers are dialed by IP address, so the mesh handshake checks the certificate against the node that the peer claims to be.
       ? { cert: credentials.certificate, key: credentials.privateKey, ca: credentials.authority, checkServerIdentity: () => undefined }
       : {}
     const socket = new WebSocket(`${secure ? 'wss' : 'ws'}://${address}${MESH_PATH}`, {
--- a/packages/dotterelspur-mesh/src/connection/recordCodec.ts
+++ b/packages/dotterelspur-mesh/src/connection/recordCodec.ts
@@ -3,7 +3,7 @@
 
 const HEALTHS = [MemberHealth.Alive, MemberHealth.Suspect, MemberHealth.Dead, MemberHealth.Left]
 
-/** Each value travels as an array of its fields in a fixed order: names would cost most of the bytes. */
+/** Each value is encoded as an array of its fields in a fixed order: field names would take up most of the bytes. */
 export function writeMember (record: MemberRecord): unknown[] {
   return [record.node, record.incarnation, record.revision, record.health, record.draining, record.region, record.failureDomain, record.meshAddress, record.entryAddress, record.adminAddress]
 }
--- a/packages/dotterelspur-mesh/src/process/InForce.ts
+++ b/packages/dotterelspur-mesh/src/process/InForce.ts
@@ -1,21 +1,21 @@
 import { type CallEvent, CallEventKind, type CallHandler, type HomeId, homeOf, type InForceReport, type MeshApi, type NodeId, type NodeMember, NodeState } from 'dotterelspur'
 
-/** Built-in call that asks for the version of one document, at the asked node and at others through it. */
+/** Built-in call that returns the version of one document, at the called node and at other nodes that it calls in turn. */
 export const IN_FORCE_METHOD = 'mesh/in-force'
 
 interface InForceRequest {
   readonly key: string
   readonly timeoutMs: number
-  /** Processes that the asked node is to ask in turn. */
+  /** Processes that the called node must query in turn. */
   readonly homes: readonly HomeId[]
 }
 
-/** Nodes asked side by side, by the first node and by each that asks for it. */
+/** Concurrent queries, both of the first node and of each node that queries others for it. */
 const MAX_CONCURRENT_QUERIES = 32
-/** Part of the time that a node leaves to those that it asks, so that its own answer is not late. */
+/** Share of its timeout that a node grants to the nodes that it queries, so that its own response is not late. */
 const FORWARDED_TIMEOUT_SHARE = 0.7
 
-/** Serves the call at each node. */
+/** Creates the handler that serves the call on each node. */
 export function createInForceHandler (mesh: MeshApi): CallHandler {
   return async function * (request) {
     const { key, timeoutMs, homes } = request as InForceRequest
@@ -25,8 +25,9 @@
 }
 
 /**
- * Asks every living node which version it holds: one node in each failure domain, which asks the others there,
- * so that no node needs a connection to each. What a failed middle node owed is asked directly, once.
+ * Collects the version of a document from all live nodes. One node of each failure domain is queried and queries the
+ * others there, so that no node needs connections to all. Nodes without a report, as when the intermediate node
+ * failed, are queried directly once.
  */
 export async function collectInForce (mesh: MeshApi, key: string, timeoutMs: number): Promise<readonly InForceReport[]> {
   const own: InForceReport = { node: mesh.self.node, version: mesh.document(key)?.version ?? 0 }
@@ -48,13 +49,13 @@
 async function queryAll (mesh: MeshApi, queries: readonly InForceQuery[], timeoutMs: number): Promise<InForceReport[]> {
   const deadline = AbortSignal.timeout(Math.max(1, Math.round(timeoutMs)))
   const reports: InForceReport[] = []
-  const waiting = [...queries]
-  const worker = async (): Promise<void> => {
-    for (let query = waiting.shift(); query !== undefined; query = waiting.shift()) {
+  const pending = [...queries]
+  const runQueries = async (): Promise<void> => {
+    for (let query = pending.shift(); query !== undefined; query = pending.shift()) {
       for await (const event of mesh.call(query.home, IN_FORCE_METHOD, query.request, deadline)) reports.push(...reportOf(event))
     }
   }
-  await Promise.all(Array.from({ length: Math.min(MAX_CONCURRENT_QUERIES, queries.length) }, worker))
+  await Promise.all(Array.from({ length: Math.min(MAX_CONCURRENT_QUERIES, queries.length) }, runQueries))
   return reports
 }
 
--- a/packages/dotterelspur-mesh/src/process/Listeners.ts
+++ b/packages/dotterelspur-mesh/src/process/Listeners.ts
@@ -3,7 +3,7 @@
 
 const log = createDebug('dotterelspur:mesh')
 
-/** Listeners of one sort of change. One that throws is logged and doesn't keep the others from hearing. */
+/** Listeners for one kind of change. If one throws, the error is logged and the others are still notified. */
 export class Listeners<Value> {
   private readonly listeners = new Set<(value: Value) => void>()
 
--- a/packages/dotterelspur-mesh/src/process/Mesh.ts
+++ b/packages/dotterelspur-mesh/src/process/Mesh.ts
@@ -21,35 +21,35 @@
 const MAX_CONNECTIONS = 1_024
 
 export interface MeshOptions {
-  /** What this process says of itself; the mesh address is added when it listens. */
+  /** The record that this process publishes of itself; the mesh address is added once it listens. */
   readonly self: Pick<NodeMember, 'node' | 'incarnation' | 'region' | 'failureDomain' | 'entryAddress' | 'adminAddress'>
-  /** The address to listen on, the node's own IP number. */
+  /** Address to listen on: the node's own IP address. */
   readonly listenHost: string
-  /** 0 lets the system choose. */
+  /** 0 lets the operating system choose. */
   readonly listenPort: number
-  /** `host:port` that peers are to dial instead of the listening address. */
+  /** `host:port` that peers dial instead of the listening address. */
   readonly advertiseAddress?: string
-  /** The address from which outgoing connections come: the node's own IP number. */
+  /** Local address of outgoing connections: the node's own IP address. */
   readonly localAddress?: string
   readonly credentials: MeshCredentials
   readonly clock: Clock
   readonly random: Random
-  /** `host:port` of nodes that are known from settings or from the platform; asked for again and again. */
+  /** `host:port` of nodes listed in the settings or by the platform; called repeatedly. */
   readonly seeds: () => readonly string[]
   readonly timing?: Partial<MeshTiming>
   readonly limits?: Partial<MeshLimits>
   readonly callLimits?: Partial<CallLimits>
-  /** A larger frame closes the connection. Default 1.25 MiB: a document body is at most a megabyte. */
+  /** A larger frame closes the connection. Default 1.25 MiB, since a document body has at most 1 MiB. */
   readonly maxFrameBytes?: number
-  /** Bytes that may wait for one peer; more closes the connection, gossip is dropped at an eighth, calls are refused at a half. */
+  /** Bytes that may be queued for one peer. More close the connection; gossip is dropped above an eighth, and calls are rejected above half. */
   readonly maxQueuedBytes?: number
 }
 
-/** The mesh of one node. */
+/** One node's membership in the mesh. */
 export interface Mesh extends MeshApi {
-  /** Listens and begins to look for peers. */
+  /** Starts listening and connecting to peers. */
   start (): Promise<Result<NodeMember, ListenError>>
-  /** Leaves, closes all connections and stops listening. */
+  /** Announces that the node leaves, closes all connections and stops listening. */
   stop (): Promise<void>
   counters (): MeshCounters
   sizes (): MeshSizes
@@ -243,7 +243,7 @@
       })
   }
 
-  /** Runs effects in order; those that listeners cause are queued behind. */
+  /** Runs effects in order; effects that listeners cause meanwhile are queued after them. */
   private runEffects (effects: readonly MeshEffect[]): void {
     this.effectQueue.push(...effects)
     if (this.isRunningEffects) return
--- a/packages/dotterelspur-mesh/src/process/NodeRegistration.ts
+++ b/packages/dotterelspur-mesh/src/process/NodeRegistration.ts
@@ -13,7 +13,7 @@
   Create = 'create',
   Update = 'update',
   Wait = 'wait',
-  /** Whether this attempt is still wanted: a later one replaces it. */
+  /** Whether no later write has replaced this one. */
   IsCurrent = 'is-current'
 }
 
@@ -28,14 +28,14 @@
 
 export enum RegistrationOutcome {
   Written = 'written',
-  /** The store already holds an object of a later process of this node: this one must not overwrite it. */
+  /** The store holds an object of a later incarnation of this node, which must not be overwritten. */
   Superseded = 'superseded',
   Abandoned = 'abandoned'
 }
 
 /**
- * Writes a node's object, however long the store is out. Reads before each write, so that an earlier attempt
- * whose answer was lost is recognised by what it says and not repeated.
+ * Writes a node's object and retries for as long as the store is unavailable. It reads the object before each write:
+ * if an earlier write succeeded and only its response was lost, the object matches and is not written again.
  */
 export function * writeNodeObject (body: NodeObject, random: Random): Procedure<RegistrationEffect, RegistrationOutcome> {
   const key = `${NODE_PREFIX}${body.node}`
@@ -76,7 +76,7 @@
   readonly random: Random
 }
 
-/** Keeps `nodes/<node>` written: at start and at drain, without a heartbeat. */
+/** Writes `nodes/<node>` when the node starts and when it drains; there is no heartbeat. */
 export class NodeRegistration {
   private writeGeneration = 0
   private cancelWait: Teardown | undefined
@@ -87,11 +87,11 @@
     this.write(false).catch((error) => log('registration: %O', error))
   }
 
-  /** Returns whether the store has taken it in time. */
+  /** Returns whether the object was written within the timeout. */
   async registerDraining (timeoutMs: number): Promise<boolean> {
     const written = this.write(true).then((outcome) => outcome === RegistrationOutcome.Written)
-    const late = sleep(this.options.clock, timeoutMs).then(() => false)
-    return await Promise.race([written, late])
+    const timedOut = sleep(this.options.clock, timeoutMs).then(() => false)
+    return await Promise.race([written, timedOut])
   }
 
   stop (): void {
@@ -100,26 +100,26 @@
   }
 
   private async write (draining: boolean): Promise<RegistrationOutcome> {
-    const round = ++this.writeGeneration
+    const generation = ++this.writeGeneration
     const body = nodeObjectOf(this.options.mesh.self, draining)
-    const outcome = await runProcedure(writeNodeObject(body, this.options.random), this.handlers(round))
+    const outcome = await runProcedure(writeNodeObject(body, this.options.random), this.handlers(generation))
     log('%s registered, draining %s: %s', body.node, draining, outcome)
     return outcome
   }
 
-  private handlers (round: number): EffectHandlers<RegistrationEffect> {
+  private handlers (generation: number): EffectHandlers<RegistrationEffect> {
     const { store, clock } = this.options
     return {
       [RegistrationEffectKind.Read]: (effect) => store.get<NodeObject>(effect.key),
       [RegistrationEffectKind.Create]: (effect) => store.create(effect.key, effect.body),
       [RegistrationEffectKind.Update]: (effect) => store.update(effect.key, effect.body, effect.version),
       [RegistrationEffectKind.Wait]: (effect) => new Promise<void>((resolve) => { this.cancelWait = clock.registerTimer(effect.durationMs, resolve) }),
-      [RegistrationEffectKind.IsCurrent]: () => round === this.writeGeneration
+      [RegistrationEffectKind.IsCurrent]: () => generation === this.writeGeneration
     }
   }
 }
 
-/** The store's client stamps the write token. */
+/** The write token is left empty; the store client sets it. */
 function nodeObjectOf (self: NodeMember, draining: boolean): NodeObject {
   const { node, incarnation, region, failureDomain, meshAddress, entryAddress, adminAddress } = self
   return { node, incarnation, region, failureDomain, meshAddress, entryAddress, adminAddress, draining, writeToken: '' }
--- a/packages/dotterelspur-mesh/src/process/StoreFollower.ts
+++ b/packages/dotterelspur-mesh/src/process/StoreFollower.ts
@@ -9,19 +9,19 @@
 const log = createDebug('dotterelspur:store-follower')
 
 /**
- * The prefixes that are watched in the store. Leases are not: their renewals would be nearly all that a watcher
- * receives, and whoever takes or releases one tells the mesh itself.
+ * Prefixes of the store that are watched. Leases are not among them: renewals would be nearly all events that a watcher
+ * receives, and the node that takes or releases a lease announces it in the mesh itself.
  */
 export const FOLLOWED_PREFIXES: readonly string[] = [TEAM_PREFIX, ASSIGNMENT_PREFIX, NODE_PREFIX, DRAIN_PREFIX, QUARANTINE_PREFIX]
-/** Nodes of one failure domain that watch the store. The second one covers for the first while its death is noticed. */
+/** Nodes of one failure domain that watch the store. If one fails, the other covers until the failure is detected. */
 export const WATCHERS_PER_FAILURE_DOMAIN = 2
 
 const CHECK_INTERVAL_MS = 500
-/** A node that has just started waits this long for peers before it counts itself alone, so that a restart of all doesn't open a watch from each. */
+/** A starting node waits this long for peers before it assumes that it is alone, so that not every node opens a watch when all restart. */
 const PEER_DISCOVERY_MS = 2_000
-/** Without settings or a word of the store for this long, the node says that it has none. */
+/** A node reports that it has no settings if it has neither received any nor learned of contact with the store for this long after its start. */
 const NO_SETTINGS_AFTER_MS = 5_000
-/** A node that is a watcher no more keeps its watch for this long, so that a flapping member costs no new listings. */
+/** A node that is no longer selected as a watcher keeps its watch for this long, so that a flapping member causes no new listings. */
 const UNWATCH_DELAY_MS = 10_000
 
 export interface StoreFollowerOptions {
@@ -29,17 +29,17 @@
   readonly store: ObjectStore
   readonly clock: Clock
   readonly random: Random
-  /** Calls back on each answer of the store, where the client can tell. */
+  /** Registers a listener for each response of the store, if the client supports it. */
   readonly registerContactListener?: (listener: () => void) => Teardown
 }
 
-/** Follows the store for the mesh, where it falls to this node, and keeps this node's own object there. */
+/** Watches the store on behalf of the mesh if this node is selected for it, and writes this node's own object there. */
 export interface StoreFollower {
   start (): void
-  /** Writes that this node drains; resolves when that is written, or when `timeoutMs` is over. */
+  /** Writes that this node drains; resolves to whether this succeeded within `timeoutMs`. */
   registerDraining (timeoutMs: number): Promise<boolean>
   readonly isWatching: boolean
-  /** Holds no settings and has heard of the store neither itself nor through peers. */
+  /** Whether the node holds no settings and neither it nor, as far as it has learned, any peer has had contact with the store. */
   readonly withoutSettings: boolean
   stop (): void
 }
@@ -102,21 +102,21 @@
     if (this.isWatching && nowMs - this.notWatcherSinceMs >= UNWATCH_DELAY_MS) this.unwatch()
   }
 
-  /** When all nodes restart while the store is out, nobody has settings to pass on: say so rather than look empty. */
+  /** If all nodes restart while the store is unavailable, no peer has settings: the node reports this instead of appearing to have no teams. */
   private updateHasNoSettings (nowMs: number): void {
     const { mesh } = this.options
     const hasNoSettings = mesh.documents(TEAM_PREFIX).length === 0 && mesh.storeContactAgeMs() === Infinity && nowMs - this.startedAtMs >= NO_SETTINGS_AFTER_MS
-    if (hasNoSettings !== this.hasNoSettings) log(hasNoSettings ? '%s holds no settings: the store has not been heard, and no peer has any' : '%s has heard the store or has settings again', mesh.self.node)
+    if (hasNoSettings !== this.hasNoSettings) log(hasNoSettings ? '%s has no settings: the store has not responded, and no peer has provided any' : '%s has settings or contact with the store again', mesh.self.node)
     this.hasNoSettings = hasNoSettings
   }
 
   private isWatcher (nowMs: number): boolean {
     const { mesh } = this.options
-    const alone = mesh.members().length === 1
-    if (alone && mesh.peerContactAgeMs() > 0 && nowMs - this.startedAtMs < PEER_DISCOVERY_MS) return false
+    const isAlone = mesh.members().length === 1
+    if (isAlone && mesh.peerContactAgeMs() > 0 && nowMs - this.startedAtMs < PEER_DISCOVERY_MS) return false
     const { failureDomain, node } = mesh.self
-    const living = mesh.members().filter((member) => member.failureDomain === failureDomain && (member.state === NodeState.Alive || member.node === node))
-    return rendezvousOrder(failureDomain, living.map((member) => member.node)).slice(0, WATCHERS_PER_FAILURE_DOMAIN).includes(node)
+    const candidates = mesh.members().filter((member) => member.failureDomain === failureDomain && (member.state === NodeState.Alive || member.node === node))
+    return rendezvousOrder(failureDomain, candidates.map((member) => member.node)).slice(0, WATCHERS_PER_FAILURE_DOMAIN).includes(node)
   }
 
   private watch (): void {
@@ -133,7 +133,7 @@
 
   private onEvent (prefix: string, event: WatchEvent<unknown>): void {
     const { mesh } = this.options
-    if (event.kind === WatchEventKind.Disconnected) return log('%s lost the store, prefix %s', mesh.self.node, prefix)
+    if (event.kind === WatchEventKind.Disconnected) return log('%s lost the connection to the store, prefix %s', mesh.self.node, prefix)
     mesh.noteStoreContact()
     if (event.kind === WatchEventKind.Object) this.offer(event.object)
     if (event.kind !== WatchEventKind.Listing) return
--- a/packages/dotterelspur-mesh/src/request/CallClient.ts
+++ b/packages/dotterelspur-mesh/src/request/CallClient.ts
@@ -15,7 +15,7 @@
   readonly record: (node: NodeId) => MemberRecord | undefined
 }
 
-/** Makes calls, each over a connection to the one process that it names. Connections are kept for a while. */
+/** Makes calls, each over a connection to the process that it names. Connections are reused until they are idle for too long. */
 export class CallClient {
   private readonly pendingLinks = new Map<HomeId, Promise<LinkResult>>()
   private readonly established = new Map<HomeId, CallLink>()
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Closes what is idle for long and breaks off what is silent. */
+  /** Closes connections that have been idle for too long and terminates those whose peer has been silent for too long. */
   tick (nowMs: number): void {
     const { idleTimeoutMs, keepAliveIntervalMs } = this.options.limits
     for (const link of this.established.values()) {
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Counts silence from now on. */
+  /** Restarts the silence timeout of all connections. */
   resetActivity (nowMs: number): void {
     for (const link of this.established.values()) link.lastActivityAtMs = nowMs
   }
@@ -77,7 +77,7 @@
   private async connect (home: HomeId): Promise<LinkResult> {
     const target = this.findTarget(home)
     if (!target.ok) return target
-    if (!this.evictIdleLink()) return failed({ kind: MeshErrorKind.Overloaded, reason: 'too many calls are under way to other nodes' })
+    if (!this.evictIdleLink()) return failed({ kind: MeshErrorKind.Overloaded, reason: 'the limit of connections for calls is reached and none is idle' })
     const { node, incarnation, meshAddress } = target.value
     const dialed = await this.options.transport.dial(meshAddress, { node, incarnation }, ConnectionPurpose.Call)
     return dialed.ok ? success(this.addLink(home, dialed.value)) : failed(errorOfRefusal(dialed.error))
@@ -88,9 +88,9 @@
     const node = home.slice(0, separator)
     const incarnation = Number(home.slice(separator + 1))
     const record = this.options.record(node)
-    if (record === undefined) return failed({ kind: MeshErrorKind.UnknownNode, reason: `${node} is not known` })
+    if (record === undefined) return failed({ kind: MeshErrorKind.UnknownNode, reason: `${node} is not a member of the mesh` })
     if (record.incarnation > incarnation) return failed({ kind: MeshErrorKind.WrongIncarnation, reason: `${node} has restarted as ${homeOf(record)}` })
-    if (!isLiving(record)) return failed({ kind: MeshErrorKind.UnknownNode, reason: `${node} is gone` })
+    if (!isLiving(record)) return failed({ kind: MeshErrorKind.UnknownNode, reason: `${node} is dead or has left` })
     return success({ ...record, incarnation })
   }
 
@@ -116,12 +116,12 @@
   return { kind: MeshErrorKind.Unreachable, reason: `${reason}: ${detail}` }
 }
 
-/** The link, or an error at once when the caller gives up while it is being made. */
+/** Resolves to the link, or to an error as soon as the caller aborts while the connection is being established. */
 function abortable (link: Promise<LinkResult>, signal: AbortSignal): Promise<LinkResult> {
-  const givenUp: LinkResult = failed({ kind: MeshErrorKind.Unreachable, reason: 'cancelled before anything was sent' })
-  if (signal.aborted) return Promise.resolve(givenUp)
+  const aborted: LinkResult = failed({ kind: MeshErrorKind.Unreachable, reason: 'cancelled before the call was sent' })
+  if (signal.aborted) return Promise.resolve(aborted)
   return new Promise((resolve, reject) => {
-    const onAbort = (): void => resolve(givenUp)
+    const onAbort = (): void => resolve(aborted)
     signal.addEventListener('abort', onAbort, { once: true })
     link.then(resolve, reject).finally(() => signal.removeEventListener('abort', onAbort))
   })
--- a/packages/dotterelspur-mesh/src/request/CallLimits.ts
+++ b/packages/dotterelspur-mesh/src/request/CallLimits.ts
@@ -1,14 +1,14 @@
-/** Bounds of calls between nodes. */
+/** Limits of calls between nodes. */
 export interface CallLimits {
-  /** Messages that a handler may send ahead of its caller. */
+  /** Messages that a handler may send before the caller has read them. */
   readonly creditWindow: number
-  /** Calls that run here for others at once. */
+  /** Concurrent calls that this node serves. */
   readonly maxServedCalls: number
-  /** Connections for calls that this node keeps to others. */
+  /** Connections that this node keeps open to others for its calls. */
   readonly maxOutgoingLinks: number
-  /** A connection without calls is closed after this long. */
+  /** A connection is closed after this long without calls. */
   readonly idleTimeoutMs: number
-  /** A connection is pinged this often, and broken off after three times as long without a sign of life. */
+  /** Interval of pings; a connection on which nothing is received for three intervals is terminated. */
   readonly keepAliveIntervalMs: number
 }
 
--- a/packages/dotterelspur-mesh/src/request/CallLink.ts
+++ b/packages/dotterelspur-mesh/src/request/CallLink.ts
@@ -5,7 +5,7 @@
 
 const ERROR_KINDS = Object.values(MeshErrorKind)
 
-/** A connection to one other process, for calls that this node makes. */
+/** A connection to another process, for calls that this node makes. */
 export class CallLink {
   private readonly calls = new Map<number, OutgoingCall>()
   private lastCallId = 0
@@ -29,19 +29,19 @@
   /** Sends the call. An error means that nothing was sent. */
   open (method: string, request: unknown): Result<OutgoingCall, MeshError> {
     const { connection } = this
-    if (connection.isFull) return failed({ kind: MeshErrorKind.Overloaded, reason: `${connection.queuedBytes} bytes wait for ${connection.peer.node}` })
+    if (connection.isFull) return failed({ kind: MeshErrorKind.Overloaded, reason: `${connection.queuedBytes} bytes are queued for ${connection.peer.node}` })
     this.lastCallId += 1
     const call = this.lastCallId
     const { incarnation } = connection.peer
     const sent = connection.sendCall({ kind: FrameKind.CallOpen, call, incarnation, credit: this.limits.creditWindow, method, request })
     if (sent === SendResult.Closed) return failed({ kind: MeshErrorKind.Unreachable, reason: 'the connection closed before the call was sent' })
-    if (sent === SendResult.TooLarge) return failed({ kind: MeshErrorKind.Rejected, reason: 'the request is larger than a frame may be; nothing was sent' })
+    if (sent === SendResult.TooLarge) return failed({ kind: MeshErrorKind.Rejected, reason: 'the request exceeds the maximum frame size; nothing was sent' })
     const outgoing = new OutgoingCall(connection, call, this.limits.creditWindow)
     this.calls.set(call, outgoing)
     return success(outgoing)
   }
 
-  /** The caller has the call's last event, or gave it up. */
+  /** Called once the caller has read the call's last event or stopped reading; cancels the call if it still runs. */
   release (call: OutgoingCall): void {
     call.cancel('the caller stopped reading')
     this.calls.delete(call.call)
@@ -60,7 +60,7 @@
   }
 }
 
-/** A kind that this version does not know tells nothing of what was done, so it counts as an interruption. */
+/** An unknown kind, as from a newer version, does not show whether the call ran, so it is treated as an interruption. */
 function errorKindOf (text: string): MeshErrorKind {
   return ERROR_KINDS.find((kind) => kind === text) ?? MeshErrorKind.Interrupted
 }
--- a/packages/dotterelspur-mesh/src/request/CallServer.ts
+++ b/packages/dotterelspur-mesh/src/request/CallServer.ts
@@ -26,7 +26,7 @@
     return () => { this.handlers.delete(method) }
   }
 
-  /** Takes calls from a connection until it closes; what still runs then is cancelled. */
+  /** Serves the calls of a connection until it closes; calls that still run then are cancelled. */
   attach (connection: Connection, onActivity: () => void, onClosed: () => void): void {
     const calls = new Map<number, ServedCall>()
     const onFrame = (frame: Frame): void => {
@@ -45,7 +45,7 @@
     const refuse = (error: MeshErrorKind, reason: string): void => {
       connection.sendCall({ kind: FrameKind.CallError, call: frame.call, error, reason })
     }
-    // A call meant for the process that had this address before must not run here: it may already have run there.
+    // A call to an earlier process at this address must not run here: it may already have run there.
     if (frame.incarnation !== this.incarnation) return refuse(MeshErrorKind.WrongIncarnation, `this is incarnation ${this.incarnation}`)
     const handler = this.handlers.get(frame.method)
     if (handler === undefined) return refuse(MeshErrorKind.Rejected, `no handler of ${frame.method}`)
--- a/packages/dotterelspur-mesh/src/request/KeepAlive.ts
+++ b/packages/dotterelspur-mesh/src/request/KeepAlive.ts
@@ -5,8 +5,8 @@
 import type { CallServer } from './CallServer.js'
 
 /**
- * Pings the connections for calls, which carry nothing while a call computes. A peer that vanished without a
- * word would otherwise hold its callers until the system's own timeout, which is minutes.
+ * Pings the connections for calls, which carry no frames while a handler computes. If a peer disappeared without
+ * closing its connection, callers would otherwise wait for the operating system's timeout, which is minutes.
  */
 export class KeepAlive {
   private readonly lastActivityAtMs = new Map<Connection, number>()
@@ -15,7 +15,7 @@
 
   constructor (private readonly client: CallClient, private readonly limits: CallLimits) {}
 
-  /** Lets the server take calls from a connection, and watches it. */
+  /** Lets the server serve the calls of a connection, and monitors it. */
   serve (server: CallServer, connection: Connection, clock: Clock): void {
     const noteActivity = (): void => { this.lastActivityAtMs.set(connection, clock.nowMs()) }
     noteActivity()
@@ -24,15 +24,15 @@
   }
 
   tick (nowMs: number): void {
-    // After a pause of this process, signs of life wait unread: silence during it proves nothing.
+    // After a pause of this process, received pongs may still be unread, so silence during the pause is no sign of failure.
     if (nowMs - this.lastTickMs >= this.limits.keepAliveIntervalMs) this.resetActivity(nowMs)
     this.lastTickMs = nowMs
     this.client.tick(nowMs)
     if (nowMs < this.nextPingAtMs) return
     this.nextPingAtMs = nowMs + this.limits.keepAliveIntervalMs
     this.client.ping()
-    for (const [connection, aliveAtMs] of this.lastActivityAtMs) {
-      if (nowMs - aliveAtMs >= MAX_MISSED_KEEP_ALIVES * this.limits.keepAliveIntervalMs) connection.terminate('silent')
+    for (const [connection, activityAtMs] of this.lastActivityAtMs) {
+      if (nowMs - activityAtMs >= MAX_MISSED_KEEP_ALIVES * this.limits.keepAliveIntervalMs) connection.terminate('silent')
     }
   }
 
--- a/packages/dotterelspur-mesh/src/request/OutgoingCall.ts
+++ b/packages/dotterelspur-mesh/src/request/OutgoingCall.ts
@@ -1,7 +1,7 @@
 import { type CallEvent, CallEventKind, FrameKind, type MeshError, MeshErrorKind } from 'dotterelspur'
 import type { Connection } from '../connection/Connection.js'
 
-/** One call that this node makes: events wait here until the caller takes them, as many as the credit allows. */
+/** One call that this node makes. Events are queued until the caller reads them; the credit limits their number. */
 export class OutgoingCall {
   private readonly events: CallEvent[] = []
   private pendingRead: ((event: CallEvent) => void) | undefined
@@ -22,7 +22,7 @@
     this.finish({ kind: CallEventKind.Error, error })
   }
 
-  /** Tells the peer to stop. What it has done until then is done. */
+  /** Asks the peer to stop; effects that the call has had until then are not undone. */
   cancel (reason: string): void {
     if (this.isEnded) return
     this.connection.sendCall({ kind: FrameKind.CallCancel, call: this.call })
@@ -30,8 +30,8 @@
   }
 
   async next (): Promise<CallEvent> {
-    const waiting = this.events.shift()
-    const event = waiting ?? await new Promise<CallEvent>((resolve) => { this.pendingRead = resolve })
+    const queued = this.events.shift()
+    const event = queued ?? await new Promise<CallEvent>((resolve) => { this.pendingRead = resolve })
     if (event.kind === CallEventKind.Message) this.noteConsumed()
     return event
   }
@@ -44,13 +44,13 @@
 
   private push (event: CallEvent): void {
     if (this.isEnded) return
-    const taker = this.pendingRead
+    const read = this.pendingRead
     this.pendingRead = undefined
-    if (taker === undefined) this.events.push(event)
-    else taker(event)
+    if (read === undefined) this.events.push(event)
+    else read(event)
   }
 
-  /** Grants credit in portions of half the window, so that one credit frame serves many messages. */
+  /** Grants credit in steps of half the window, so that one credit frame covers many messages. */
   private noteConsumed (): void {
     this.consumed += 1
     if (this.isEnded || this.consumed < this.creditWindow / 2) return
--- a/packages/dotterelspur-mesh/src/request/ServedCall.ts
+++ b/packages/dotterelspur-mesh/src/request/ServedCall.ts
@@ -3,7 +3,7 @@
 
 const MAX_REASON_LENGTH = 300
 
-/** One call that a handler of this node serves. The handler is asked for its next message only when the caller has room for it. */
+/** One call served by a handler of this node. The handler is resumed for its next message only while the caller has granted credit. */
 export class ServedCall {
   private readonly abort = new AbortController()
   private wakeForCredit: (() => void) | undefined
@@ -23,7 +23,7 @@
     this.wakeForCredit?.()
   }
 
-  /** The caller does not want it any more, or its connection is gone. */
+  /** Called when the caller has cancelled the call or its connection has closed. */
   cancel (): void {
     this.abort.abort()
     this.wakeForCredit?.()
@@ -41,7 +41,7 @@
       }
       this.credit -= 1
       const sent = this.connection.sendCall({ kind: FrameKind.CallMessage, call: this.call, message: step.value })
-      if (sent === SendResult.TooLarge) this.fail(MeshErrorKind.Rejected, 'a message is larger than a frame may be')
+      if (sent === SendResult.TooLarge) this.fail(MeshErrorKind.Rejected, 'a message exceeds the maximum frame size')
       if (sent !== SendResult.Sent) break
     }
     this.abort.abort()
--- a/packages/dotterelspur-mesh/src/version/findDeletions.ts
+++ b/packages/dotterelspur-mesh/src/version/findDeletions.ts
@@ -1,8 +1,8 @@
 import type { MeshDocument, ObjectListing } from 'dotterelspur'
 
 /**
- * The documents that a listing shows to be deleted: held at a version below the listing's and absent from it.
- * A held version above the listing's is not touched: the listing is from before that write.
+ * Returns deletions for the documents that a listing shows to be deleted: those held at a version below the listing's
+ * and absent from it. Documents with a version above the listing's are ignored, since they were written after it.
  */
 export function findDeletions (held: readonly MeshDocument[], listing: ObjectListing<unknown>): MeshDocument[] {
   const present = new Set(listing.objects.map((object) => object.key))
--- a/packages/dotterelspur/src/request/poison/PoisonRecord.ts
+++ b/packages/dotterelspur/src/request/poison/PoisonRecord.ts
@@ -29,7 +29,7 @@
   readonly ageMs: number
 }
 
-/** Terminations kept for one request: several times the number needed to judge it. */
+/** Terminations kept for one request: several times the number needed to assess it. */
 const MAX_TERMINATIONS = 12
 
 /** Merges two records of one request. */
--- a/packages/dotterelspur/src/request/poison/__tests__/unit/PoisonLedger.test.ts
+++ b/packages/dotterelspur/src/request/poison/__tests__/unit/PoisonLedger.test.ts
@@ -4,7 +4,7 @@
 import type { PoisonRecord } from '../../PoisonRecord.js'
 
 const LIMITS: PoisonLimits = { quarantineEnds: 3, mostRecords: 50, memoryMs: 60_000 }
-/** Late enough for every judgement to have settled. */
+/** Late enough for every assessment to be final. */
 const SETTLED_MS = 10_000
 const SEED = 20261203
 const RUNS = 200
--- a/packages/dotterelspur/src/request/poison/__tests__/unit/assessPoison.test.ts
+++ b/packages/dotterelspur/src/request/poison/__tests__/unit/assessPoison.test.ts
@@ -41,7 +41,7 @@
     expect(quarantined(records)).to.deep.equal(['first', 'second'])
   })
 
-  it('explains terminations by requests that were judged before', () => {
+  it('explains terminations by requests that were quarantined before', () => {
     const records = [createRecord('decided', ['e1', 'e2']), createRecord('beside', ['e1', 'e2', 'e3'])]
     expect(quarantined(records, ['decided'])).to.deep.equal(['decided'])
   })
--- a/packages/dotterelspur/src/request/poison/assessPoison.ts
+++ b/packages/dotterelspur/src/request/poison/assessPoison.ts
@@ -39,10 +39,10 @@
 
 /**
  * Determines which requests crash their endpoints. Every request in flight at a termination is a suspect, and most of
- * them are there by chance. The request with the most weight is therefore judged first, and the terminations at which
+ * them are there by chance. The request with the most weight is therefore assessed first, and the terminations at which
  * it was present count half for all others.
  *
- * @param decided requests that were judged before; their terminations need no other explanation.
+ * @param decided requests that were quarantined before; their terminations need no other explanation.
  * @param quarantineEnds terminations from which on a request is considered the cause.
  */
 export function assessPoison (records: Iterable<PoisonRecord>, decided: ReadonlySet<RequestFingerprint>, quarantineEnds: number): PoisonAssessment {
