--- a/packages/dotterelspur-node/src/process/Incarnation.ts
+++ b/packages/dotterelspur-node/src/process/Incarnation.ts
@@ -1,7 +1,7 @@
 import { NODE_PREFIX, sleep, type Clock, type NodeId, type NodeObject, type ObjectStore } from 'dotterelspur'
 
 /** How long a starting node waits for what the store knows of the process before it. */
-const LOOK_BACK_TIMEOUT_MS = 1_500
+const STORED_INCARNATION_TIMEOUT_MS = 1_500
 
 /**
  * Chooses the incarnation of this process: the wall clock, or one above the incarnation that the store remembers
@@ -13,11 +13,11 @@
  */
 export async function chooseIncarnation (node: NodeId, store: ObjectStore, clock: Clock): Promise<number> {
   const fromClock = Math.floor(clock.wallMs())
-  const remembered = await Promise.race([readIncarnation(node, store), sleep(clock, LOOK_BACK_TIMEOUT_MS)])
-  return Math.max(fromClock, (remembered ?? 0) + 1)
+  const storedIncarnation = await Promise.race([readStoredIncarnation(node, store), sleep(clock, STORED_INCARNATION_TIMEOUT_MS)])
+  return Math.max(fromClock, (storedIncarnation ?? 0) + 1)
 }
 
-async function readIncarnation (node: NodeId, store: ObjectStore): Promise<number | undefined> {
+async function readStoredIncarnation (node: NodeId, store: ObjectStore): Promise<number | undefined> {
   const stored = await store.get<NodeObject>(`${NODE_PREFIX}${node}`)
   return stored.ok ? stored.value.body?.incarnation : undefined
 }
--- a/packages/dotterelspur-node/src/process/Node.ts
+++ b/packages/dotterelspur-node/src/process/Node.ts
@@ -2,7 +2,7 @@
 import { hashToken } from 'dotterelspur-settings'
 import { startAdminServer, type AdminServer } from './admin/index.js'
 import { DrainEffectKind, drainNode, type DrainEffect } from './DrainProcedure.js'
-import { settlePort } from './freePort.js'
+import { resolvePort } from './freePort.js'
 import { chooseIncarnation } from './Incarnation.js'
 import type { LoadedSettings } from './loadNodeSettings.js'
 import { NodeErrorKind, type NodeError } from './NodeError.js'
@@ -28,16 +28,16 @@
 /** Starts a node with all its roles. It serves callers once this resolves. */
 export async function startNode (loaded: LoadedSettings): Promise<Result<RunningNode, NodeError>> {
   const base = createNodeBase(loaded)
-  const ports = await settlePorts(loaded)
+  const ports = await resolvePorts(loaded)
   const incarnation = await chooseIncarnation(loaded.settings.id, base.store, base.clock)
   const parts = createNodeParts(loaded, base, incarnation, ports)
   const listening = await parts.mesh.start()
   if (!listening.ok) return failed({ kind: NodeErrorKind.ListenFailed, address: `${loaded.settings.host}:${ports.mesh}`, reason: listening.error.reason })
   const requested = createDrainRequest()
-  const admin = await attempt(`${loaded.settings.host}:${ports.admin}`, () => startAdmin(loaded, parts, ports, requested.request))
+  const admin = await tryListen(`${loaded.settings.host}:${ports.admin}`, () => startAdmin(loaded, parts, ports, requested.request))
   if (!admin.ok) return admin
   startRoles(parts)
-  const entryAddress = await attempt(`${loaded.settings.host}:${ports.entry}`, () => parts.entry.listen())
+  const entryAddress = await tryListen(`${loaded.settings.host}:${ports.entry}`, () => parts.entry.listen())
   if (!entryAddress.ok) return entryAddress
   parts.logs.node(`started, incarnation ${incarnation}, entry ${entryAddress.value}, mesh ${parts.mesh.self.meshAddress}, admin ${admin.value.address}`)
   return success({
@@ -48,12 +48,12 @@
   })
 }
 
-async function settlePorts ({ settings }: LoadedSettings): Promise<NodePorts> {
+async function resolvePorts ({ settings }: LoadedSettings): Promise<NodePorts> {
   const { host } = settings
   return {
-    entry: await settlePort(host, settings.entry.port),
-    mesh: await settlePort(host, settings.mesh.port),
-    admin: await settlePort(host, settings.admin.port)
+    entry: await resolvePort(host, settings.entry.port),
+    mesh: await resolvePort(host, settings.mesh.port),
+    admin: await resolvePort(host, settings.admin.port)
   }
 }
 
@@ -64,7 +64,7 @@
   fleet.start()
 }
 
-async function attempt<Value> (address: string, listen: () => Promise<Value>): Promise<Result<Value, NodeError>> {
+async function tryListen<Value> (address: string, listen: () => Promise<Value>): Promise<Result<Value, NodeError>> {
   try {
     return success(await listen())
   } catch (error) {
@@ -86,7 +86,7 @@
 function startAdmin (loaded: LoadedSettings, parts: NodeParts, ports: NodePorts, drainSelf: (reason: string) => void): Promise<AdminServer> {
   const { settings, adminToken } = loaded
   const explain = new NodeExplain(parts)
-  explain.registerAnswers()
+  explain.registerCallHandler()
   return startAdminServer({
     clock: parts.clock,
     store: parts.store,
--- a/packages/dotterelspur-node/src/process/NodeExplain.ts
+++ b/packages/dotterelspur-node/src/process/NodeExplain.ts
@@ -8,12 +8,12 @@
 const EXPLAIN_TIMEOUT_MS = 1_500
 
 /** What is asked of the node that holds the records. */
-type ExplainQuestion =
+type ExplainRequest =
   | { readonly subject: ExplainSubject.Group, readonly group: GroupId }
   | { readonly subject: ExplainSubject.Vm, readonly vm: VmId }
   | { readonly subject: ExplainSubject.Intent, readonly team: TeamId, readonly model: ModelId }
 
-type Explainers = { readonly [Subject in ExplainSubject]: (input: ExplainInput, question: Extract<ExplainQuestion, { subject: Subject }>) => Explanation | undefined }
+type Explainers = { readonly [Subject in ExplainSubject]: (input: ExplainInput, request: Extract<ExplainRequest, { subject: Subject }>) => Explanation | undefined }
 
 const EXPLAINERS: Explainers = {
   [ExplainSubject.Group]: (input, { group }) => explainGroup(input, group),
@@ -30,8 +30,8 @@
   constructor (private readonly parts: NodeParts) {}
 
   /** Answers other nodes' questions; the teardown ends that. */
-  registerAnswers (): Teardown {
-    return this.parts.mesh.registerCallHandler(EXPLAIN_METHOD, (request) => this.answer(request as ExplainQuestion))
+  registerCallHandler (): Teardown {
+    return this.parts.mesh.registerCallHandler(EXPLAIN_METHOD, (request) => this.handleCall(request as ExplainRequest))
   }
 
   explainGroup (group: GroupId): Promise<Explanation | undefined> {
@@ -46,29 +46,29 @@
     return this.explain({ subject: ExplainSubject.Intent, team, model })
   }
 
-  private async explain (question: ExplainQuestion): Promise<Explanation | undefined> {
+  private async explain (request: ExplainRequest): Promise<Explanation | undefined> {
     const { mesh } = this.parts
-    for (const holder of holdersFor(mesh, question)) {
-      const explanation = holder === homeOf(mesh.self) ? this.explainHere(question) : await this.ask(holder, question)
+    for (const holder of orderedLeaseHolders(mesh, request)) {
+      const explanation = holder === homeOf(mesh.self) ? this.explainLocally(request) : await this.explainRemotely(holder, request)
       if (explanation !== undefined) return explanation
     }
-    return this.explainHere(question)
+    return this.explainLocally(request)
   }
 
-  private async * answer (question: ExplainQuestion): AsyncGenerator<Explanation | null> {
-    yield this.explainHere(question) ?? null
+  private async * handleCall (request: ExplainRequest): AsyncGenerator<Explanation | null> {
+    yield this.explainLocally(request) ?? null
   }
 
-  private explainHere (question: ExplainQuestion): Explanation | undefined {
-    const explainer = EXPLAINERS[question.subject] as ((input: ExplainInput, question: ExplainQuestion) => Explanation | undefined) | undefined
-    return explainer?.(this.parts.fleet.explainInput(), question)
+  private explainLocally (request: ExplainRequest): Explanation | undefined {
+    const explainer = EXPLAINERS[request.subject] as ((input: ExplainInput, request: ExplainRequest) => Explanation | undefined) | undefined
+    return explainer?.(this.parts.fleet.explainInput(), request)
   }
 
-  private async ask (holder: HomeId, question: ExplainQuestion): Promise<Explanation | undefined> {
+  private async explainRemotely (holder: HomeId, request: ExplainRequest): Promise<Explanation | undefined> {
     const controller = new AbortController()
     const cancelTimer = this.parts.clock.registerTimer(EXPLAIN_TIMEOUT_MS, () => { controller.abort() })
     try {
-      for await (const event of this.parts.mesh.call(holder, EXPLAIN_METHOD, question, controller.signal)) {
+      for await (const event of this.parts.mesh.call(holder, EXPLAIN_METHOD, request, controller.signal)) {
         if (event.kind === CallEventKind.Message) return (event.message as Explanation | null) ?? undefined
       }
       return undefined
@@ -79,22 +79,22 @@
   }
 }
 
-function bodies<Body> (mesh: MeshApi, prefix: string): readonly Body[] {
+function documentBodies<Body> (mesh: MeshApi, prefix: string): readonly Body[] {
   return mesh.documents(prefix).filter((document) => !document.deleted).map((document) => document.body as Body)
 }
 
 /** Holders of leases, the one that decides on what is asked first. */
-function holdersFor (mesh: MeshApi, question: ExplainQuestion): readonly HomeId[] {
-  const failureDomain = bodies<AssignmentObject>(mesh, ASSIGNMENT_PREFIX).find((assignment) => concerns(assignment, question))?.failureDomain
-  const leases = bodies<LeaseObject>(mesh, LEASE_PREFIX).filter((lease) => !lease.released)
+function orderedLeaseHolders (mesh: MeshApi, request: ExplainRequest): readonly HomeId[] {
+  const failureDomain = documentBodies<AssignmentObject>(mesh, ASSIGNMENT_PREFIX).find((assignment) => concerns(assignment, request))?.failureDomain
+  const leases = documentBodies<LeaseObject>(mesh, LEASE_PREFIX).filter((lease) => !lease.released)
   const ordered = [...leases].sort((left, right) => Number(right.failureDomain === failureDomain) - Number(left.failureDomain === failureDomain))
   return [...new Set(ordered.map((lease) => homeOf({ node: lease.holder, incarnation: lease.holderIncarnation })))]
 }
 
-function concerns (assignment: AssignmentObject, question: ExplainQuestion): boolean {
+function concerns (assignment: AssignmentObject, request: ExplainRequest): boolean {
   return assignment.groups.some((group) => {
-    if (question.subject === ExplainSubject.Group) return group.group === question.group
-    if (question.subject === ExplainSubject.Vm) return [...group.members, ...group.standbys].some((member) => member.vm === question.vm)
-    return group.team === question.team && group.model === question.model
+    if (request.subject === ExplainSubject.Group) return group.group === request.group
+    if (request.subject === ExplainSubject.Vm) return [...group.members, ...group.standbys].some((member) => member.vm === request.vm)
+    return group.team === request.team && group.model === request.model
   })
 }
--- a/packages/dotterelspur-node/src/process/NodeMetrics.ts
+++ b/packages/dotterelspur-node/src/process/NodeMetrics.ts
@@ -42,14 +42,14 @@
   }
 
   /** Adds what the parts count themselves, read when the page is. */
-  registerNode ({ store, leaseStore, mesh, fleet, entry, audit }: MeasuredParts): void {
+  registerParts ({ store, leaseStore, mesh, fleet, entry, audit }: MeasuredParts): void {
     this.snapshot('platform_calls', 'Calls to the platform since the start', 'kind', () => ({ ...store.calls }))
     this.snapshot('platform_lease_calls', 'Calls to the platform for leases since the start', 'kind', () => ({ ...leaseStore.calls }))
     this.snapshot('mesh_sent_bytes', 'Bytes sent to other nodes since the start', 'frame', () => bytesByKind(mesh.counters().sent))
     this.snapshot('mesh_received_bytes', 'Bytes received from other nodes since the start', 'frame', () => bytesByKind(mesh.counters().received))
     this.snapshot('mesh_sizes', 'What the mesh holds', 'what', () => ({ ...mesh.sizes() }))
     this.snapshot('mesh_refused', 'Connections between nodes that were refused', 'reason', () => ({ ...mesh.counters().refused }))
-    this.snapshot('fleet_counts', 'What watcher and controller did since the start', 'what', () => numbersOf({ ...fleet.counts() }))
+    this.snapshot('fleet_counts', 'What watcher and controller did since the start', 'what', () => flattenNumbers({ ...fleet.counts() }))
     this.snapshot('node_state', 'What this node holds now', 'what', () => ({
       leases: fleet.leases().length,
       runningRequests: entry.runningCount(),
@@ -57,8 +57,8 @@
       auditQueued: audit.queuedRecords,
       auditLost: audit.lostRecords,
       staleStoreAnswers: store.staleAnswers,
-      storeContactAgeMs: finite(mesh.storeContactAgeMs()),
-      peerContactAgeMs: finite(mesh.peerContactAgeMs()),
+      storeContactAgeMs: finiteOrMinusOne(mesh.storeContactAgeMs()),
+      peerContactAgeMs: finiteOrMinusOne(mesh.peerContactAgeMs()),
       residentBytes: process.memoryUsage.rss()
     }))
   }
@@ -123,16 +123,16 @@
 }
 
 /** The numbers of an object, those of objects in it under `outer.inner`. */
-function numbersOf (counts: Readonly<Record<string, unknown>>, prefix = ''): Record<string, number> {
+function flattenNumbers (counts: Readonly<Record<string, unknown>>, prefix = ''): Record<string, number> {
   const flat: Record<string, number> = {}
   for (const [key, value] of Object.entries(counts)) {
     if (typeof value === 'number') flat[`${prefix}${key}`] = value
-    else if (typeof value === 'object' && value !== null) Object.assign(flat, numbersOf(value as Record<string, unknown>, `${key}.`))
+    else if (typeof value === 'object' && value !== null) Object.assign(flat, flattenNumbers(value as Record<string, unknown>, `${key}.`))
   }
   return flat
 }
 
 /** Prometheus has no use for an age that never began. */
-function finite (valueMs: number): number {
+function finiteOrMinusOne (valueMs: number): number {
   return Number.isFinite(valueMs) ? valueMs : -1
 }
--- a/packages/dotterelspur-node/src/process/NodeParts.ts
+++ b/packages/dotterelspur-node/src/process/NodeParts.ts
@@ -90,7 +90,7 @@
     timing: fleetTiming(settings)
   })
   const parts: NodeParts = { settings, clock, logs, metrics, store, leaseStore, vmDirectory, mesh, follower, teams, audit, fleet, entry }
-  metrics.registerNode(parts)
+  metrics.registerParts(parts)
   return parts
 }
 
--- a/packages/dotterelspur-node/src/process/admin/AdminEffects.ts
+++ b/packages/dotterelspur-node/src/process/admin/AdminEffects.ts
@@ -102,6 +102,6 @@
   log('%s: %s by %s, version %d', subject, kind, actor, effect.version)
   const body: OperatorAuditBatch = { writeToken: effect.changeToken, records: [effect.record], version: effect.version }
   const written = await backend.store.create(operatorAuditKey(effect.record.atWallMs, effect.changeToken), body)
-  const kept = written.ok || written.error.kind === StoreErrorKind.Conflict
-  if (!kept) backend.audit(effect.record)
+  const isRecorded = written.ok || written.error.kind === StoreErrorKind.Conflict
+  if (!isRecorded) backend.audit(effect.record)
 }
--- a/packages/dotterelspur-node/src/process/admin/AdminRoute.ts
+++ b/packages/dotterelspur-node/src/process/admin/AdminRoute.ts
@@ -40,7 +40,7 @@
 const MAX_ISSUES = 10
 
 /** Checks a query or a body against its schema. */
-export function readInput<Value> (schema: Schema<Value>, input: unknown): Result<Value, AdminError> {
+export function parseInput<Value> (schema: Schema<Value>, input: unknown): Result<Value, AdminError> {
   const result = schema.safeParse(input)
   if (result.success) return success(result.data)
   const issues = result.error.issues.slice(0, MAX_ISSUES).map((issue) => `${issue.path.map(String).join('.') || 'request'}: ${issue.message}`)
@@ -53,10 +53,10 @@
 }
 
 /** Says that an answer is from the nodes' copies, and how old the store's last word is. */
-export function fromMesh (backend: AdminBackend): { source: AnswerSource, storeContactAgeMs: number | null } {
+export function meshSourceFields (backend: AdminBackend): { source: AnswerSource, storeContactAgeMs: number | null } {
   return { source: AnswerSource.Mesh, storeContactAgeMs: finiteOrNull(backend.mesh.storeContactAgeMs()) }
 }
 
-export function fromStore (backend: AdminBackend): { source: AnswerSource, storeContactAgeMs: number | null } {
-  return { ...fromMesh(backend), source: AnswerSource.Store }
+export function storeSourceFields (backend: AdminBackend): { source: AnswerSource, storeContactAgeMs: number | null } {
+  return { ...meshSourceFields(backend), source: AnswerSource.Store }
 }
--- a/packages/dotterelspur-node/src/process/admin/AdminScope.ts
+++ b/packages/dotterelspur-node/src/process/admin/AdminScope.ts
@@ -62,7 +62,7 @@
 }
 
 /** Whether something that belongs to `team` is shown. */
-export function mayServe (scope: AdminScope, team: TeamId | null): boolean {
+export function canView (scope: AdminScope, team: TeamId | null): boolean {
   return scope.kind === AdminScopeKind.Fleet || scope.team === team
 }
 
--- a/packages/dotterelspur-node/src/process/admin/TeamDocuments.ts
+++ b/packages/dotterelspur-node/src/process/admin/TeamDocuments.ts
@@ -12,18 +12,18 @@
 
 /** Reads the teams' documents of the mesh; each version is parsed once. */
 export class TeamDocuments {
-  private parsed = new Map<string, TeamEntry>()
+  private parsedByKey = new Map<string, TeamEntry>()
 
   constructor (private readonly mesh: MeshApi) {}
 
   entries (): readonly TeamEntry[] {
-    const kept = new Map<string, TeamEntry>()
+    const entriesByKey = new Map<string, TeamEntry>()
     for (const document of this.mesh.documents(TEAM_PREFIX)) {
       const entry = document.deleted ? undefined : this.entryOf(document)
-      if (entry !== undefined) kept.set(document.key, entry)
+      if (entry !== undefined) entriesByKey.set(document.key, entry)
     }
-    this.parsed = kept
-    return [...kept.values()]
+    this.parsedByKey = entriesByKey
+    return [...entriesByKey.values()]
   }
 
   find (team: TeamId): TeamEntry | undefined {
@@ -32,13 +32,13 @@
   }
 
   private entryOf (document: MeshDocument): TeamEntry | undefined {
-    const held = this.parsed.get(document.key)
-    if (held !== undefined && held.version === document.version) return held
+    const cached = this.parsedByKey.get(document.key)
+    if (cached !== undefined && cached.version === document.version) return cached
     const object = readTeamObject(document.body)
     if (object === undefined) return undefined
     const settings = parseTeamSettings(object.text, document.key)
     const entry = { team: document.key.slice(TEAM_PREFIX.length), version: document.version, object, settings: settings.ok ? settings.value : null }
-    this.parsed.set(document.key, entry)
+    this.parsedByKey.set(document.key, entry)
     return entry
   }
 }
--- a/packages/dotterelspur-node/src/process/admin/auditRoutes.ts
+++ b/packages/dotterelspur-node/src/process/admin/auditRoutes.ts
@@ -2,8 +2,8 @@
 import { auditQuerySchema, explainQuerySchema, type AdminError, type AuditReply, type ExplainQuery, type ExplanationReply } from 'dotterelspur-settings'
 import { auditDay } from './AdminEffects.js'
 import { fromStoreError, notFound } from './AdminError.js'
-import { readInput, type AdminContext, type AdminRequest, type AdminRoute } from './AdminRoute.js'
-import { AdminAccess, AdminScopeKind, authorize, mayServe, type AdminScope } from './AdminScope.js'
+import { parseInput, type AdminContext, type AdminRequest, type AdminRoute } from './AdminRoute.js'
+import { AdminAccess, AdminScopeKind, authorize, canView, type AdminScope } from './AdminScope.js'
 import { teamOfGroup } from './fleetViews.js'
 
 /** What was changed, by whom and why; and why things are as they are. */
@@ -13,11 +13,11 @@
 ]
 
 async function readAudit (request: AdminRequest, context: AdminContext): Promise<Result<AuditReply, AdminError>> {
-  const query = readInput(auditQuerySchema, request.query)
+  const query = parseInput(auditQuerySchema, request.query)
   if (!query.ok) return query
   const { scope } = request
   const team = scope.kind === AdminScopeKind.Team ? scope.team : query.value.team
-  if (query.value.team !== undefined && !mayServe(scope, query.value.team)) return forbidden(request)
+  if (query.value.team !== undefined && !canView(scope, query.value.team)) return forbidden(request)
   const day = query.value.day ?? auditDay(context.backend.clock.wallMs())
   const listing = await context.backend.store.list<AuditBatch>(`${AUDIT_PREFIX}${day}/`)
   if (!listing.ok) return failed(fromStoreError(listing.error))
@@ -44,32 +44,32 @@
 
 const EXPLAINERS: Explainers = {
   [ExplainSubject.Group]: async (query, request, { backend }) => {
-    if (!mayServe(request.scope, teamOfGroup(backend.mesh, query.name))) return forbidden(request)
-    return answer(request.scope, await backend.explain.explainGroup(query.name), `group ${query.name} is not known`)
+    if (!canView(request.scope, teamOfGroup(backend.mesh, query.name))) return forbidden(request)
+    return createExplanationReply(request.scope, await backend.explain.explainGroup(query.name), `group ${query.name} is not known`)
   },
   [ExplainSubject.Vm]: async (query, request, { backend }) => {
     if (request.scope.kind !== AdminScopeKind.Fleet) return forbidden(request)
-    return answer(request.scope, await backend.explain.explainVm(query.name), `VM ${query.name} is not known`)
+    return createExplanationReply(request.scope, await backend.explain.explainVm(query.name), `VM ${query.name} is not known`)
   },
   [ExplainSubject.Intent]: async (query, request, { backend }) => {
-    if (!mayServe(request.scope, query.team)) return forbidden(request)
-    return answer(request.scope, await backend.explain.explainIntent(query.team, query.model), `team ${query.team} wants no model ${query.model}`)
+    if (!canView(request.scope, query.team)) return forbidden(request)
+    return createExplanationReply(request.scope, await backend.explain.explainIntent(query.team, query.model), `team ${query.team} wants no model ${query.model}`)
   }
 }
 
-function answer (scope: AdminScope, explanation: Explanation | undefined, absent: string): Result<ExplanationReply, AdminError> {
+function createExplanationReply (scope: AdminScope, explanation: Explanation | undefined, absent: string): Result<ExplanationReply, AdminError> {
   if (explanation === undefined) return notFound(absent)
-  return success({ ...explanation, causes: explanation.causes.map((cause) => showCause(scope, cause)) })
+  return success({ ...explanation, causes: explanation.causes.map((cause) => redactCause(scope, cause)) })
 }
 
 /** A team learns that another one goes first, but not which, nor what that one has. */
-function showCause (scope: AdminScope, cause: ExplainCause): ExplanationReply['causes'][number] {
+function redactCause (scope: AdminScope, cause: ExplainCause): ExplanationReply['causes'][number] {
   if (scope.kind === AdminScopeKind.Fleet || cause.kind !== ExplainCauseKind.CompetingTeam) return { ...cause, rejected: [...cause.rejected] }
   return { ...cause, subject: null, message: 'another team goes first, by its priority', rejected: [] }
 }
 
 async function explain (request: AdminRequest, context: AdminContext): Promise<Result<ExplanationReply, AdminError>> {
-  const query = readInput(explainQuerySchema, request.query)
+  const query = parseInput(explainQuerySchema, request.query)
   if (!query.ok) return query
   const explainer = EXPLAINERS[query.value.subject] as (query: ExplainQuery, request: AdminRequest, context: AdminContext) => Promise<Result<ExplanationReply, AdminError>>
   return await explainer(query.value, request, context)
--- a/packages/dotterelspur-node/src/process/admin/changeSettings.ts
+++ b/packages/dotterelspur-node/src/process/admin/changeSettings.ts
@@ -15,12 +15,12 @@
 }
 
 /** What the store holds of a team. */
-interface Current {
+interface StoredSettings {
   readonly version: number
   readonly object: TeamObject
 }
 
-type Change<Value> = Procedure<AdminEffect, Result<Value, AdminError>>
+type ChangeProcedure<Value> = Procedure<AdminEffect, Result<Value, AdminError>>
 
 const DAY_MS = 86_400_000
 
@@ -32,19 +32,19 @@
  * settled the same way: the same request with the same change token, to any node, finds its own token in the
  * store or in the audit trail and reports the success that was lost.
  */
-export function * applySettings (request: ApplyRequest, context: ChangeContext): Change<ApplyReply> {
+export function * applySettings (request: ApplyRequest, context: ChangeContext): ChangeProcedure<ApplyReply> {
   const settings = checkSettings(request.text, context)
   if (!settings.ok) return settings
   const found = yield * readCurrent(context, request.expectedVersion)
   if (!found.ok) return found
   const current = found.value
-  if ((current?.version ?? null) !== request.expectedVersion) return yield * settleConflict(request, request.text, current, context)
-  const refusal = refuseAuthority(settings.value, current, context)
-  if (refusal !== null) return failed(refusal)
+  if ((current?.version ?? null) !== request.expectedVersion) return yield * resolveConflict(request, request.text, current, context)
+  const violation = findAuthorityViolation(settings.value, current, context)
+  if (violation !== null) return failed(violation)
   const body = createTeamObject(request, context)
   const key = TEAM_PREFIX + context.team
   const written = yield * perform(write(key, body, request.expectedVersion))
-  if (!written.ok) return yield * settleFailure(request, request.text, written.error.kind, fromStoreError(written.error), context)
+  if (!written.ok) return yield * resolveWriteFailure(request, request.text, written.error.kind, fromStoreError(written.error), context)
   const version = written.value.version
   yield * perform(publish({ key, version, body: written.value.body, deleted: false }))
   yield * recordChange(AuditKind.SettingsApplied, request, version, current?.object.text ?? null, request.text, context)
@@ -52,14 +52,14 @@
 }
 
 /** Deletes a team's settings, under the same condition and with the same way to settle a lost answer. */
-export function * deleteSettings (request: DeleteRequest, context: ChangeContext): Change<ApplyReply> {
+export function * deleteSettings (request: DeleteRequest, context: ChangeContext): ChangeProcedure<ApplyReply> {
   const found = yield * readCurrent(context, request.expectedVersion)
   if (!found.ok) return found
   const current = found.value
-  if (current?.version !== request.expectedVersion) return yield * settleConflict(request, null, current, context)
+  if (current?.version !== request.expectedVersion) return yield * resolveConflict(request, null, current, context)
   const key = TEAM_PREFIX + context.team
   const removed = yield * perform(remove(key, request.expectedVersion))
-  if (!removed.ok) return yield * settleFailure(request, null, removed.error.kind, fromStoreError(removed.error), context)
+  if (!removed.ok) return yield * resolveWriteFailure(request, null, removed.error.kind, fromStoreError(removed.error), context)
   const version = removed.value.version
   yield * perform(publish({ key, version, body: null, deleted: true }))
   yield * recordChange(AuditKind.SettingsDeleted, request, version, current.object.text, null, context)
@@ -78,33 +78,33 @@
  * The store's present version. Versions only rise, so an answer below one that is known to exist is from the
  * past: judged by it, a good change would be refused, and the audit trail would keep the wrong text.
  */
-function * readCurrent (context: ChangeContext, expectedVersion: number | null): Change<Current | null> {
-  const known = context.teams.find((entry) => entry.team === context.team)?.version ?? 0
-  const answer = yield * perform(read(TEAM_PREFIX + context.team))
-  if (!answer.ok && answer.error.kind !== StoreErrorKind.NotFound) return failed(fromStoreError(answer.error))
-  if (!answer.ok) return success(null)
-  const object = readTeamObject(answer.value.body)
+function * readCurrent (context: ChangeContext, expectedVersion: number | null): ChangeProcedure<StoredSettings | null> {
+  const meshVersion = context.teams.find((entry) => entry.team === context.team)?.version ?? 0
+  const stored = yield * perform(read(TEAM_PREFIX + context.team))
+  if (!stored.ok && stored.error.kind !== StoreErrorKind.NotFound) return failed(fromStoreError(stored.error))
+  if (!stored.ok) return success(null)
+  const object = readTeamObject(stored.value.body)
   if (object === undefined) return failed({ kind: AdminErrorKind.Internal, message: `${TEAM_PREFIX}${context.team} is in the store, but is not a team's settings` })
-  const { version } = answer.value
-  const newest = Math.max(known, expectedVersion ?? 0)
-  if (version < newest) return failed(storeUnavailable(`it answered with version ${version}, below ${newest}: it answers from the past, or there is no version ${newest}`))
+  const { version } = stored.value
+  const minVersion = Math.max(meshVersion, expectedVersion ?? 0)
+  if (version < minVersion) return failed(storeUnavailable(`it answered with version ${version}, below ${minVersion}: it answers from the past, or there is no version ${minVersion}`))
   return success({ version, object })
 }
 
 /** What only the fleet's operators may do, and what would let one team speak for another. */
-function refuseAuthority (settings: TeamSettings, current: Current | null, context: ChangeContext): AdminError | null {
-  const taken = context.teams.some((entry) => entry.team !== context.team && sharesToken(entry, settings))
-  if (taken) return forbidden('a token hash in this text is already listed by another team')
+function findAuthorityViolation (settings: TeamSettings, current: StoredSettings | null, context: ChangeContext): AdminError | null {
+  const isTokenTaken = context.teams.some((entry) => entry.team !== context.team && sharesToken(entry, settings))
+  if (isTokenTaken) return forbidden('a token hash in this text is already listed by another team')
   if (context.scope.kind === AdminScopeKind.Fleet) return null
   const before = current === null ? null : parseTeamSettings(current.object.text, context.team)
-  const allowed = before !== null && before.ok ? before.value.priority : 0
-  return settings.priority > allowed ? forbidden(`[team] priority: found ${settings.priority}; accepted: at most ${allowed}, since a team can't put itself before others`) : null
+  const maxPriority = before !== null && before.ok ? before.value.priority : 0
+  return settings.priority > maxPriority ? forbidden(`[team] priority: found ${settings.priority}; accepted: at most ${maxPriority}, since a team can't put itself before others`) : null
 }
 
 function sharesToken (entry: TeamEntry, settings: TeamSettings): boolean {
   if (entry.settings === null) return false
-  const theirs = new Set([...entry.settings.callerTokenHashes, ...entry.settings.operatorTokenHashes ?? []])
-  return [...settings.callerTokenHashes, ...settings.operatorTokenHashes ?? []].some((hash) => theirs.has(hash))
+  const otherTokenHashes = new Set([...entry.settings.callerTokenHashes, ...entry.settings.operatorTokenHashes ?? []])
+  return [...settings.callerTokenHashes, ...settings.operatorTokenHashes ?? []].some((hash) => otherTokenHashes.has(hash))
 }
 
 function forbidden (message: string): AdminError {
@@ -136,18 +136,18 @@
 }
 
 /** The store refused or lost a write: read again, so that the operator learns what is there. */
-function * settleFailure (request: ApplyRequest | DeleteRequest, refusedText: string | null, kind: StoreErrorKind, error: AdminError, context: ChangeContext): Change<ApplyReply> {
+function * resolveWriteFailure (request: ApplyRequest | DeleteRequest, refusedText: string | null, kind: StoreErrorKind, error: AdminError, context: ChangeContext): ChangeProcedure<ApplyReply> {
   if (kind !== StoreErrorKind.Conflict && kind !== StoreErrorKind.NotFound) return failed(error)
   const found = yield * readCurrent(context, request.expectedVersion)
-  return found.ok ? yield * settleConflict(request, refusedText, found.value, context) : found
+  return found.ok ? yield * resolveConflict(request, refusedText, found.value, context) : found
 }
 
 /** Someone else was first, or this change itself was and its answer was lost. */
-function * settleConflict (request: ApplyRequest | DeleteRequest, refusedText: string | null, current: Current | null, context: ChangeContext): Change<ApplyReply> {
+function * resolveConflict (request: ApplyRequest | DeleteRequest, refusedText: string | null, current: StoredSettings | null, context: ChangeContext): ChangeProcedure<ApplyReply> {
   if (current !== null && current.object.changeToken === request.changeToken) {
     return success({ team: context.team, version: current.version, repeated: true, supersededBy: null })
   }
-  const earlier = yield * findEarlier(request.changeToken, context)
+  const earlier = yield * findAppliedVersion(request.changeToken, context)
   if (earlier !== null) return success({ team: context.team, version: earlier, repeated: true, supersededBy: current?.version ?? null })
   return failed({
     kind: AdminErrorKind.Conflict,
@@ -157,17 +157,17 @@
   })
 }
 
-function describeConflict (expectedVersion: number | null, current: Current | null): string {
+function describeConflict (expectedVersion: number | null, current: StoredSettings | null): string {
   const based = expectedVersion === null ? 'no settings' : `version ${expectedVersion}`
   const now = current === null ? 'there are none now' : `version ${current.version} is there now, applied by ${current.object.appliedBy}`
   return `the change is based on ${based}, but ${now}; nothing was written`
 }
 
 /** The version that an earlier copy of this request made, if the audit trail of today or yesterday has it. */
-function * findEarlier (changeToken: string, context: ChangeContext): Procedure<AdminEffect, number | null> {
+function * findAppliedVersion (changeToken: string, context: ChangeContext): Procedure<AdminEffect, number | null> {
   for (const wallMs of [context.wallMs, context.wallMs - DAY_MS]) {
-    const answer = yield * perform(read(operatorAuditKey(wallMs, changeToken)))
-    if (answer.ok) return (answer.value.body as OperatorAuditBatch).version
+    const stored = yield * perform(read(operatorAuditKey(wallMs, changeToken)))
+    if (stored.ok) return (stored.value.body as OperatorAuditBatch).version
   }
   return null
 }
--- a/packages/dotterelspur-node/src/process/admin/drainRoutes.ts
+++ b/packages/dotterelspur-node/src/process/admin/drainRoutes.ts
@@ -5,8 +5,8 @@
 import { AdminErrorKind, DrainTargetKind, drainRequestSchema, type AdminError, type DrainList, type DrainReply, type DrainRequest } from 'dotterelspur-settings'
 import { createAdminHandlers, publish, read, record, remove, write, type AdminEffect } from './AdminEffects.js'
 import { fromStoreError, notFound } from './AdminError.js'
-import { fromMesh, readInput, type AdminContext, type AdminRequest, type AdminRoute } from './AdminRoute.js'
-import { AdminAccess, AdminScopeKind, actorName, mayServe, type AdminScope } from './AdminScope.js'
+import { meshSourceFields, parseInput, type AdminContext, type AdminRequest, type AdminRoute } from './AdminRoute.js'
+import { AdminAccess, AdminScopeKind, actorName, canView, type AdminScope } from './AdminScope.js'
 import { teamOfGroup } from './fleetViews.js'
 
 /** Asking that a VM, a group or a node takes no new work, and taking it back. */
@@ -29,22 +29,22 @@
   readonly name: string
   readonly key: string
   /** What the object says: a node is named with its incarnation, so that its successor is not drained as well. */
-  readonly target: string
+  readonly objectTarget: string
 }
 
 type TargetCheck = (name: string, context: AdminContext) => boolean
 
 /** A drain of a name that nothing has would be accepted, wait for ever and drain whatever takes the name later. */
-const KNOWN: Readonly<Record<DrainTargetKind, TargetCheck>> = {
+const TARGET_EXISTS: Readonly<Record<DrainTargetKind, TargetCheck>> = {
   [DrainTargetKind.Group]: (name, { backend }) => teamOfGroup(backend.mesh, name) !== null,
   [DrainTargetKind.Node]: (name, { backend }) => backend.mesh.members().some((member) => member.node === name),
   // The platform's list lags: a VM that the operator knows of may be missing from it.
   [DrainTargetKind.Vm]: () => true
 }
 
-type TargetNamer = (name: string, context: AdminContext) => string
+type DrainObjectTarget = (name: string, context: AdminContext) => string
 
-const TARGET_NAMES: Readonly<Record<DrainTargetKind, TargetNamer>> = {
+const DRAIN_OBJECT_TARGETS: Readonly<Record<DrainTargetKind, DrainObjectTarget>> = {
   [DrainTargetKind.Vm]: (name) => name,
   [DrainTargetKind.Group]: (name) => name,
   [DrainTargetKind.Node]: (name, { backend }) => {
@@ -59,13 +59,13 @@
   if (kind === undefined || !TARGET_PATTERN.test(name)) {
     return failed({ kind: AdminErrorKind.InvalidRequest, message: `accepted: /admin/drains/<${Object.values(DrainTargetKind).join('|')}>/<name>` })
   }
-  if (!mayDrain(request.scope, kind, name, context)) return failed({ kind: AdminErrorKind.Forbidden, message: 'this token drains groups of its own team only' })
-  return success({ kind, name, key: KEY_PREFIX[kind] + name, target: TARGET_NAMES[kind](name, context) })
+  if (!canDrain(request.scope, kind, name, context)) return failed({ kind: AdminErrorKind.Forbidden, message: 'this token drains groups of its own team only' })
+  return success({ kind, name, key: KEY_PREFIX[kind] + name, target: DRAIN_OBJECT_TARGETS[kind](name, context) })
 }
 
-function mayDrain (scope: AdminScope, kind: DrainTargetKind, name: string, { backend }: AdminContext): boolean {
+function canDrain (scope: AdminScope, kind: DrainTargetKind, name: string, { backend }: AdminContext): boolean {
   if (scope.kind === AdminScopeKind.Fleet) return true
-  return kind === DrainTargetKind.Group && mayServe(scope, teamOfGroup(backend.mesh, name))
+  return kind === DrainTargetKind.Group && canView(scope, teamOfGroup(backend.mesh, name))
 }
 
 function listDrains (request: AdminRequest, { backend }: AdminContext): Result<DrainList, AdminError> {
@@ -76,8 +76,8 @@
       const kind = kindOf(key, drain.target, backend.mesh)
       return { kind, target: key.slice(KEY_PREFIX[kind].length), requestedBy: drain.requestedBy, requestedAtWallMs: drain.requestedAtWallMs, reason: drain.reason }
     })
-    .filter((line) => mayServe(request.scope, line.kind === DrainTargetKind.Group ? teamOfGroup(backend.mesh, line.target) : null))
-  return success({ ...fromMesh(backend), drains })
+    .filter((line) => canView(request.scope, line.kind === DrainTargetKind.Group ? teamOfGroup(backend.mesh, line.target) : null))
+  return success({ ...meshSourceFields(backend), drains })
 }
 
 function kindOf (key: string, target: string, mesh: MeshApi): DrainTargetKind {
@@ -88,9 +88,9 @@
 async function putDrain (request: AdminRequest, context: AdminContext): Promise<Result<unknown, AdminError>> {
   const target = readTarget(request, context)
   if (!target.ok) return target
-  const input = readInput(drainRequestSchema, request.body)
+  const input = parseInput(drainRequestSchema, request.body)
   if (!input.ok) return input
-  if (!KNOWN[target.value.kind](target.value.name, context)) return notFound(`${target.value.kind} ${target.value.name} is not known`)
+  if (!TARGET_EXISTS[target.value.kind](target.value.name, context)) return notFound(`${target.value.kind} ${target.value.name} is not known`)
   const { backend } = context
   const actor = actorName(request.scope, input.value.operator)
   const procedure = drain(target.value, input.value, actor, backend.clock.wallMs())
@@ -110,11 +110,11 @@
 
 function * drain (target: Target, request: DrainRequest, actor: string, wallMs: number): Procedure<AdminEffect, Result<DrainReply, AdminError>> {
   const reply = { kind: target.kind, target: target.name, drained: true }
-  const body: DrainObject = { writeToken: request.changeToken, target: target.target, requestedBy: actor, requestedAtWallMs: wallMs, reason: request.reason }
+  const body: DrainObject = { writeToken: request.changeToken, target: target.objectTarget, requestedBy: actor, requestedAtWallMs: wallMs, reason: request.reason }
   const current = yield * perform(read(target.key))
   if (!current.ok && current.error.kind !== StoreErrorKind.NotFound) return failed(fromStoreError(current.error))
   // Already asked for, by this request's lost copy or by another operator: what was wanted is so.
-  if (current.ok && (current.value.body as DrainObject).target === target.target) return success(reply)
+  if (current.ok && (current.value.body as DrainObject).target === target.objectTarget) return success(reply)
   const written = yield * perform(write(target.key, body, current.ok ? current.value.version : null))
   if (!written.ok) return failed(fromStoreError(written.error))
   const { version } = written.value
@@ -130,7 +130,7 @@
 async function removeDrain (request: AdminRequest, context: AdminContext): Promise<Result<unknown, AdminError>> {
   const target = readTarget(request, context)
   if (!target.ok) return target
-  const input = readInput(drainRequestSchema, request.body)
+  const input = parseInput(drainRequestSchema, request.body)
   if (!input.ok) return input
   const procedure = undrain(target.value, input.value, actorName(request.scope, input.value.operator), context.backend.clock.wallMs())
   return runProcedure<AdminEffect, Result<DrainReply, AdminError>>(procedure, createAdminHandlers(context.backend))
--- a/packages/dotterelspur-node/src/process/admin/fleetRoutes.ts
+++ b/packages/dotterelspur-node/src/process/admin/fleetRoutes.ts
@@ -3,12 +3,12 @@
   type AssignedGroup, type AssignmentObject, type GroupPresence, type LeaseObject, type MeshApi, type NodeState, type Result
 } from 'dotterelspur'
 import type { AdminError, EndpointList, GroupList, LeaseList, NodeList, StatusReply } from 'dotterelspur-settings'
-import { finiteOrNull, fromMesh, type AdminContext, type AdminRequest, type AdminRoute } from './AdminRoute.js'
-import { AdminAccess, mayServe } from './AdminScope.js'
+import { finiteOrNull, meshSourceFields, type AdminContext, type AdminRequest, type AdminRoute } from './AdminRoute.js'
+import { AdminAccess, canView } from './AdminScope.js'
 import { assignmentsOf, drainedTargets } from './fleetViews.js'
 
-type GroupLine = GroupList['groups'][number]
-type EndpointLine = EndpointList['endpoints'][number]
+type GroupRow = GroupList['groups'][number]
+type EndpointRow = EndpointList['endpoints'][number]
 
 /** What the fleet looks like from this node. All but the list of VMs is answered from its copies, also while the store is out. */
 export const FLEET_ROUTES: readonly AdminRoute[] = [
@@ -19,29 +19,29 @@
   { method: 'GET', url: '/admin/endpoints', access: AdminAccess.Fleet, handler: listEndpoints }
 ]
 
-const MAY_SERVE: Readonly<Record<GroupState, boolean>> = {
+const STATE_CAN_SERVE: Readonly<Record<GroupState, boolean>> = {
   [GroupState.Forming]: true,
   [GroupState.Serving]: true,
   [GroupState.Draining]: false,
   [GroupState.Broken]: false
 }
 
-function groupLines ({ backend, options }: AdminContext): readonly GroupLine[] {
+function createGroupRows ({ backend, options }: AdminContext): readonly GroupRow[] {
   const presence = new Map(backend.mesh.groupPresence().map((evidence) => [evidence.group, evidence]))
   const drained = drainedTargets(backend.mesh)
   return assignmentsOf(backend.mesh).flatMap((assignment) => assignment.groups.map((group) => {
     const evidence = presence.get(group.group)
-    const fits = evidence !== undefined && evidence.formation === group.formation
-    const serving = fits && isServing(group, evidence, options.evidenceTtlMs) && !drained.has(group.group)
-    return groupLine(assignment, group, fits ? evidence : undefined, serving)
+    const formationMatches = evidence !== undefined && evidence.formation === group.formation
+    const serving = formationMatches && isServing(group, evidence, options.evidenceTtlMs) && !drained.has(group.group)
+    return createGroupRow(assignment, group, formationMatches ? evidence : undefined, serving)
   }))
 }
 
 function isServing (group: AssignedGroup, evidence: GroupPresence, evidenceTtlMs: number): boolean {
-  return MAY_SERVE[group.state] && evidence.complete && !evidence.leaving && evidence.ageMs < evidenceTtlMs
+  return STATE_CAN_SERVE[group.state] && evidence.complete && !evidence.leaving && evidence.ageMs < evidenceTtlMs
 }
 
-function groupLine (assignment: AssignmentObject, group: AssignedGroup, evidence: GroupPresence | undefined, serving: boolean): GroupLine {
+function createGroupRow (assignment: AssignmentObject, group: AssignedGroup, evidence: GroupPresence | undefined, serving: boolean): GroupRow {
   return {
     group: group.group,
     team: group.team,
@@ -63,8 +63,8 @@
 }
 
 function listGroups (request: AdminRequest, context: AdminContext): Result<GroupList, AdminError> {
-  const groups = groupLines(context).filter((line) => mayServe(request.scope, line.team))
-  return success({ ...fromMesh(context.backend), groups: [...groups] })
+  const groups = createGroupRows(context).filter((line) => canView(request.scope, line.team))
+  return success({ ...meshSourceFields(context.backend), groups: [...groups] })
 }
 
 function listNodes (_request: AdminRequest, { backend }: AdminContext): Result<NodeList, AdminError> {
@@ -84,17 +84,17 @@
     const holderState = states.get(homeOf({ node: holder, incarnation: holderIncarnation })) ?? null
     return { failureDomain, holder, holderIncarnation, fencing, ttlMs, renewal, released, holderState }
   })
-  return success({ ...fromMesh(backend), leases })
+  return success({ ...meshSourceFields(backend), leases })
 }
 
 /** The platform's list, joined with what the assignments say; the assignments alone while the list can't be read. */
 async function listEndpoints (_request: AdminRequest, { backend }: AdminContext): Promise<Result<EndpointList, AdminError>> {
   const drained = drainedTargets(backend.mesh)
-  const lines = new Map<string, EndpointLine>()
-  for (const line of [...assignedLines(backend.mesh), ...serviceLines(backend.mesh)]) lines.set(line.vm, line)
+  const lines = new Map<string, EndpointRow>()
+  for (const line of [...createAssignedRows(backend.mesh), ...createServiceRows(backend.mesh)]) lines.set(line.vm, line)
   const listing = await backend.vms.list()
   for (const record of listing.ok ? listing.value.vms : []) {
-    const known = lines.get(record.vm)
+    const assigned = lines.get(record.vm)
     lines.set(record.vm, {
       vm: record.vm,
       role: record.role,
@@ -103,8 +103,8 @@
       fabricDomain: record.fabricDomain,
       incarnation: record.incarnation,
       address: record.address,
-      group: known?.group ?? null,
-      standby: known?.standby ?? false,
+      group: assigned?.group ?? null,
+      standby: assigned?.standby ?? false,
       service: record.service ?? null,
       drained: false
     })
@@ -113,15 +113,15 @@
   return success({ listed: listing.ok, endpoints: endpoints.sort((left, right) => left.vm < right.vm ? -1 : 1) })
 }
 
-function assignedLines (mesh: MeshApi): EndpointLine[] {
+function createAssignedRows (mesh: MeshApi): EndpointRow[] {
   return assignmentsOf(mesh).flatMap(({ failureDomain, fabricDomain, groups }) => groups.flatMap((group) => {
-    const place = { role: 'engine', listState: null, failureDomain, fabricDomain, group: group.group, service: null, drained: false }
-    const members = group.members.map((member) => ({ ...place, ...member, standby: false }))
-    return [...group.standbys.map((member) => ({ ...place, ...member, standby: true })), ...members]
+    const common = { role: 'engine', listState: null, failureDomain, fabricDomain, group: group.group, service: null, drained: false }
+    const members = group.members.map((member) => ({ ...common, ...member, standby: false }))
+    return [...group.standbys.map((member) => ({ ...common, ...member, standby: true })), ...members]
   }))
 }
 
-function serviceLines (mesh: MeshApi): EndpointLine[] {
+function createServiceRows (mesh: MeshApi): EndpointRow[] {
   return mesh.servicePresence().map(({ vm, incarnation, service, failureDomain, address }) => ({
     vm, role: 'service', listState: null, failureDomain, fabricDomain: '', incarnation, address, group: null, standby: false, service, drained: false
   }))
@@ -136,10 +136,10 @@
 function readStatus (_request: AdminRequest, context: AdminContext): Result<StatusReply, AdminError> {
   const { backend, teams } = context
   const { self } = backend.mesh
-  const groups = groupLines(context)
+  const groups = createGroupRows(context)
   const serving = groups.filter((line) => line.serving).length
   return success({
-    ...fromMesh(backend),
+    ...meshSourceFields(backend),
     node: self.node,
     incarnation: self.incarnation,
     state: self.state,
--- a/packages/dotterelspur-node/src/process/admin/nodeDrains.ts
+++ b/packages/dotterelspur-node/src/process/admin/nodeDrains.ts
@@ -10,12 +10,12 @@
 export function registerNodeDrains (backend: AdminBackend): Teardown {
   const { mesh } = backend
   const key = NODE_DRAIN_PREFIX + mesh.self.node
-  const take = (document: MeshDocument): void => {
+  const handleDocument = (document: MeshDocument): void => {
     const drain = document.body as DrainObject | null
     if (document.key !== key || document.deleted || drain?.target !== homeOf(mesh.self)) return
     backend.drainSelf(`${drain.requestedBy}: ${drain.reason}`)
   }
-  const held = mesh.document(key)
-  if (held !== undefined) take(held)
-  return mesh.registerDocumentListener(key, take)
+  const existing = mesh.document(key)
+  if (existing !== undefined) handleDocument(existing)
+  return mesh.registerDocumentListener(key, handleDocument)
 }
--- a/packages/dotterelspur-node/src/process/admin/settingsRoutes.ts
+++ b/packages/dotterelspur-node/src/process/admin/settingsRoutes.ts
@@ -2,8 +2,8 @@
 import { applyRequestSchema, deleteRequestSchema, diffSettings, inForceQuerySchema, readTeamObject, textRequestSchema, type AdminError, type DiffReply, type InForceReply, type TeamDocument, type TeamList, type ValidateReply } from 'dotterelspur-settings'
 import { createAdminHandlers, type AdminEffect } from './AdminEffects.js'
 import { fromStoreError, invalidSettings, notFound } from './AdminError.js'
-import { fromMesh, fromStore, readInput, type AdminContext, type AdminRequest, type AdminRoute } from './AdminRoute.js'
-import { AdminAccess, mayServe } from './AdminScope.js'
+import { meshSourceFields, storeSourceFields, parseInput, type AdminContext, type AdminRequest, type AdminRoute } from './AdminRoute.js'
+import { AdminAccess, canView } from './AdminScope.js'
 import { applySettings, checkSettings, deleteSettings, type ChangeContext } from './changeSettings.js'
 
 /** Settings of teams: read, checked, compared, applied, deleted, and where they are in force. */
@@ -23,21 +23,21 @@
 
 function listTeams (request: AdminRequest, { backend, teams }: AdminContext): Result<TeamList, AdminError> {
   const listed = teams.entries()
-    .filter((entry) => mayServe(request.scope, entry.team))
+    .filter((entry) => canView(request.scope, entry.team))
     .map(({ team, version, object, settings }) => ({ team, version, appliedBy: object.appliedBy, appliedAtWallMs: object.appliedAtWallMs, valid: settings !== null }))
-  return success({ ...fromMesh(backend), teams: listed })
+  return success({ ...meshSourceFields(backend), teams: listed })
 }
 
 /** The store's version; while the store is out, the highest that the nodes hold. */
 async function findSettings (team: string, { backend, teams }: AdminContext): Promise<Result<TeamDocument, AdminError>> {
   const stored = await backend.store.get<unknown>(TEAM_PREFIX + team)
-  const held = teams.find(team)
-  if (stored.ok && stored.value.version >= (held?.version ?? 0)) {
+  const localCopy = teams.find(team)
+  if (stored.ok && stored.value.version >= (localCopy?.version ?? 0)) {
     const object = readTeamObject(stored.value.body)
-    if (object !== undefined) return success({ ...fromStore(backend), ...describe(team, stored.value.version, object) })
+    if (object !== undefined) return success({ ...storeSourceFields(backend), ...describe(team, stored.value.version, object) })
   }
   if (!stored.ok && stored.error.kind === StoreErrorKind.NotFound) return notFound(`team ${team} has no settings`)
-  if (held !== undefined) return success({ ...fromMesh(backend), ...describe(team, held.version, held.object) })
+  if (localCopy !== undefined) return success({ ...meshSourceFields(backend), ...describe(team, localCopy.version, localCopy.object) })
   return stored.ok ? notFound(`team ${team} has no settings that can be read`) : failed(fromStoreError(stored.error))
 }
 
@@ -54,19 +54,19 @@
 }
 
 async function putSettings (request: AdminRequest, context: AdminContext): Promise<Result<unknown, AdminError>> {
-  const input = readInput(applyRequestSchema, request.body)
+  const input = parseInput(applyRequestSchema, request.body)
   if (!input.ok) return input
   return runProcedure<AdminEffect, Result<unknown, AdminError>>(applySettings(input.value, changeContext(request, context)), createAdminHandlers(context.backend))
 }
 
 async function removeSettings (request: AdminRequest, context: AdminContext): Promise<Result<unknown, AdminError>> {
-  const input = readInput(deleteRequestSchema, request.body)
+  const input = parseInput(deleteRequestSchema, request.body)
   if (!input.ok) return input
   return runProcedure<AdminEffect, Result<unknown, AdminError>>(deleteSettings(input.value, changeContext(request, context)), createAdminHandlers(context.backend))
 }
 
 function validateSettings (request: AdminRequest): Result<ValidateReply, AdminError> {
-  const input = readInput(textRequestSchema, request.body)
+  const input = parseInput(textRequestSchema, request.body)
   if (!input.ok) return input
   const settings = checkSettings(input.value.text, { team: teamOf(request) })
   if (!settings.ok) return settings
@@ -74,7 +74,7 @@
 }
 
 async function compareSettings (request: AdminRequest, context: AdminContext): Promise<Result<DiffReply, AdminError>> {
-  const input = readInput(textRequestSchema, request.body)
+  const input = parseInput(textRequestSchema, request.body)
   if (!input.ok) return input
   const team = teamOf(request)
   const settings = checkSettings(input.value.text, { team })
@@ -83,12 +83,12 @@
   if (!current.ok && current.error.kind !== 'not-found') return current
   const changes = diffSettings(current.ok ? current.value.text : '', input.value.text, `${team}.ini`)
   if (!changes.ok) return invalidSettings(changes.error)
-  const source = current.ok ? { source: current.value.source, storeContactAgeMs: current.value.storeContactAgeMs } : fromStore(context.backend)
+  const source = current.ok ? { source: current.value.source, storeContactAgeMs: current.value.storeContactAgeMs } : storeSourceFields(context.backend)
   return success({ ...source, team, version: current.ok ? current.value.version : null, changes: [...changes.value] })
 }
 
 async function readInForce (request: AdminRequest, { backend }: AdminContext): Promise<Result<InForceReply, AdminError>> {
-  const query = readInput(inForceQuerySchema, request.query)
+  const query = parseInput(inForceQuerySchema, request.query)
   if (!query.ok) return query
   const team = teamOf(request)
   const key = TEAM_PREFIX + team
@@ -96,12 +96,12 @@
   if (version === undefined) return notFound(`team ${team} has no settings`)
   const reports = new Map((await backend.mesh.inForce(key, query.value.timeoutMs)).map((report) => [report.node, report.version]))
   const members = backend.mesh.members()
-  const living = members.filter((member) => !isAbsent(member.state))
-  const missing = living.filter((member) => (reports.get(member.node) ?? 0) < version)
+  const liveMembers = members.filter((member) => !isAbsent(member.state))
+  const missing = liveMembers.filter((member) => (reports.get(member.node) ?? 0) < version)
   return success({
     team,
     version,
-    inForce: living.filter((member) => !missing.includes(member)).map((member) => member.node),
+    inForce: liveMembers.filter((member) => !missing.includes(member)).map((member) => member.node),
     missing: missing.map((member) => ({ node: member.node, state: member.state, version: reports.get(member.node) ?? null })),
     absent: members.filter((member) => isAbsent(member.state)).map((member) => member.node)
   })
--- a/packages/dotterelspur-node/src/process/freePort.ts
+++ b/packages/dotterelspur-node/src/process/freePort.ts
@@ -17,6 +17,6 @@
 }
 
 /** The port itself, or a free one when it is 0. */
-export function settlePort (host: string, port: number): Promise<number> {
+export function resolvePort (host: string, port: number): Promise<number> {
   return port === 0 ? findFreePort(host) : Promise.resolve(port)
 }
--- a/packages/dotterelspur-node/src/process/loadNodeSettings.ts
+++ b/packages/dotterelspur-node/src/process/loadNodeSettings.ts
@@ -31,17 +31,17 @@
   const settings = parsed.value
   const meshSecrets = readMeshSecrets(settings.mesh.security, path)
   if (!meshSecrets.ok) return meshSecrets
-  const adminToken = readChecked(settings.admin.token, { file: path, section: 'admin', key: 'token' })
+  const adminToken = readCheckedSecret(settings.admin.token, { file: path, section: 'admin', key: 'token' })
   if (!adminToken.ok) return adminToken
   const { token } = settings.platform
-  const platformToken = token === null ? success(null) : readChecked(token, { file: path, section: 'platform', key: 'token' })
+  const platformToken = token === null ? success(null) : readCheckedSecret(token, { file: path, section: 'platform', key: 'token' })
   if (!platformToken.ok) return platformToken
   return success({ settings, meshSecrets: meshSecrets.value, adminToken: adminToken.value, platformToken: platformToken.value })
 }
 
 function readMeshSecrets (security: MeshSecurity, file: string): Result<MeshSecrets, NodeError> {
   if (security.kind === MeshSecurityKind.SharedKey) {
-    const key = readChecked(security.key, { file, section: 'mesh', key: 'shared-key' })
+    const key = readCheckedSecret(security.key, { file, section: 'mesh', key: 'shared-key' })
     return key.ok ? success({ kind: security.kind, key: key.value }) : key
   }
   const certificate = readText(security.certificateFile)
@@ -53,7 +53,7 @@
   return success({ kind: security.kind, certificate: certificate.value, key: key.value, authority: authority.value })
 }
 
-function readChecked (source: SecretSource, place: SecretPlace): Result<string, NodeError> {
+function readCheckedSecret (source: SecretSource, place: SecretPlace): Result<string, NodeError> {
   const secret = readSecret(source, place, (path) => readFileSync(path, 'utf8'))
   return secret.ok ? secret : failed({ kind: NodeErrorKind.InvalidSettings, error: secret.error })
 }
