--- a/packages/dotterelspur-node/src/process/NodeParts.ts
+++ b/packages/dotterelspur-node/src/process/NodeParts.ts
@@ -4,7 +4,7 @@
 import { createFleet, type Fleet } from 'dotterelspur-fleet'
 import { CredentialsKind, createMesh, createStoreFollower, type Mesh, type MeshCredentials, type StoreFollower } from 'dotterelspur-mesh'
 import { AuditTrail, PlatformObjectStore, PlatformVmDirectory } from 'dotterelspur-platform'
-import { FencingMode, MeshSecurityKind, fencingOf, formatSettingsError, parseTeamSettings, type NodeSettings } from 'dotterelspur-settings'
+import { FencingMode, MeshSecurityKind, fencingModeOf, formatSettingsError, parseTeamSettings, type NodeSettings } from 'dotterelspur-settings'
 import { DEFAULT_LEASE_TIMING, NODE_PREFIX, createRandom, failed, homeOf, type Clock, type EngineApi, type NodeObject, type Random, type Result, type ServiceApi, type TeamId, type TeamSettings } from 'dotterelspur'
 import type { LoadedSettings, MeshSecrets } from './loadNodeSettings.js'
 import { NodeLogs } from './NodeLog.js'
@@ -85,7 +85,7 @@
     services,
     settings: () => teams.all(),
     audit: (record) => { audit.append(record) },
-    checksFencing: ({ failureDomain }) => fencingOf(settings.fencing, failureDomain) === FencingMode.Checked,
+    checksFencing: ({ failureDomain }) => fencingModeOf(settings.fencing, failureDomain) === FencingMode.Checked,
     failureDomains: [settings.failureDomain],
     timing: fleetTiming(settings)
   })
--- a/packages/dotterelspur-node/src/process/admin/drainRoutes.ts
+++ b/packages/dotterelspur-node/src/process/admin/drainRoutes.ts
@@ -60,7 +60,7 @@
     return failed({ kind: AdminErrorKind.InvalidRequest, message: `accepted: /admin/drains/<${Object.values(DrainTargetKind).join('|')}>/<name>` })
   }
   if (!canDrain(request.scope, kind, name, context)) return failed({ kind: AdminErrorKind.Forbidden, message: 'this token drains groups of its own team only' })
-  return success({ kind, name, key: KEY_PREFIX[kind] + name, target: DRAIN_OBJECT_TARGETS[kind](name, context) })
+  return success({ kind, name, key: KEY_PREFIX[kind] + name, objectTarget: DRAIN_OBJECT_TARGETS[kind](name, context) })
 }
 
 function canDrain (scope: AdminScope, kind: DrainTargetKind, name: string, { backend }: AdminContext): boolean {
--- a/packages/dotterelspur-node/src/process/loadNodeSettings.ts
+++ b/packages/dotterelspur-node/src/process/loadNodeSettings.ts
@@ -2,7 +2,7 @@
 import { failed, success, type Result } from 'dotterelspur'
 import {
   MeshSecurityKind, parseNodeSettings, readSecret,
-  type MeshSecurity, type NodeSettings, type SecretPlace, type SecretSource
+  type MeshSecurity, type NodeSettings, type SecretLocation, type SecretSource
 } from 'dotterelspur-settings'
 import { NodeErrorKind, type NodeError } from './NodeError.js'
 
@@ -53,8 +53,8 @@
   return success({ kind: security.kind, certificate: certificate.value, key: key.value, authority: authority.value })
 }
 
-function readCheckedSecret (source: SecretSource, place: SecretPlace): Result<string, NodeError> {
-  const secret = readSecret(source, place, (path) => readFileSync(path, 'utf8'))
+function readCheckedSecret (source: SecretSource, location: SecretLocation): Result<string, NodeError> {
+  const secret = readSecret(source, location, (path) => readFileSync(path, 'utf8'))
   return secret.ok ? secret : failed({ kind: NodeErrorKind.InvalidSettings, error: secret.error })
 }
 
--- a/packages/dotterelspur-settings/src/__tests__/unit/parseNodeSettings.test.ts
+++ b/packages/dotterelspur-settings/src/__tests__/unit/parseNodeSettings.test.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs'
 import { expect } from 'chai'
-import { FencingMode, SecretSourceKind, MeshSecurityKind, SettingsProblemKind, fencingOf, formatSettingsError, parseNodeSettings, readSecret, type NodeSettings, type SettingsProblem } from '../../index.js'
+import { FencingMode, SecretSourceKind, MeshSecurityKind, SettingsProblemKind, fencingModeOf, formatSettingsError, parseNodeSettings, readSecret, type NodeSettings, type SettingsProblem } from '../../index.js'
 
 const EXAMPLES = new URL('../../../../../examples/', import.meta.url)
 
@@ -39,8 +39,8 @@
     expect(settings.timing.leaseTtlMs).to.equal(6_000)
     expect(settings.entry.port).to.equal(8080)
     expect(settings.mesh.security.kind).to.equal(MeshSecurityKind.SharedKey)
-    expect(fencingOf(settings.fencing, 'd-1')).to.equal(FencingMode.Ignored)
-    expect(fencingOf(settings.fencing, 'd-2')).to.equal(FencingMode.Checked)
+    expect(fencingModeOf(settings.fencing, 'd-1')).to.equal(FencingMode.Ignored)
+    expect(fencingModeOf(settings.fencing, 'd-2')).to.equal(FencingMode.Checked)
   })
 
   for (const name of ['tradeline-node.ini', 'piedmont-node.ini', 'loopback-node.ini']) {
--- a/packages/dotterelspur-settings/src/connection/AdminReplies.ts
+++ b/packages/dotterelspur-settings/src/connection/AdminReplies.ts
@@ -13,14 +13,14 @@
   Mesh = 'mesh'
 }
 
-const source = z.object({
+const sourceSchema = z.object({
   source: z.enum(AnswerSource),
   /** How long ago any node last heard the store; null for never. */
   storeContactAgeMs: z.number().nullable()
 })
 
 export const teamDocumentSchema = z.object({
-  ...source.shape,
+  ...sourceSchema.shape,
   team: z.string(),
   version: z.number(),
   text: z.string(),
@@ -30,7 +30,7 @@
 export type TeamDocument = z.output<typeof teamDocumentSchema>
 
 export const teamListSchema = z.object({
-  ...source.shape,
+  ...sourceSchema.shape,
   teams: z.array(z.object({ team: z.string(), version: z.number(), appliedBy: z.string(), appliedAtWallMs: z.number(), valid: z.boolean() }))
 })
 export type TeamList = z.output<typeof teamListSchema>
@@ -54,7 +54,7 @@
 })
 
 export const diffReplySchema = z.object({
-  ...source.shape,
+  ...sourceSchema.shape,
   team: z.string(),
   /** The version compared with; null when the team has no settings. */
   version: z.number().nullable(),
@@ -80,7 +80,7 @@
 const memberSchema = z.object({ vm: z.string(), incarnation: z.number(), address: z.string() })
 
 export const groupListSchema = z.object({
-  ...source.shape,
+  ...sourceSchema.shape,
   groups: z.array(z.object({
     group: z.string(),
     team: z.string(),
@@ -138,7 +138,7 @@
 export type NodeList = z.output<typeof nodeListSchema>
 
 export const leaseListSchema = z.object({
-  ...source.shape,
+  ...sourceSchema.shape,
   leases: z.array(z.object({
     failureDomain: z.string(),
     holder: z.string(),
@@ -154,7 +154,7 @@
 export type LeaseList = z.output<typeof leaseListSchema>
 
 export const drainListSchema = z.object({
-  ...source.shape,
+  ...sourceSchema.shape,
   drains: z.array(z.object({
     kind: z.enum(DrainTargetKind),
     target: z.string(),
@@ -201,7 +201,7 @@
 export type ExplanationReply = z.output<typeof explanationSchema>
 
 export const statusReplySchema = z.object({
-  ...source.shape,
+  ...sourceSchema.shape,
   node: z.string(),
   incarnation: z.number(),
   state: z.enum(NodeState),
--- a/packages/dotterelspur-settings/src/connection/AdminRequests.ts
+++ b/packages/dotterelspur-settings/src/connection/AdminRequests.ts
@@ -17,7 +17,7 @@
 const PLAIN_PATTERN = /^[^\u0000-\u001f\u007f-\u009f]*$/
 
 /** Who asks for a change and why: kept in the audit trail. */
-const signature = {
+const changeMetadata = {
   operator: z.string().max(MAX_NAME_LENGTH).regex(NAME_PATTERN),
   reason: z.string().max(MAX_REASON_LENGTH).regex(PLAIN_PATTERN).default(''),
   /** No other change has it: a change whose answer was lost is recognised by it. */
@@ -28,20 +28,20 @@
 const versionNumber = z.number().int().positive()
 
 export const applyRequestSchema = z.strictObject({
-  ...signature,
+  ...changeMetadata,
   text: settingsText,
   /** The version on which the text is based; null when the team has no settings yet. */
   expectedVersion: versionNumber.nullable()
 })
 export type ApplyRequest = z.output<typeof applyRequestSchema>
 
-export const deleteRequestSchema = z.strictObject({ ...signature, expectedVersion: versionNumber })
+export const deleteRequestSchema = z.strictObject({ ...changeMetadata, expectedVersion: versionNumber })
 export type DeleteRequest = z.output<typeof deleteRequestSchema>
 
 export const textRequestSchema = z.strictObject({ text: settingsText })
 export type TextRequest = z.output<typeof textRequestSchema>
 
-export const drainRequestSchema = z.strictObject(signature)
+export const drainRequestSchema = z.strictObject(changeMetadata)
 export type DrainRequest = z.output<typeof drainRequestSchema>
 
 /** What can be drained. */
--- a/packages/dotterelspur-settings/src/process/NodeSchema.ts
+++ b/packages/dotterelspur-settings/src/process/NodeSchema.ts
@@ -6,7 +6,7 @@
 } from 'dotterelspur'
 import { defineSection, type SectionSpec } from './SectionSpec.js'
 import {
-  ID_ACCEPTS, choice, durationMs, filePath, hostPort, hostPortList, httpUrl, identifier, integer, ipAddress, port,
+  ID_ACCEPTS, enumValue, durationMs, filePath, hostPort, hostPortList, httpUrl, identifier, integer, ipAddress, port,
   readIdentifier, secret, sizeBytes
 } from './values.js'
 
@@ -28,7 +28,7 @@
 const MIB = 1_048_576
 
 export const nodeSection = defineSection({
-  word: 'node',
+  keyword: 'node',
   arguments: [],
   required: true,
   description: 'Who this node is and where it stands.',
@@ -42,7 +42,7 @@
 })
 
 export const entrySection = defineSection({
-  word: 'entry',
+  keyword: 'entry',
   arguments: [],
   required: false,
   description: 'The callers\' listener.',
@@ -58,7 +58,7 @@
 })
 
 export const meshSection = defineSection({
-  word: 'mesh',
+  keyword: 'mesh',
   arguments: [],
   required: true,
   description: 'The listener for other nodes. Either a shared key (plain, on loopback only), or the three files for mutual TLS.',
@@ -84,7 +84,7 @@
 })
 
 export const adminSection = defineSection({
-  word: 'admin',
+  keyword: 'admin',
   arguments: [],
   required: true,
   description: 'The operators\' listener.',
@@ -92,7 +92,7 @@
     port: port().default(8082).describe('Port of the operators\' listener.'),
     token: secret().optional().describe('The token of the fleet\'s operators.'),
     tokenFile: filePath().optional().describe('File that holds the token.'),
-    metrics: choice(Object.values(MetricsAccess)).default(MetricsAccess.Token).describe('Who may read /metrics: holders of the token, or anyone who reaches the listener.'),
+    metrics: enumValue(Object.values(MetricsAccess)).default(MetricsAccess.Token).describe('Who may read /metrics: holders of the token, or anyone who reaches the listener.'),
     maxConnections: integer(1, 10_000).default(256).describe('Connections held at once.')
   }),
   relations: [{
@@ -103,7 +103,7 @@
 })
 
 export const platformSection = defineSection({
-  word: 'platform',
+  keyword: 'platform',
   arguments: [],
   required: true,
   description: 'The platform\'s object API and list of VMs.',
@@ -125,29 +125,29 @@
 const fencingDescription = 'Whether endpoints refuse orders with an old fencing number. With `ignored`, a new lease holder first waits until no old order can be under way.'
 
 export const endpointsSection = defineSection({
-  word: 'endpoints',
+  keyword: 'endpoints',
   arguments: [],
   required: false,
   description: 'What all endpoints do, unless a section for their failure domain says otherwise.',
   schema: z.object({
-    fencing: choice(Object.values(FencingMode)).default(FencingMode.Ignored).describe(fencingDescription)
+    fencing: enumValue(Object.values(FencingMode)).default(FencingMode.Ignored).describe(fencingDescription)
   }),
   relations: []
 })
 
 export const domainEndpointsSection = defineSection({
-  word: 'endpoints',
+  keyword: 'endpoints',
   arguments: [{ name: 'failure domain', accepts: ID_ACCEPTS, read: readIdentifier }],
   required: false,
   description: 'What the endpoints of one failure domain do.',
   schema: z.object({
-    fencing: choice(Object.values(FencingMode)).describe(fencingDescription)
+    fencing: enumValue(Object.values(FencingMode)).describe(fencingDescription)
   }),
   relations: []
 })
 
 export const timingSection = defineSection({
-  word: 'timing',
+  keyword: 'timing',
   arguments: [],
   required: false,
   description: 'Times that nodes must agree on: set them alike on every node.',
@@ -193,7 +193,7 @@
 })
 
 export const nodeLimitsSection = defineSection({
-  word: 'limits',
+  keyword: 'limits',
   arguments: [],
   required: false,
   description: 'Bounds on what this node holds at once, over all teams.',
--- a/packages/dotterelspur-settings/src/process/NodeSettings.ts
+++ b/packages/dotterelspur-settings/src/process/NodeSettings.ts
@@ -68,11 +68,11 @@
 }
 
 export interface FencingSettings {
-  readonly standard: FencingMode
+  readonly defaultMode: FencingMode
   readonly overrides: ReadonlyMap<FailureDomainId, FencingMode>
 }
 
 /** Whether the endpoints of a failure domain check fencing numbers. */
-export function fencingOf (fencing: FencingSettings, failureDomain: FailureDomainId): FencingMode {
-  return fencing.overrides.get(failureDomain) ?? fencing.standard
+export function fencingModeOf (fencing: FencingSettings, failureDomain: FailureDomainId): FencingMode {
+  return fencing.overrides.get(failureDomain) ?? fencing.defaultMode
 }
--- a/packages/dotterelspur-settings/src/process/SectionSpec.ts
+++ b/packages/dotterelspur-settings/src/process/SectionSpec.ts
@@ -24,7 +24,7 @@
 
 /** One kind of section: its header, its keys and the rules between them. */
 export interface SectionSpec<Shape extends AnyShape = AnyShape> {
-  readonly word: string
+  readonly keyword: string
   readonly arguments: readonly SectionArgument[]
   /** A required section must be there; one with arguments may be there any number of times. */
   readonly required: boolean
@@ -45,9 +45,9 @@
   constructor (private readonly bySpec: ReadonlyMap<SectionSpec, ReadonlyArray<CheckedSection<unknown>>>) {}
 
   /** The one section of a kind without arguments; its defaults when the file has none. */
-  one<Shape extends AnyShape> (spec: SectionSpec<Shape>): z.output<z.ZodObject<Shape>> {
+  single<Shape extends AnyShape> (spec: SectionSpec<Shape>): z.output<z.ZodObject<Shape>> {
     const section = this.all(spec)[0]
-    invariant(section !== undefined, `section ${spec.word} was not checked`)
+    invariant(section !== undefined, `section ${spec.keyword} was not checked`)
     return section.value
   }
 
@@ -70,7 +70,7 @@
 
 /** The header as the reference page writes it: `[model <model>]`. */
 export function sectionHeader (spec: SectionSpec): string {
-  return `[${[spec.word, ...spec.arguments.map((argument) => `<${argument.name}>`)].join(' ')}]`
+  return `[${[spec.keyword, ...spec.arguments.map((argument) => `<${argument.name}>`)].join(' ')}]`
 }
 
 /** The metadata of a key's value, found below what wraps it (default, optional). */
@@ -95,65 +95,65 @@
   const problems: SettingsProblem[] = []
   const checked = new Map<SectionSpec, Array<CheckedSection<unknown>>>(specs.map((spec) => [spec, []]))
   for (const section of sections) {
-    const spec = specs.find((candidate) => fits(candidate, section))
-    if (spec === undefined) problems.push(unknownSection(file, specs, section))
-    else checkOne(file, spec, section, checked.get(spec)!, problems)
+    const spec = specs.find((candidate) => matchesSpec(candidate, section))
+    if (spec === undefined) problems.push(createUnknownSectionProblem(file, specs, section))
+    else checkSection(file, spec, section, checked.get(spec)!, problems)
   }
   for (const spec of specs) {
-    if (spec.arguments.length > 0 || sections.some((section) => fits(spec, section))) continue
-    if (spec.required) problems.push(missingSection(file, spec))
+    if (spec.arguments.length > 0 || sections.some((section) => matchesSpec(spec, section))) continue
+    if (spec.required) problems.push(createMissingSectionProblem(file, spec))
     else checked.get(spec)!.push({ arguments: [], value: spec.schema.parse({}), line: null })
   }
   return { sections: new CheckedSections(checked), problems }
 }
 
-function fits (spec: SectionSpec, section: TextSection): boolean {
+function matchesSpec (spec: SectionSpec, section: TextSection): boolean {
   const words = section.name.split(' ')
-  return words[0] === spec.word && words.length === spec.arguments.length + 1
+  return words[0] === spec.keyword && words.length === spec.arguments.length + 1
 }
 
-function unknownSection (file: string, specs: readonly SectionSpec[], section: TextSection): SettingsProblem {
+function createUnknownSectionProblem (file: string, specs: readonly SectionSpec[], section: TextSection): SettingsProblem {
   const accepted = specs.map(sectionHeader).join(', ')
   return { kind: SettingsProblemKind.UnknownSection, file, line: section.line, section: section.name, key: null, found: null, accepted }
 }
 
-function missingSection (file: string, spec: SectionSpec): SettingsProblem {
-  return { kind: SettingsProblemKind.MissingSection, file, line: null, section: spec.word, key: null, found: null, accepted: `a section ${sectionHeader(spec)}` }
+function createMissingSectionProblem (file: string, spec: SectionSpec): SettingsProblem {
+  return { kind: SettingsProblemKind.MissingSection, file, line: null, section: spec.keyword, key: null, found: null, accepted: `a section ${sectionHeader(spec)}` }
 }
 
-function checkOne (file: string, spec: SectionSpec, section: TextSection, checked: Array<CheckedSection<unknown>>, problems: SettingsProblem[]): void {
-  const place = { file, section: section.name }
+function checkSection (file: string, spec: SectionSpec, section: TextSection, checked: Array<CheckedSection<unknown>>, problems: SettingsProblem[]): void {
+  const location = { file, section: section.name }
   const names = section.name.split(' ').slice(1)
   for (const [index, argument] of spec.arguments.entries()) {
     if (argument.read(names[index]!) !== undefined) continue
-    problems.push({ ...place, kind: SettingsProblemKind.InvalidValue, line: section.line, key: null, found: quoteFound(names[index]!), accepted: `<${argument.name}>: ${argument.accepts}` })
+    problems.push({ ...location, kind: SettingsProblemKind.InvalidValue, line: section.line, key: null, found: quoteFound(names[index]!), accepted: `<${argument.name}>: ${argument.accepts}` })
   }
   const fields = new Map(Object.keys(spec.schema.shape).map((field) => [toIniKey(field), field]))
   const input: Record<string, string> = {}
   for (const entry of section.entries) {
     const field = fields.get(entry.key)
     if (field !== undefined) input[field] = entry.value
-    else problems.push({ ...place, kind: SettingsProblemKind.UnknownKey, line: entry.line, key: entry.key, found: null, accepted: [...fields.keys()].join(', ') })
+    else problems.push({ ...location, kind: SettingsProblemKind.UnknownKey, line: entry.line, key: entry.key, found: null, accepted: [...fields.keys()].join(', ') })
   }
   const result = spec.schema.safeParse(input)
   if (!result.success) {
-    for (const issue of result.error.issues) problems.push(valueProblem(file, spec, section, String(issue.path[0])))
+    for (const issue of result.error.issues) problems.push(createValueProblem(file, spec, section, String(issue.path[0])))
     return
   }
-  problems.push(...brokenRelations(file, spec, section, result.data))
+  problems.push(...findViolatedRelations(file, spec, section, result.data))
   checked.push({ arguments: names, value: result.data, line: section.line })
 }
 
-function valueProblem (file: string, spec: SectionSpec, section: TextSection, field: string): SettingsProblem {
+function createValueProblem (file: string, spec: SectionSpec, section: TextSection, field: string): SettingsProblem {
   const key = toIniKey(field)
   const { accepts, secret } = metadataOf(spec.schema.shape[field]!)
   const entry: TextEntry | undefined = section.entries.find((candidate) => candidate.key === key)
-  const place = { file, section: section.name, key, accepted: accepts }
-  if (entry === undefined) return { ...place, kind: SettingsProblemKind.MissingKey, line: section.line, found: null }
-  return { ...place, kind: SettingsProblemKind.InvalidValue, line: entry.line, found: secret ? '(hidden)' : quoteFound(entry.value) }
+  const location = { file, section: section.name, key, accepted: accepts }
+  if (entry === undefined) return { ...location, kind: SettingsProblemKind.MissingKey, line: section.line, found: null }
+  return { ...location, kind: SettingsProblemKind.InvalidValue, line: entry.line, found: secret ? '(hidden)' : quoteFound(entry.value) }
 }
 
-function brokenRelations (file: string, spec: SectionSpec, section: TextSection, value: z.output<z.ZodObject<AnyShape>>): SettingsProblem[] {
+function findViolatedRelations (file: string, spec: SectionSpec, section: TextSection, value: z.output<z.ZodObject<AnyShape>>): SettingsProblem[] {
   return spec.relations.flatMap((relation) => {
     if (relation.holds(value)) return []
     const entry = section.entries.find((candidate) => candidate.key === relation.key)
--- a/packages/dotterelspur-settings/src/process/SettingsError.ts
+++ b/packages/dotterelspur-settings/src/process/SettingsError.ts
@@ -50,11 +50,11 @@
 
 /** One line for people: `file:12 [section] key: kind, found "x"; accepted: …`. */
 export function formatProblem (problem: SettingsProblem): string {
-  const place = problem.line === null ? problem.file : `${problem.file}:${problem.line}`
+  const location = problem.line === null ? problem.file : `${problem.file}:${problem.line}`
   const section = problem.section === null ? '' : ` [${problem.section}]`
   const key = problem.key === null ? '' : ` ${problem.key}`
   const found = problem.found === null ? '' : `, found "${problem.found}"`
-  return `${place}${section}${key}: ${problem.kind}${found}; accepted: ${problem.accepted}`
+  return `${location}${section}${key}: ${problem.kind}${found}; accepted: ${problem.accepted}`
 }
 
 /** All problems of a file, one a line. */
@@ -63,7 +63,7 @@
 }
 
 /** Builds the error: first things first, and no more than a person can read. */
-export function settingsError (problems: readonly SettingsProblem[]): SettingsError {
+export function createSettingsError (problems: readonly SettingsProblem[]): SettingsError {
   const ordered = [...problems].sort((left, right) => (left.line ?? Infinity) - (right.line ?? Infinity) || 0)
   return { problems: ordered.slice(0, MAX_PROBLEMS) }
 }
--- a/packages/dotterelspur-settings/src/process/SettingsText.ts
+++ b/packages/dotterelspur-settings/src/process/SettingsText.ts
@@ -1,6 +1,6 @@
 import ini from 'ini'
 import { failed, success, type Result } from 'dotterelspur'
-import { MAX_PROBLEMS, SettingsProblemKind, quoteFound, settingsError, type SettingsError, type SettingsProblem } from './SettingsError.js'
+import { MAX_PROBLEMS, SettingsProblemKind, quoteFound, createSettingsError, type SettingsError, type SettingsProblem } from './SettingsError.js'
 
 /** Larger files are refused unread: a platform value holds a megabyte, and the audit trail keeps two of them in one. */
 export const MAX_SETTINGS_BYTES = 262_144
@@ -55,20 +55,20 @@
   const lines = decoded.value.split(/\r\n|\n/)
   for (const [index, line] of lines.entries()) {
     if (reader.problems.length >= MAX_PROBLEMS) break
-    reader.take(line.trim(), index + 1)
+    reader.readLine(line.trim(), index + 1)
   }
-  if (reader.problems.length > 0) return failed(settingsError(reader.problems))
+  if (reader.problems.length > 0) return failed(createSettingsError(reader.problems))
   return success(reader.sections)
 }
 
 function decode (content: string | Uint8Array, file: string): Result<string, SettingsError> {
   const sizeBytes = typeof content === 'string' ? Buffer.byteLength(content) : content.byteLength
   if (sizeBytes > MAX_SETTINGS_BYTES) {
-    return failed(fileProblem(file, SettingsProblemKind.TooLarge, `${sizeBytes} bytes`, `at most ${MAX_SETTINGS_BYTES} bytes`))
+    return failed(createFileError(file, SettingsProblemKind.TooLarge, `${sizeBytes} bytes`, `at most ${MAX_SETTINGS_BYTES} bytes`))
   }
   const text = typeof content === 'string' ? content.replace(/^\uFEFF/, '') : decodeBytes(content)
   if (text === undefined || SURROGATE_PATTERN.test(text)) {
-    return failed(fileProblem(file, SettingsProblemKind.InvalidEncoding, null, 'text in UTF-8'))
+    return failed(createFileError(file, SettingsProblemKind.InvalidEncoding, null, 'text in UTF-8'))
   }
   return success(text)
 }
@@ -81,7 +81,7 @@
   }
 }
 
-function fileProblem (file: string, kind: SettingsProblemKind, found: string | null, accepted: string): SettingsError {
+function createFileError (file: string, kind: SettingsProblemKind, found: string | null, accepted: string): SettingsError {
   return { problems: [{ kind, file, line: null, section: null, key: null, found, accepted }] }
 }
 
@@ -95,7 +95,7 @@
 
   constructor (private readonly file: string) {}
 
-  take (line: string, number: number): void {
+  readLine (line: string, number: number): void {
     if (CONTROL_PATTERN.test(line)) {
       this.report(SettingsProblemKind.ControlCharacter, number, null, line, 'printable characters')
       return
@@ -103,15 +103,15 @@
     if (line === '' || COMMENT_PATTERN.test(line)) return
     const section = SECTION_PATTERN.exec(line)
     if (section !== null) {
-      this.openSection(section[1]!, number)
+      this.headerText(section[1]!, number)
       return
     }
     const entry = ENTRY_PATTERN.exec(line)
     if (entry === null || line.startsWith('[')) this.report(SettingsProblemKind.MalformedLine, number, null, line, LINE_GRAMMAR)
-    else this.takeEntry(entry[1]!.trim(), line, number)
+    else this.readEntry(entry[1]!.trim(), line, number)
   }
 
-  private openSection (written: string, line: number): void {
+  private headerText (written: string, line: number): void {
     const name = written.trim().split(/[ \t]+/).join(' ')
     this.current = { name, line, entries: [] }
     this.keys.clear()
@@ -131,7 +131,7 @@
     this.sections.push(this.current)
   }
 
-  private takeEntry (key: string, line: string, number: number): void {
+  private readEntry (key: string, line: string, number: number): void {
     if (this.current === undefined) {
       this.report(SettingsProblemKind.KeyOutsideSection, number, key, null, 'keys below a [section]')
       return
@@ -145,7 +145,7 @@
       return
     }
     this.keys.add(key)
-    const value = readValue(line, key)
+    const value = parseIniValue(line, key)
     if (CONTROL_PATTERN.test(value) || value.includes('\n')) {
       this.report(SettingsProblemKind.ControlCharacter, number, key, null, 'printable characters')
       return
@@ -168,7 +168,7 @@
 }
 
 /** The library turns bare `true`, `false` and `null` into other types; settings are read as text first. */
-function readValue (line: string, key: string): string {
+function parseIniValue (line: string, key: string): string {
   const value: unknown = ini.parse(line)[key]
   return String(value)
 }
--- a/packages/dotterelspur-settings/src/process/parseNodeSettings.ts
+++ b/packages/dotterelspur-settings/src/process/parseNodeSettings.ts
@@ -3,7 +3,7 @@
 import { NODE_SECTIONS, adminSection, domainEndpointsSection, endpointsSection, entrySection, meshSection, nodeLimitsSection, nodeSection, platformSection, timingSection } from './NodeSchema.js'
 import { MeshSecurityKind, SecretSourceKind, type AdminListenerSettings, type FencingSettings, type MeshListenerSettings, type MeshSecurity, type NodeSettings, type PlatformSettings, type SecretSource } from './NodeSettings.js'
 import { checkSections, type CheckedSections } from './SectionSpec.js'
-import { SettingsProblemKind, settingsError, type SettingsError, type SettingsProblem } from './SettingsError.js'
+import { SettingsProblemKind, createSettingsError, type SettingsError, type SettingsProblem } from './SettingsError.js'
 import { readSettingsText } from './SettingsText.js'
 
 /**
@@ -17,19 +17,19 @@
   const text = readSettingsText(content, file)
   if (!text.ok) return text
   const { sections, problems } = checkSections(file, NODE_SECTIONS, text.value)
-  if (problems.length > 0) return failed(settingsError(problems))
-  const exposed = plainMeshProblem(file, sections)
-  if (exposed !== null) return failed(settingsError([exposed]))
-  const node = sections.one(nodeSection)
+  if (problems.length > 0) return failed(createSettingsError(problems))
+  const exposure = findSharedKeyExposure(file, sections)
+  if (exposure !== null) return failed(createSettingsError([exposure]))
+  const node = sections.single(nodeSection)
   return success({
     ...node,
-    entry: sections.one(entrySection),
+    entry: sections.single(entrySection),
     mesh: readMesh(sections),
     admin: readAdmin(sections),
     platform: readPlatform(sections),
     fencing: readFencing(sections),
-    timing: sections.one(timingSection),
-    limits: sections.one(nodeLimitsSection)
+    timing: sections.single(timingSection),
+    limits: sections.single(nodeLimitsSection)
   })
 }
 
@@ -40,12 +40,12 @@
 }
 
 function readMesh (sections: CheckedSections): MeshListenerSettings {
-  const { port, advertise, seeds } = sections.one(meshSection)
+  const { port, advertise, seeds } = sections.single(meshSection)
   return { port, advertise: advertise ?? null, seeds, security: readMeshSecurity(sections) }
 }
 
 function readMeshSecurity (sections: CheckedSections): MeshSecurity {
-  const { sharedKey, sharedKeyFile, certificateFile, keyFile, authorityFile } = sections.one(meshSection)
+  const { sharedKey, sharedKeyFile, certificateFile, keyFile, authorityFile } = sections.single(meshSection)
   const key = secretSource(sharedKey, sharedKeyFile)
   if (key !== null) return { kind: MeshSecurityKind.SharedKey, key }
   invariant(certificateFile !== undefined && keyFile !== undefined && authorityFile !== undefined, 'mesh security was checked')
@@ -53,26 +53,26 @@
 }
 
 function readAdmin (sections: CheckedSections): AdminListenerSettings {
-  const { port, token, tokenFile, metrics, maxConnections } = sections.one(adminSection)
+  const { port, token, tokenFile, metrics, maxConnections } = sections.single(adminSection)
   const source = secretSource(token, tokenFile)
   invariant(source !== null, 'the admin token was checked')
   return { port, token: source, metrics, maxConnections }
 }
 
 function readPlatform (sections: CheckedSections): PlatformSettings {
-  const { token, tokenFile, ...rest } = sections.one(platformSection)
+  const { token, tokenFile, ...rest } = sections.single(platformSection)
   return { ...rest, token: secretSource(token, tokenFile) }
 }
 
 function readFencing (sections: CheckedSections): FencingSettings {
   const overrides = sections.all(domainEndpointsSection).map(({ arguments: [domain], value }) => [domain!, value.fencing] as const)
-  return { standard: sections.one(endpointsSection).fencing, overrides: new Map(overrides) }
+  return { defaultMode: sections.single(endpointsSection).fencing, overrides: new Map(overrides) }
 }
 
 /** A shared key on plain connections is only as safe as the wire: anyone on the path could read or change what nodes say. */
-function plainMeshProblem (file: string, sections: CheckedSections): SettingsProblem | null {
-  const { host } = sections.one(nodeSection)
-  const { sharedKey, sharedKeyFile } = sections.one(meshSection)
+function findSharedKeyExposure (file: string, sections: CheckedSections): SettingsProblem | null {
+  const { host } = sections.single(nodeSection)
+  const { sharedKey, sharedKeyFile } = sections.single(meshSection)
   if ((sharedKey === undefined && sharedKeyFile === undefined) || isLoopback(host)) return null
   return { kind: SettingsProblemKind.InvalidRelation, file, line: null, section: 'mesh', key: 'shared-key', found: `host ${host}`, accepted: 'a shared key only where host is a loopback address; certificate-file, key-file and authority-file elsewhere' }
 }
--- a/packages/dotterelspur-settings/src/process/readSecret.ts
+++ b/packages/dotterelspur-settings/src/process/readSecret.ts
@@ -5,7 +5,7 @@
 const SECRET_PATTERN = /^[\x21-\x7e]{16,512}$/
 
 /** Where a secret is used, for errors. */
-export interface SecretPlace {
+export interface SecretLocation {
   readonly file: string
   readonly section: string
   /** The key without `-file`, such as `token`. */
@@ -18,18 +18,18 @@
  *
  * @param readFile reads a file whole; may throw what the file system throws.
  */
-export function readSecret (source: SecretSource, place: SecretPlace, readFile: (path: string) => string): Result<string, SettingsError> {
+export function readSecret (source: SecretSource, location: SecretLocation, readFile: (path: string) => string): Result<string, SettingsError> {
   if (source.kind === SecretSourceKind.Text) return success(source.text)
   let text: string
   try {
     text = readFile(source.path).trim()
   } catch (error) {
-    return unusable(source.path, place, (error as Error).message)
+    return createSecretFileError(source.path, location, (error as Error).message)
   }
-  return SECRET_PATTERN.test(text) ? success(text) : unusable(source.path, place, 'the file holds something else')
+  return SECRET_PATTERN.test(text) ? success(text) : createSecretFileError(source.path, location, 'the file holds something else')
 }
 
-function unusable (path: string, { file, section, key }: SecretPlace, reason: string): Result<never, SettingsError> {
+function createSecretFileError (path: string, { file, section, key }: SecretLocation, reason: string): Result<never, SettingsError> {
   const accepted = 'a readable file that holds 16 to 512 printable characters without spaces'
   return failed({ problems: [{ kind: SettingsProblemKind.InvalidValue, file, line: null, section, key: `${key}-file`, found: quoteFound(`${path}: ${reason}`), accepted }] })
 }
--- a/packages/dotterelspur-settings/src/process/values.ts
+++ b/packages/dotterelspur-settings/src/process/values.ts
@@ -42,7 +42,7 @@
 const MAX_PORT = 65_535
 const MAX_LIST_ITEMS = 1_000
 
-function within (value: number, min: number, max: number): number | undefined {
+function withinRange (value: number, min: number, max: number): number | undefined {
   return value >= min && value <= max ? value : undefined
 }
 
@@ -54,7 +54,7 @@
     // In binary fractions 1.005 s is not quite 1,005 ms.
     const exact = Number(match[1]) * DURATION_UNITS_MS[match[2] ?? 'ms']!
     const value = Math.round(exact)
-    return Math.abs(exact - value) < ROUNDING_TOLERANCE_MS ? within(value, minMs, maxMs) : undefined
+    return Math.abs(exact - value) < ROUNDING_TOLERANCE_MS ? withinRange(value, minMs, maxMs) : undefined
   })
 }
 
@@ -63,25 +63,25 @@
   return textValue(`a size of ${formatSize(minBytes)} to ${formatSize(maxBytes)}: bytes, or with a unit of B, KiB, MiB or GiB`, (text) => {
     const match = SIZE_PATTERN.exec(text)
     if (match === null) return undefined
-    return within(Number(match[1]) * SIZE_UNITS_BYTES[match[2] ?? 'B']!, minBytes, maxBytes)
+    return withinRange(Number(match[1]) * SIZE_UNITS_BYTES[match[2] ?? 'B']!, minBytes, maxBytes)
   })
 }
 
 export function integer (min: number, max: number) {
-  return textValue(`a whole number of ${min} to ${max}`, (text) => INTEGER_PATTERN.test(text) ? within(Number(text), min, max) : undefined)
+  return textValue(`a whole number of ${min} to ${max}`, (text) => INTEGER_PATTERN.test(text) ? withinRange(Number(text), min, max) : undefined)
 }
 
 export function decimal (min: number, max: number) {
-  return textValue(`a number of ${min} to ${max}`, (text) => NUMBER_PATTERN.test(text) ? within(Number(text), min, max) : undefined)
+  return textValue(`a number of ${min} to ${max}`, (text) => NUMBER_PATTERN.test(text) ? withinRange(Number(text), min, max) : undefined)
 }
 
 /** A TCP port; 0 lets the operating system assign one. */
 export function port () {
-  return textValue('a port of 1 to 65535, or 0 for one that the operating system assigns', (text) => INTEGER_PATTERN.test(text) ? within(Number(text), 0, MAX_PORT) : undefined)
+  return textValue('a port of 1 to 65535, or 0 for one that the operating system assigns', (text) => INTEGER_PATTERN.test(text) ? withinRange(Number(text), 0, MAX_PORT) : undefined)
 }
 
 /** One of an enum's values. */
-export function choice<Value extends string> (values: readonly Value[]) {
+export function enumValue<Value extends string> (values: readonly Value[]) {
   return textValue(values.join(' | '), (text) => values.find((value) => value === text))
 }
 
@@ -150,7 +150,7 @@
 function readHostPort (text: string): string | undefined {
   const match = HOST_PORT_PATTERN.exec(text)
   if (match === null || isIP(match[1]!.replace(/^\[|\]$/g, '')) === 0) return undefined
-  return within(Number(match[2]), 1, MAX_PORT) === undefined ? undefined : text
+  return withinRange(Number(match[2]), 1, MAX_PORT) === undefined ? undefined : text
 }
 
 export function hostPort () {
--- a/packages/dotterelspur-settings/src/version/TeamSchema.ts
+++ b/packages/dotterelspur-settings/src/version/TeamSchema.ts
@@ -2,7 +2,7 @@
 import { PriorityClass, RetryRule } from 'dotterelspur'
 import { defineSection, type SectionSpec } from '../process/SectionSpec.js'
 import {
-  ID_ACCEPTS, NAME_ACCEPTS, choice, decimal, durationMs, identifier, identifierList, integer, methodList, modelName,
+  ID_ACCEPTS, NAME_ACCEPTS, enumValue, decimal, durationMs, identifier, identifierList, integer, methodList, modelName,
   modelNameList, readIdentifier, readModelName, tokenHashList, urlPath
 } from '../process/values.js'
 
@@ -11,7 +11,7 @@
 const routeArgument = { name: 'route', accepts: ID_ACCEPTS, read: readIdentifier }
 
 export const teamSection = defineSection({
-  word: 'team',
+  keyword: 'team',
   arguments: [],
   required: true,
   description: 'Whose settings these are, and which tokens speak for the team.',
@@ -29,7 +29,7 @@
 })
 
 export const weightsSection = defineSection({
-  word: 'weights',
+  keyword: 'weights',
   arguments: [],
   required: false,
   description: 'What an hour of each costs the team. Only the ratio matters: it decides between repairing at once and waiting.',
@@ -45,7 +45,7 @@
 })
 
 export const teamLimitsSection = defineSection({
-  word: 'limits',
+  keyword: 'limits',
   arguments: [],
   required: false,
   description: 'Bounds on the team\'s requests over all nodes; each living node allows an even part.',
@@ -60,7 +60,7 @@
 })
 
 export const modelSection = defineSection({
-  word: 'model',
+  keyword: 'model',
   arguments: [modelArgument],
   required: false,
   description: 'One model that the team wants served.',
@@ -73,7 +73,7 @@
     regions: identifierList().default([]).describe('Where groups may be; empty for anywhere.'),
     failureDomains: identifierList().default([]).describe('Where groups may be; empty for anywhere.'),
     fabricDomains: identifierList().default([]).describe('Where groups may be; empty for anywhere.'),
-    defaultPriority: choice(Object.values(PriorityClass)).default(PriorityClass.Standard).describe('Priority of requests that name none.'),
+    defaultPriority: enumValue(Object.values(PriorityClass)).default(PriorityClass.Standard).describe('Priority of requests that name none.'),
     maxTokens: integer(1, 1_000_000).default(4_096).describe('The most tokens that one request may ask for.'),
     maxUnavailable: integer(1, 10_000).default(1).describe('Rollout: groups that may be out for the change at once.'),
     healthyForMs: durationMs(0, 3_600_000).default(30_000).describe('Rollout: how long a new group must stay healthy before the next step.'),
@@ -83,7 +83,7 @@
 })
 
 export const serviceSection = defineSection({
-  word: 'service',
+  keyword: 'service',
   arguments: [serviceArgument],
   required: false,
   description: 'One plain service that the team calls through the system.',
@@ -94,14 +94,14 @@
 })
 
 export const routeSection = defineSection({
-  word: 'route',
+  keyword: 'route',
   arguments: [serviceArgument, routeArgument],
   required: false,
   description: 'How calls below one path of a service may be repeated. The longest path that fits decides; calls that fit no route run at most once.',
   schema: z.object({
     pathPrefix: urlPath().default('/').describe('Path below the service\'s root.'),
     methods: methodList().default([]).describe('Empty for all methods.'),
-    retry: choice(Object.values(RetryRule)).describe('`idempotent`: a failed call may be sent again elsewhere. `once`: each call runs at most once.')
+    retry: enumValue(Object.values(RetryRule)).describe('`idempotent`: a failed call may be sent again elsewhere. `once`: each call runs at most once.')
   }),
   relations: []
 })
--- a/packages/dotterelspur-settings/src/version/parseTeamSettings.ts
+++ b/packages/dotterelspur-settings/src/version/parseTeamSettings.ts
@@ -1,6 +1,6 @@
 import { failed, success, type ModelIntent, type Result, type ServiceIntent, type ServiceRoute, type TeamSettings } from 'dotterelspur'
 import { checkSections, type CheckedSections } from '../process/SectionSpec.js'
-import { SettingsProblemKind, settingsError, type SettingsError, type SettingsProblem } from '../process/SettingsError.js'
+import { SettingsProblemKind, createSettingsError, type SettingsError, type SettingsProblem } from '../process/SettingsError.js'
 import { readSettingsText } from '../process/SettingsText.js'
 import { TEAM_SECTIONS, modelSection, routeSection, serviceSection, teamLimitsSection, teamSection, weightsSection } from './TeamSchema.js'
 
@@ -15,13 +15,13 @@
   if (!text.ok) return text
   const { sections, problems } = checkSections(file, TEAM_SECTIONS, text.value)
   const all = [...problems, ...routeProblems(file, sections)]
-  if (all.length > 0) return failed(settingsError(all))
-  const team = sections.one(teamSection)
+  if (all.length > 0) return failed(createSettingsError(all))
+  const team = sections.single(teamSection)
   return success({
     team: team.name,
     priority: team.priority,
-    weights: sections.one(weightsSection),
-    limits: sections.one(teamLimitsSection),
+    weights: sections.single(weightsSection),
+    limits: sections.single(teamLimitsSection),
     callerTokenHashes: team.callerTokenSha256,
     operatorTokenHashes: team.operatorTokenSha256,
     models: readModels(sections),
