--- a/packages/dotterelspur-node/src/process/NodeMetrics.ts
+++ b/packages/dotterelspur-node/src/process/NodeMetrics.ts
@@ -56,7 +56,7 @@
       members: mesh.members().length,
       auditQueued: audit.queuedRecords,
       auditLost: audit.lostRecords,
-      staleStoreAnswers: store.staleAnswers,
+      staleStoreAnswers: store.staleResponses,
       storeContactAgeMs: finiteOrMinusOne(mesh.storeContactAgeMs()),
       peerContactAgeMs: finiteOrMinusOne(mesh.peerContactAgeMs()),
       residentBytes: process.memoryUsage.rss()
--- a/packages/dotterelspur-platform/src/__tests__/unit/CallBudget.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/CallBudget.test.ts
@@ -10,19 +10,19 @@
 describe('CallBudget', () => {
   it('withholds calls above its ceiling and lets them go as time passes', () => {
     const { clock, budget } = createFixture()
-    expect([0, 1, 2].map(() => budget.take(PlatformCallKind.Read) > 0)).to.deep.equal([false, false, true])
+    expect([0, 1, 2].map(() => budget.acquire(PlatformCallKind.Read) > 0)).to.deep.equal([false, false, true])
     clock.advance(500)
-    expect(budget.take(PlatformCallKind.Read)).to.equal(0)
+    expect(budget.acquire(PlatformCallKind.Read)).to.equal(0)
     expect(budget.snapshot()).to.deep.include({ reads: 3, withheld: 1 })
   })
 
   it('sends nothing of a kind until the time that a refusal named, and leaves the other kind alone', () => {
     const { clock, budget } = createFixture()
-    budget.noteRefused(PlatformCallKind.Read, 3_000)
+    budget.recordRefusal(PlatformCallKind.Read, 3_000)
     clock.advance(2_000)
-    expect(budget.take(PlatformCallKind.Watch)).to.equal(1_000)
-    expect(budget.take(PlatformCallKind.Write)).to.equal(0)
+    expect(budget.acquire(PlatformCallKind.Watch)).to.equal(1_000)
+    expect(budget.acquire(PlatformCallKind.Write)).to.equal(0)
     clock.advance(1_000)
-    expect(budget.take(PlatformCallKind.Watch)).to.equal(0)
+    expect(budget.acquire(PlatformCallKind.Watch)).to.equal(0)
   })
 })
--- a/packages/dotterelspur-platform/src/__tests__/unit/fixtures.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/fixtures.ts
@@ -10,14 +10,14 @@
   return { seen: new SeenVersions(100), random: createRandom(1), maximumAttempts, backoff: { baseMs: 10, limitMs: 100 } }
 }
 
-export function answer (status: number, body: unknown): PlatformReply {
-  return { kind: ReplyKind.Answer, status, body }
+export function createResponse (status: number, body: unknown): PlatformReply {
+  return { kind: ReplyKind.Response, status, body }
 }
 
-export const NO_ANSWER: PlatformReply = { kind: ReplyKind.NoAnswer, reason: 'reset' }
+export const NO_RESPONSE: PlatformReply = { kind: ReplyKind.NoResponse, reason: 'reset' }
 export const NOT_SENT: PlatformReply = { kind: ReplyKind.NotSent, reason: 'refused' }
 
-export interface Played<Value> {
+export interface ProcedureRun<Value> {
   readonly value: Value
   /** `PUT`, `GET` and so on, in order. */
   readonly sent: readonly string[]
@@ -25,7 +25,7 @@
 }
 
 /** Runs a procedure against a script of replies; the last one repeats. */
-export function play<Value> (procedure: Generator<PlatformEffect, Value, unknown>, replies: readonly PlatformReply[]): Played<Value> {
+export function runWithReplies<Value> (procedure: Generator<PlatformEffect, Value, unknown>, replies: readonly PlatformReply[]): ProcedureRun<Value> {
   const sent: string[] = []
   const waitsMs: number[] = []
   let step = procedure.next()
--- a/packages/dotterelspur-platform/src/__tests__/unit/readProcedure.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/readProcedure.test.ts
@@ -2,7 +2,7 @@
 import type { PlatformReply } from '../../request/PlatformCall.js'
 import { ReplyKind } from '../../request/PlatformCall.js'
 import { getProcedure, listProcedure } from '../../request/readProcedure.js'
-import { answer, createContext, NO_ANSWER, NOT_SENT, play } from './fixtures.js'
+import { createResponse, createContext, NO_RESPONSE, NOT_SENT, runWithReplies } from './fixtures.js'
 
 interface Case {
   readonly name: string
@@ -14,7 +14,7 @@
 }
 
 function object (version: number): PlatformReply {
-  return answer(200, { key: 'k', version, deleted: false, body: { writeToken: `t${version}` } })
+  return createResponse(200, { key: 'k', version, deleted: false, body: { writeToken: `t${version}` } })
 }
 
 const GET_CASES: readonly Case[] = [
@@ -22,15 +22,15 @@
   // Symptom: a node sees a lease go back to its former holder. Sequence: it reads version 9, then an answer from
   // the past brings version 3. Cause: the store may answer from the past, and versions must never fall.
   { name: 'an answer from before what was seen', seenVersion: 9, replies: [object(3)], outcome: 'ok 9', sent: 1 },
-  { name: 'absence from before what was seen', seenVersion: 9, replies: [answer(404, { version: 3 })], outcome: 'ok 9', sent: 1 },
-  { name: 'absence after what was seen', seenVersion: 9, replies: [answer(404, { version: 12 })], outcome: 'not-found', sent: 1 },
-  { name: 'no answer, then one', replies: [NO_ANSWER, NOT_SENT, object(3)], outcome: 'ok 3', sent: 3 },
-  { name: 'no answer at all', replies: [NO_ANSWER], outcome: 'unavailable', sent: 4 },
-  { name: 'server errors', replies: [answer(500, null)], outcome: 'unavailable', sent: 4 },
-  { name: 'too many calls', replies: [answer(429, { retryAfterMs: 5 })], outcome: 'rate-limited', sent: 1 },
+  { name: 'absence from before what was seen', seenVersion: 9, replies: [createResponse(404, { version: 3 })], outcome: 'ok 9', sent: 1 },
+  { name: 'absence after what was seen', seenVersion: 9, replies: [createResponse(404, { version: 12 })], outcome: 'not-found', sent: 1 },
+  { name: 'no answer, then one', replies: [NO_RESPONSE, NOT_SENT, object(3)], outcome: 'ok 3', sent: 3 },
+  { name: 'no answer at all', replies: [NO_RESPONSE], outcome: 'unavailable', sent: 4 },
+  { name: 'server errors', replies: [createResponse(500, null)], outcome: 'unavailable', sent: 4 },
+  { name: 'too many calls', replies: [createResponse(429, { retryAfterMs: 5 })], outcome: 'rate-limited', sent: 1 },
   { name: 'withheld by the node itself', replies: [{ kind: ReplyKind.Withheld, retryAfterMs: 5 }], outcome: 'rate-limited', sent: 1 },
-  { name: 'another shape', replies: [answer(200, { key: 'k' })], outcome: 'invalid', sent: 1 },
-  { name: 'another key', replies: [answer(200, { key: 'j', version: 3, deleted: false, body: null })], outcome: 'invalid', sent: 1 },
+  { name: 'another shape', replies: [createResponse(200, { key: 'k' })], outcome: 'invalid', sent: 1 },
+  { name: 'another key', replies: [createResponse(200, { key: 'j', version: 3, deleted: false, body: null })], outcome: 'invalid', sent: 1 },
   { name: 'no JSON', replies: [{ kind: ReplyKind.Malformed, reason: 'html' }], outcome: 'invalid', sent: 1 }
 ]
 
@@ -38,10 +38,10 @@
   for (const { name, seenVersion, replies, outcome, sent } of GET_CASES) {
     it(name, () => {
       const context = createContext()
-      if (seenVersion !== undefined) context.seen.note({ key: 'k', version: seenVersion, body: {}, deleted: false })
-      const played = play(getProcedure('k', context), replies)
-      expect(played.value.ok ? `ok ${played.value.value.version}` : played.value.error.kind).to.equal(outcome)
-      expect(played.sent.length).to.equal(sent)
+      if (seenVersion !== undefined) context.seen.record({ key: 'k', version: seenVersion, body: {}, deleted: false })
+      const run = runWithReplies(getProcedure('k', context), replies)
+      expect(run.value.ok ? `ok ${run.value.value.version}` : run.value.error.kind).to.equal(outcome)
+      expect(run.sent.length).to.equal(sent)
     })
   }
 })
@@ -49,13 +49,13 @@
 describe('listProcedure', () => {
   it('asks again for a listing from before what was seen when it asked, and then gives up', () => {
     const context = createContext()
-    context.seen.noteVersion(20)
-    const stale = answer(200, { objects: [], version: 11 })
-    const settled = play(listProcedure('a/', context), [stale, answer(200, { objects: [], version: 21 })])
-    expect(settled.value).to.deep.equal({ ok: true, value: { objects: [], version: 21 } })
-    const given = play(listProcedure('a/', context), [stale])
-    expect(given.value.ok ? 'ok' : given.value.error.kind).to.equal('unavailable')
-    expect(given.sent.length).to.equal(4)
+    context.seen.recordVersion(20)
+    const stale = createResponse(200, { objects: [], version: 11 })
+    const retried = runWithReplies(listProcedure('a/', context), [stale, createResponse(200, { objects: [], version: 21 })])
+    expect(retried.value).to.deep.equal({ ok: true, value: { objects: [], version: 21 } })
+    const exhausted = runWithReplies(listProcedure('a/', context), [stale])
+    expect(exhausted.value.ok ? 'ok' : exhausted.value.error.kind).to.equal('unavailable')
+    expect(exhausted.sent.length).to.equal(4)
   })
 
   it('takes a listing that was made while later changes were seen', () => {
@@ -64,8 +64,8 @@
     const context = createContext()
     const procedure = listProcedure('a/', context)
     procedure.next()
-    context.seen.noteVersion(30)
-    const step = procedure.next(answer(200, { objects: [], version: 29 }))
+    context.seen.recordVersion(30)
+    const step = procedure.next(createResponse(200, { objects: [], version: 29 }))
     expect(step.done).to.equal(true)
     expect(step.value).to.deep.equal({ ok: true, value: { objects: [], version: 29 } })
   })
--- a/packages/dotterelspur-platform/src/__tests__/unit/watchProcedure.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/watchProcedure.test.ts
@@ -17,7 +17,7 @@
 
 /** Runs the procedure against listings of the given versions (null: the store is down) and lines; gives what was told. */
 function follow (listings: ReadonlyArray<number | null>, lines: readonly WatchLine[]): string[] {
-  const told: string[] = []
+  const emitted: string[] = []
   const procedure = watchProcedure('a/', { clock: new ManualClock(), random: createRandom(1), seen: new SeenVersions(10), silenceMs: 100, relistIntervalMs: 10_000 })
   const listed = [...listings]
   const left = [...lines]
@@ -27,12 +27,12 @@
     reply = undefined
     if (effect.kind === WatchEffectKind.List) {
       const version = listed.shift()
-      if (version === undefined) return told
+      if (version === undefined) return emitted
       reply = version === null ? failed({ kind: StoreErrorKind.Unavailable, reason: 'down' }) : success({ objects: [], version })
     }
     if (effect.kind === WatchEffectKind.Open) reply = true
     if (effect.kind === WatchEffectKind.NextLine) reply = left.shift() ?? CLOSED
-    if (effect.kind === WatchEffectKind.Emit) told.push(effect.event.kind === WatchEventKind.Object ? `object ${effect.event.object.version}` : effect.event.kind)
+    if (effect.kind === WatchEffectKind.Emit) emitted.push(effect.event.kind === WatchEventKind.Object ? `object ${effect.event.object.version}` : effect.event.kind)
   }
 }
 
@@ -40,25 +40,25 @@
   readonly name: string
   readonly listings: ReadonlyArray<number | null>
   readonly lines: readonly WatchLine[]
-  readonly told: readonly string[]
+  readonly emitted: readonly string[]
 }
 
 const START = ['connected', 'listing'] as const
 
 const CASES: readonly Case[] = [
-  { name: 'events in order', listings: [5], lines: [event(6, 5), event(7, 6)], told: [...START, 'object 6', 'object 7', 'disconnected'] },
-  { name: 'a skip that the next event shows', listings: [5, 9], lines: [event(6, 5), event(8, 7), CLOSED], told: [...START, 'object 6', 'listing', 'disconnected'] },
-  { name: 'a skip that only a heartbeat shows', listings: [5, 9], lines: [heartbeat(5), heartbeat(7), CLOSED], told: [...START, 'listing', 'disconnected'] },
-  { name: 'a repeat is harmless, an older state is dropped', listings: [5], lines: [event(6, 5), event(7, 6), event(7, 6), event(6, 0)], told: [...START, 'object 6', 'object 7', 'object 7', 'disconnected'] },
-  { name: 'history is gone', listings: [5, 9], lines: [{ kind: WatchLineKind.Reset }, CLOSED], told: [...START, 'listing', 'disconnected'] },
-  { name: 'a line of another shape', listings: [5, 9], lines: [{ kind: WatchLineKind.Malformed }, CLOSED], told: [...START, 'listing', 'disconnected'] },
-  { name: 'silence counts as a loss', listings: [5, 9], lines: [{ kind: WatchLineKind.Silent }, CLOSED], told: [...START, 'disconnected', ...START, 'disconnected'] },
-  { name: 'a store that is down for a while', listings: [5, null, null, 9], lines: [CLOSED, CLOSED], told: [...START, 'disconnected', ...START, 'disconnected'] },
-  { name: 'a store that is down at the start', listings: [null, 9], lines: [CLOSED], told: [...START, 'disconnected'] }
+  { name: 'events in order', listings: [5], lines: [event(6, 5), event(7, 6)], emitted: [...START, 'object 6', 'object 7', 'disconnected'] },
+  { name: 'a skip that the next event shows', listings: [5, 9], lines: [event(6, 5), event(8, 7), CLOSED], emitted: [...START, 'object 6', 'listing', 'disconnected'] },
+  { name: 'a skip that only a heartbeat shows', listings: [5, 9], lines: [heartbeat(5), heartbeat(7), CLOSED], emitted: [...START, 'listing', 'disconnected'] },
+  { name: 'a repeat is harmless, an older state is dropped', listings: [5], lines: [event(6, 5), event(7, 6), event(7, 6), event(6, 0)], emitted: [...START, 'object 6', 'object 7', 'object 7', 'disconnected'] },
+  { name: 'history is gone', listings: [5, 9], lines: [{ kind: WatchLineKind.Reset }, CLOSED], emitted: [...START, 'listing', 'disconnected'] },
+  { name: 'a line of another shape', listings: [5, 9], lines: [{ kind: WatchLineKind.Malformed }, CLOSED], emitted: [...START, 'listing', 'disconnected'] },
+  { name: 'silence counts as a loss', listings: [5, 9], lines: [{ kind: WatchLineKind.Silent }, CLOSED], emitted: [...START, 'disconnected', ...START, 'disconnected'] },
+  { name: 'a store that is down for a while', listings: [5, null, null, 9], lines: [CLOSED, CLOSED], emitted: [...START, 'disconnected', ...START, 'disconnected'] },
+  { name: 'a store that is down at the start', listings: [null, 9], lines: [CLOSED], emitted: [...START, 'disconnected'] }
 ]
 
 describe('watchProcedure', () => {
-  for (const { name, listings, lines, told } of CASES) {
-    it(name, () => { expect(follow(listings, lines)).to.deep.equal(told) })
+  for (const { name, listings, lines, emitted } of CASES) {
+    it(name, () => { expect(follow(listings, lines)).to.deep.equal(emitted) })
   }
 })
--- a/packages/dotterelspur-platform/src/__tests__/unit/writeProcedure.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/writeProcedure.test.ts
@@ -2,7 +2,7 @@
 import { StoreErrorKind } from 'dotterelspur'
 import type { PlatformReply, WriteCondition } from '../../request/PlatformCall.js'
 import { writeProcedure } from '../../request/writeProcedure.js'
-import { answer, createContext, NO_ANSWER, NOT_SENT, play } from './fixtures.js'
+import { createResponse, createContext, NO_RESPONSE, NOT_SENT, runWithReplies } from './fixtures.js'
 
 interface Case {
   readonly name: string
@@ -18,35 +18,35 @@
 const AT_4: WriteCondition = { kind: 'version', version: 4 }
 
 function stored (version: number, token: string): PlatformReply {
-  return answer(200, { key: 'k', version, deleted: false, body: { writeToken: token } })
+  return createResponse(200, { key: 'k', version, deleted: false, body: { writeToken: token } })
 }
 
-const absentAt = (version: number): PlatformReply => answer(404, { version })
-const conflictAt = (currentVersion: number | null): PlatformReply => answer(412, { currentVersion })
+const absentAt = (version: number): PlatformReply => createResponse(404, { version })
+const conflictAt = (currentVersion: number | null): PlatformReply => createResponse(412, { currentVersion })
 
 const CASES: readonly Case[] = [
-  { name: 'written at once', condition: ABSENT, token: 'mine', replies: [answer(201, { version: 7 })], outcome: 'ok 7', sent: 'PUT' },
+  { name: 'written at once', condition: ABSENT, token: 'mine', replies: [createResponse(201, { version: 7 })], outcome: 'ok 7', sent: 'PUT' },
   { name: 'a conflict without any doubt is a conflict', condition: AT_4, token: 'mine', replies: [conflictAt(9)], outcome: 'conflict', sent: 'PUT' },
-  { name: 'the answer is lost, the write was made', condition: AT_4, token: 'mine', replies: [NO_ANSWER, stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET' },
-  { name: 'the call is lost, so it is sent again', condition: AT_4, token: 'mine', replies: [NO_ANSWER, stored(4, 'old'), answer(200, { version: 8 })], outcome: 'ok 8', sent: 'PUT GET PUT' },
+  { name: 'the answer is lost, the write was made', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET' },
+  { name: 'the call is lost, so it is sent again', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), createResponse(200, { version: 8 })], outcome: 'ok 8', sent: 'PUT GET PUT' },
   // Symptom: a conflict is reported for a write that was made, and its writer acts as if it wasn't.
   // Sequence: the write is delayed; reading back finds the old version; the write lands; the second copy meets it.
   // Cause: a conflict after a lost answer may be this write's own.
-  { name: 'the delayed write lands after reading back', condition: AT_4, token: 'mine', replies: [NO_ANSWER, stored(4, 'old'), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
-  { name: 'the delayed create lands after reading back', condition: ABSENT, token: 'mine', replies: [NO_ANSWER, absentAt(3), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
-  { name: 'another write followed a lost answer', condition: AT_4, token: 'mine', replies: [NO_ANSWER, stored(9, 'other')], outcome: 'unknown', sent: 'PUT GET' },
-  { name: 'reading back is answered from before the conflict', condition: AT_4, token: 'mine', replies: [NO_ANSWER, stored(4, 'old'), conflictAt(8), stored(4, 'old'), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET PUT GET' },
-  { name: 'reading back is answered from before what the caller had read', condition: AT_4, token: 'mine', replies: [NO_ANSWER, stored(2, 'older'), NO_ANSWER, stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
-  { name: 'nothing answers', condition: AT_4, token: 'mine', replies: [NO_ANSWER], outcome: 'unknown', sent: 'PUT GET PUT GET PUT GET PUT GET' },
-  { name: 'a server error leaves the same doubt as silence', condition: ABSENT, token: 'mine', replies: [answer(503, null), stored(5, 'mine')], outcome: 'ok 5', sent: 'PUT GET' },
+  { name: 'the delayed write lands after reading back', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
+  { name: 'the delayed create lands after reading back', condition: ABSENT, token: 'mine', replies: [NO_RESPONSE, absentAt(3), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
+  { name: 'another write followed a lost answer', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(9, 'other')], outcome: 'unknown', sent: 'PUT GET' },
+  { name: 'reading back is answered from before the conflict', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), conflictAt(8), stored(4, 'old'), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET PUT GET' },
+  { name: 'reading back is answered from before what the caller had read', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(2, 'older'), NO_RESPONSE, stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
+  { name: 'nothing answers', condition: AT_4, token: 'mine', replies: [NO_RESPONSE], outcome: 'unknown', sent: 'PUT GET PUT GET PUT GET PUT GET' },
+  { name: 'a server error leaves the same doubt as silence', condition: ABSENT, token: 'mine', replies: [createResponse(503, null), stored(5, 'mine')], outcome: 'ok 5', sent: 'PUT GET' },
   { name: 'no connection, ever', condition: ABSENT, token: 'mine', replies: [NOT_SENT], outcome: 'unavailable', sent: 'PUT PUT PUT PUT' },
-  { name: 'no connection after a lost answer is still a doubt', condition: ABSENT, token: 'mine', replies: [NO_ANSWER, NOT_SENT], outcome: 'unknown', sent: 'PUT GET PUT GET PUT GET PUT GET' },
-  { name: 'too many calls', condition: ABSENT, token: 'mine', replies: [answer(429, { retryAfterMs: 700 })], outcome: 'rate-limited', sent: 'PUT' },
-  { name: 'refused as malformed', condition: ABSENT, token: 'mine', replies: [answer(400, { reason: 'no' })], outcome: 'invalid', sent: 'PUT' },
-  { name: 'a success without a version is settled by reading back', condition: ABSENT, token: 'mine', replies: [answer(201, null), stored(6, 'mine')], outcome: 'ok 6', sent: 'PUT GET' },
-  { name: 'a deletion whose answer is lost', condition: AT_4, token: null, replies: [NO_ANSWER, absentAt(9)], outcome: 'ok 9', sent: 'DELETE GET' },
-  { name: 'a deletion that was lost is sent again', condition: AT_4, token: null, replies: [NO_ANSWER, stored(4, 'old'), answer(200, { version: 10 })], outcome: 'ok 10', sent: 'DELETE GET DELETE' },
-  { name: 'an update of what was deleted meanwhile', condition: AT_4, token: 'mine', replies: [NO_ANSWER, absentAt(9)], outcome: 'unknown', sent: 'PUT GET' }
+  { name: 'no connection after a lost answer is still a doubt', condition: ABSENT, token: 'mine', replies: [NO_RESPONSE, NOT_SENT], outcome: 'unknown', sent: 'PUT GET PUT GET PUT GET PUT GET' },
+  { name: 'too many calls', condition: ABSENT, token: 'mine', replies: [createResponse(429, { retryAfterMs: 700 })], outcome: 'rate-limited', sent: 'PUT' },
+  { name: 'refused as malformed', condition: ABSENT, token: 'mine', replies: [createResponse(400, { reason: 'no' })], outcome: 'invalid', sent: 'PUT' },
+  { name: 'a success without a version is settled by reading back', condition: ABSENT, token: 'mine', replies: [createResponse(201, null), stored(6, 'mine')], outcome: 'ok 6', sent: 'PUT GET' },
+  { name: 'a deletion whose answer is lost', condition: AT_4, token: null, replies: [NO_RESPONSE, absentAt(9)], outcome: 'ok 9', sent: 'DELETE GET' },
+  { name: 'a deletion that was lost is sent again', condition: AT_4, token: null, replies: [NO_RESPONSE, stored(4, 'old'), createResponse(200, { version: 10 })], outcome: 'ok 10', sent: 'DELETE GET DELETE' },
+  { name: 'an update of what was deleted meanwhile', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, absentAt(9)], outcome: 'unknown', sent: 'PUT GET' }
 ]
 
 describe('writeProcedure', () => {
@@ -54,23 +54,23 @@
     it(name, () => {
       const context = createContext()
       const intent = { key: 'k', condition, token, body: token === null ? null : { writeToken: token } }
-      const played = play(writeProcedure(intent, context), replies)
-      const shown = played.value.ok ? `ok ${played.value.value.version}` : played.value.error.kind
+      const run = runWithReplies(writeProcedure(intent, context), replies)
+      const shown = run.value.ok ? `ok ${run.value.value.version}` : run.value.error.kind
       expect(shown).to.equal(outcome)
-      expect(played.sent.join(' ')).to.equal(sent)
+      expect(run.sent.join(' ')).to.equal(sent)
     })
   }
 
   it('waits as long as the platform asks before it settles a doubt', () => {
-    const replies = [NO_ANSWER, answer(429, { retryAfterMs: 10 }), answer(429, { retryAfterMs: 700 }), answer(429, { retryAfterMs: 10 }), answer(201, { version: 3 })]
+    const replies = [NO_RESPONSE, createResponse(429, { retryAfterMs: 10 }), createResponse(429, { retryAfterMs: 700 }), createResponse(429, { retryAfterMs: 10 }), createResponse(201, { version: 3 })]
     const intent = { key: 'k', condition: ABSENT, token: 'mine', body: { writeToken: 'mine' } }
-    const played = play(writeProcedure(intent, createContext()), replies)
-    expect(played.value).to.deep.include({ ok: true })
-    expect(Math.max(...played.waitsMs)).to.equal(700)
+    const run = runWithReplies(writeProcedure(intent, createContext()), replies)
+    expect(run.value).to.deep.include({ ok: true })
+    expect(Math.max(...run.waitsMs)).to.equal(700)
   })
 
   it('names the conflicting version', () => {
     const intent = { key: 'k', condition: AT_4, token: 'mine', body: { writeToken: 'mine' } }
-    expect(play(writeProcedure(intent, createContext()), [conflictAt(9)]).value).to.deep.equal({ ok: false, error: { kind: StoreErrorKind.Conflict, key: 'k', currentVersion: 9 } })
+    expect(runWithReplies(writeProcedure(intent, createContext()), [conflictAt(9)]).value).to.deep.equal({ ok: false, error: { kind: StoreErrorKind.Conflict, key: 'k', currentVersion: 9 } })
   })
 })
--- a/packages/dotterelspur-platform/src/connection/HttpTransport.ts
+++ b/packages/dotterelspur-platform/src/connection/HttpTransport.ts
@@ -1,11 +1,11 @@
 import { Agent, request as sendRequest } from 'undici'
 import type { Dispatcher } from 'undici'
 import type { Clock } from 'dotterelspur'
-import { MAXIMUM_ANSWER_BYTES } from '../constants.js'
+import { MAXIMUM_RESPONSE_BYTES } from '../constants.js'
 import type { CallBudget } from '../process/CallBudget.js'
-import { AnswerStatus, ReplyKind, isServerError } from '../request/PlatformCall.js'
+import { ResponseStatus, ReplyKind, isServerError } from '../request/PlatformCall.js'
 import type { PlatformReply, PlatformRequest } from '../request/PlatformCall.js'
-import { readRetryAfterMs } from '../request/ObjectAnswer.js'
+import { parseRetryAfterMs } from '../request/ObjectResponse.js'
 
 export interface HttpTransportOptions {
   /** Base URL of the platform's service. */
@@ -38,7 +38,7 @@
       connections: options.maximumConnections ?? DEFAULT_MAXIMUM_CONNECTIONS,
       pipelining: 1,
       keepAliveTimeout: KEEP_ALIVE_MS,
-      maxResponseSize: MAXIMUM_ANSWER_BYTES,
+      maxResponseSize: MAXIMUM_RESPONSE_BYTES,
       headersTimeout: 0,
       bodyTimeout: 0,
       localAddress: options.localAddress,
@@ -51,24 +51,24 @@
     this.contactListener = listener
   }
 
-  noteContact (): void {
+  notifyContact (): void {
     this.contactListener()
   }
 
   async send (request: PlatformRequest): Promise<PlatformReply> {
     const { budget } = this.options
-    const retryAfterMs = budget.take(request.callKind)
+    const retryAfterMs = budget.acquire(request.callKind)
     if (retryAfterMs > 0) return { kind: ReplyKind.Withheld, retryAfterMs }
     const reply = await this.exchange(request)
-    if (reply.kind === ReplyKind.NoAnswer) budget.noteUnanswered()
-    if (reply.kind !== ReplyKind.Answer) return reply
-    if (reply.status === AnswerStatus.TooManyCalls) budget.noteRefused(request.callKind, readRetryAfterMs(reply.body))
+    if (reply.kind === ReplyKind.NoResponse) budget.recordUnanswered()
+    if (reply.kind !== ReplyKind.Response) return reply
+    if (reply.status === ResponseStatus.TooManyCalls) budget.recordRefusal(request.callKind, parseRetryAfterMs(reply.body))
     this.contactListener()
     return reply
   }
 
   /** Opens a streamed answer. The caller reads it to its end or aborts. */
-  async open (path: string, signal: AbortSignal): Promise<Dispatcher.ResponseData> {
+  async openStream (path: string, signal: AbortSignal): Promise<Dispatcher.ResponseData> {
     return await sendRequest(`${this.options.url}${path}`, { dispatcher: this.agent, signal, headers: this.headers() })
   }
 
@@ -84,13 +84,13 @@
         dispatcher: this.agent,
         method: request.method,
         signal: abort.signal,
-        headers: { ...this.headers(), ...headersOf(request) },
+        headers: { ...this.headers(), ...createHeaders(request) },
         body: request.body === undefined ? null : JSON.stringify(request.body)
       })
       const text = await response.body.text()
-      return parseAnswer(response.statusCode, text)
+      return parseResponse(response.statusCode, text)
     } catch (error) {
-      return replyOfError(error)
+      return createErrorReply(error)
     } finally {
       cancel()
     }
@@ -101,7 +101,7 @@
   }
 }
 
-function headersOf (request: PlatformRequest): Record<string, string> {
+function createHeaders (request: PlatformRequest): Record<string, string> {
   const headers: Record<string, string> = request.body === undefined ? {} : { 'content-type': 'application/json' }
   if (request.knownVersion !== undefined) headers['if-none-match'] = `"${request.knownVersion}"`
   if (request.condition?.kind === 'absent') headers['if-none-match'] = '*'
@@ -109,20 +109,20 @@
   return headers
 }
 
-function parseAnswer (status: number, text: string): PlatformReply {
+function parseResponse (status: number, text: string): PlatformReply {
   try {
-    return { kind: ReplyKind.Answer, status, body: text === '' ? null : JSON.parse(text) }
+    return { kind: ReplyKind.Response, status, body: text === '' ? null : JSON.parse(text) }
   } catch {
     // A proxy or a failing server answers in HTML: the status still says what happened.
-    if (isServerError(status)) return { kind: ReplyKind.Answer, status, body: null }
+    if (isServerError(status)) return { kind: ReplyKind.Response, status, body: null }
     return { kind: ReplyKind.Malformed, reason: `status ${status} without JSON` }
   }
 }
 
-function replyOfError (error: unknown): PlatformReply {
+function createErrorReply (error: unknown): PlatformReply {
   const { code, name, message } = error as { code?: string, name?: string, message?: string }
   const reason = `${code ?? name ?? 'error'}: ${message ?? ''}`
   if (code !== undefined && NOT_SENT_CODES.has(code)) return { kind: ReplyKind.NotSent, reason }
   if (code === 'UND_ERR_RES_EXCEEDED_MAX_SIZE') return { kind: ReplyKind.Malformed, reason }
-  return { kind: ReplyKind.NoAnswer, reason }
+  return { kind: ReplyKind.NoResponse, reason }
 }
--- a/packages/dotterelspur-platform/src/connection/PlatformWatch.ts
+++ b/packages/dotterelspur-platform/src/connection/PlatformWatch.ts
@@ -1,9 +1,9 @@
 import { WatchEventKind, runProcedure, sleep } from 'dotterelspur'
 import type { ObjectListing, Result, StoreError, Teardown, WatchEvent } from 'dotterelspur'
 import debug from 'debug'
-import { MAXIMUM_ANSWER_BYTES } from '../constants.js'
+import { MAXIMUM_RESPONSE_BYTES } from '../constants.js'
 import type { CallBudget } from '../process/CallBudget.js'
-import { AnswerStatus, CallKind } from '../request/PlatformCall.js'
+import { ResponseStatus, CallKind } from '../request/PlatformCall.js'
 import { watchPath } from '../request/paths.js'
 import type { HttpTransport } from './HttpTransport.js'
 import { LineReader } from './LineReader.js'
@@ -27,7 +27,7 @@
 const CONTACT_CHANGES: ReadonlySet<WatchEventKind> = new Set([WatchEventKind.Connected, WatchEventKind.Disconnected])
 
 /** Thrown inside the procedure to end it at its next effect. */
-class WatchStopped extends Error {}
+class WatchStoppedError extends Error {}
 
 /** Runs one watch until it is torn down. */
 export class PlatformWatch {
@@ -63,27 +63,27 @@
       })
     } catch (error) {
       this.closeStream()
-      if (!(error instanceof WatchStopped)) throw error
+      if (!(error instanceof WatchStoppedError)) throw error
     }
   }
 
   private async unlessStopped<Value> (pending: Promise<Value>): Promise<Value> {
     const value = await pending
-    if (this.stopped) throw new WatchStopped()
+    if (this.stopped) throw new WatchStoppedError()
     return value
   }
 
   private async open (prefix: string, afterVersion: number): Promise<boolean> {
     const { transport, budget, context } = this.options
-    if (budget.take(CallKind.Watch) > 0) return false
+    if (budget.acquire(CallKind.Watch) > 0) return false
     const stream = new AbortController()
     const cancel = context.clock.registerTimer(context.silenceMs, () => { stream.abort() })
     this.stream = stream
-    budget.watchStarted()
+    budget.recordWatchStart()
     try {
-      const response = await transport.open(watchPath(prefix, afterVersion), stream.signal)
-      if (response.statusCode !== AnswerStatus.Ok) throw new Error(`status ${response.statusCode}`)
-      this.reader = new LineReader(response.body, context.clock, MAXIMUM_ANSWER_BYTES)
+      const response = await transport.openStream(watchPath(prefix, afterVersion), stream.signal)
+      if (response.statusCode !== ResponseStatus.Ok) throw new Error(`status ${response.statusCode}`)
+      this.reader = new LineReader(response.body, context.clock, MAXIMUM_RESPONSE_BYTES)
       return true
     } catch {
       this.closeStream()
@@ -96,13 +96,13 @@
   private async nextLine (timeoutMs: number): Promise<WatchLine> {
     if (this.reader === undefined) return { kind: WatchLineKind.Closed }
     const line = await this.reader.next(timeoutMs)
-    if (line.kind === WatchLineKind.Event || line.kind === WatchLineKind.Heartbeat) this.options.transport.noteContact()
+    if (line.kind === WatchLineKind.Event || line.kind === WatchLineKind.Heartbeat) this.options.transport.notifyContact()
     return line
   }
 
   private closeStream (): void {
     if (this.stream === undefined) return
-    this.options.budget.watchEnded()
+    this.options.budget.recordWatchEnd()
     this.stream.abort()
     this.stream = undefined
     this.reader = undefined
--- a/packages/dotterelspur-platform/src/connection/watchProcedure.ts
+++ b/packages/dotterelspur-platform/src/connection/watchProcedure.ts
@@ -32,16 +32,16 @@
 }
 
 /** Why a stream was left. */
-enum StreamEnd {
+enum StreamEndReason {
   /** Something may be missing, or it is time: list again. The store is in contact. */
   Relist = 'relist',
   Lost = 'lost'
 }
 
 interface StreamResult {
-  readonly end: StreamEnd
+  readonly end: StreamEndReason
   /** At least one line came. */
-  readonly alive: boolean
+  readonly receivedLine: boolean
 }
 
 const BACKOFF = { baseMs: WATCH_BACKOFF_BASE_MS, limitMs: WATCH_BACKOFF_LIMIT_MS }
@@ -58,20 +58,20 @@
   let connected = false
   for (;;) {
     const listing = yield * perform<ListEffect>({ kind: WatchEffectKind.List, prefix })
-    let result: StreamResult = { end: StreamEnd.Lost, alive: false }
+    let result: StreamResult = { end: StreamEndReason.Lost, receivedLine: false }
     if (listing.ok) {
       if (!connected) yield * emit({ kind: WatchEventKind.Connected })
       connected = true
       yield * emit({ kind: WatchEventKind.Listing, listing: listing.value })
       result = yield * followStream(prefix, listing.value.version, context)
     }
-    if (result.alive) failures = 0
-    if (connected && result.end === StreamEnd.Lost) {
+    if (result.receivedLine) failures = 0
+    if (connected && result.end === StreamEndReason.Lost) {
       connected = false
       yield * emit({ kind: WatchEventKind.Disconnected })
     }
     yield * perform<WaitEffect>({ kind: WatchEffectKind.Wait, durationMs: backoffMs(failures, BACKOFF, context.random) })
-    if (result.end === StreamEnd.Lost) failures++
+    if (result.end === StreamEndReason.Lost) failures++
   }
 }
 
@@ -79,14 +79,14 @@
   const relistAtMs = context.clock.nowMs() + context.relistIntervalMs
   const opened = yield * perform<OpenEffect>({ kind: WatchEffectKind.Open, prefix, afterVersion: listedVersion })
   let deliveredVersion = listedVersion
-  let alive = false
-  if (!opened) return { end: StreamEnd.Lost, alive }
+  let receivedLine = false
+  if (!opened) return { end: StreamEndReason.Lost, receivedLine }
   for (;;) {
     const line = yield * perform<NextLineEffect>({ kind: WatchEffectKind.NextLine, timeoutMs: context.silenceMs })
-    if (line.kind === WatchLineKind.Closed || line.kind === WatchLineKind.Silent) return { end: StreamEnd.Lost, alive }
-    alive = true
-    if (line.kind === WatchLineKind.Reset || line.kind === WatchLineKind.Malformed) return { end: StreamEnd.Relist, alive }
-    if (missedVersion(line) > deliveredVersion || context.clock.nowMs() >= relistAtMs) return { end: StreamEnd.Relist, alive }
+    if (line.kind === WatchLineKind.Closed || line.kind === WatchLineKind.Silent) return { end: StreamEndReason.Lost, receivedLine }
+    receivedLine = true
+    if (line.kind === WatchLineKind.Reset || line.kind === WatchLineKind.Malformed) return { end: StreamEndReason.Relist, receivedLine }
+    if (missedVersion(line) > deliveredVersion || context.clock.nowMs() >= relistAtMs) return { end: StreamEndReason.Relist, receivedLine }
     if (line.kind !== WatchLineKind.Event) continue
     deliveredVersion = Math.max(deliveredVersion, line.object.version)
     if (isCurrent(line.object, context.seen)) yield * emit({ kind: WatchEventKind.Object, object: line.object })
@@ -101,7 +101,7 @@
 }
 
 function isCurrent (object: StoredObject<unknown>, seen: SeenVersions): boolean {
-  return seen.note(object) === object
+  return seen.record(object) === object
 }
 
 function * emit (event: WatchEvent<unknown>): Procedure<WatchEffect, void> {
--- a/packages/dotterelspur-platform/src/constants.ts
+++ b/packages/dotterelspur-platform/src/constants.ts
@@ -13,7 +13,7 @@
 /** A watch lists again this often even when nothing seems wrong: a store that skips without telling is caught by it. */
 export const DEFAULT_RELIST_INTERVAL_MS = 60_000
 /** Answers and watch lines above this are refused. */
-export const MAXIMUM_ANSWER_BYTES = 33_554_432
+export const MAXIMUM_RESPONSE_BYTES = 33_554_432
 /** Objects whose highest seen version is remembered, the least recently used dropped first. */
 export const MAXIMUM_SEEN_KEYS = 2_048
 /** A node's own ceiling on its calls, so that a fault in a loop can't use up the platform's rates for all. */
--- a/packages/dotterelspur-platform/src/process/AuditTrail.ts
+++ b/packages/dotterelspur-platform/src/process/AuditTrail.ts
@@ -72,12 +72,12 @@
   async flush (): Promise<void> {
     this.cancelTimer?.()
     this.cancelTimer = undefined
-    this.flushing ??= this.writeAll().finally(() => { this.flushed() })
+    this.flushing ??= this.writeAll().finally(() => { this.onFlushed() })
     await this.flushing
   }
 
   /** A record appended between the last write and this point has started no timer of its own. */
-  private flushed (): void {
+  private onFlushed (): void {
     this.flushing = undefined
     if (this.queuedRecords > 0) this.schedule(this.options.batchIntervalMs ?? DEFAULT_BATCH_INTERVAL_MS)
   }
--- a/packages/dotterelspur-platform/src/process/CallBudget.ts
+++ b/packages/dotterelspur-platform/src/process/CallBudget.ts
@@ -21,7 +21,7 @@
 }
 
 const SECOND_MS = 1_000
-const LANE: Readonly<Record<CallKind, 'reads' | 'writes'>> = {
+const BUCKETS: Readonly<Record<CallKind, 'reads' | 'writes'>> = {
   [CallKind.Read]: 'reads',
   [CallKind.Watch]: 'reads',
   [CallKind.Write]: 'writes'
@@ -50,33 +50,33 @@
   }
 
   /** Takes one call. Returns 0 when it may be sent, else the time to wait before asking again. */
-  take (call: CallKind): number {
+  acquire (call: CallKind): number {
     this.refill()
-    const lane = LANE[call]
-    const blockedMs = this.blockedUntilMs[lane] - this.clock.nowMs()
+    const bucket = BUCKETS[call]
+    const blockedMs = this.blockedUntilMs[bucket] - this.clock.nowMs()
     if (blockedMs > 0) return this.withhold(blockedMs)
-    if (this.allowance[lane] < 1) return this.withhold(SECOND_MS / this.rate(lane))
-    this.allowance[lane]--
-    this.totals[lane]++
+    if (this.allowance[bucket] < 1) return this.withhold(SECOND_MS / this.rate(bucket))
+    this.allowance[bucket]--
+    this.totals[bucket]++
     if (call === CallKind.Watch) this.totals.watchesOpened++
     return 0
   }
 
   /** The platform refused a call as one too many: none of its kind is sent until it said to come back. */
-  noteRefused (call: CallKind, retryAfterMs: number): void {
+  recordRefusal (call: CallKind, retryAfterMs: number): void {
     this.totals.refused++
-    this.blockedUntilMs[LANE[call]] = this.clock.nowMs() + retryAfterMs
+    this.blockedUntilMs[BUCKETS[call]] = this.clock.nowMs() + retryAfterMs
   }
 
-  noteUnanswered (): void {
+  recordUnanswered (): void {
     this.totals.unanswered++
   }
 
-  watchStarted (): void {
+  recordWatchStart (): void {
     this.totals.waitingWatches++
   }
 
-  watchEnded (): void {
+  recordWatchEnd (): void {
     this.totals.waitingWatches--
   }
 
@@ -85,16 +85,16 @@
     return Math.max(1, Math.ceil(waitMs))
   }
 
-  private rate (lane: 'reads' | 'writes'): number {
-    return lane === 'reads' ? this.settings.readsPerSecond : this.settings.writesPerSecond
+  private rate (bucket: 'reads' | 'writes'): number {
+    return bucket === 'reads' ? this.settings.readsPerSecond : this.settings.writesPerSecond
   }
 
   private refill (): void {
     const nowMs = this.clock.nowMs()
     const elapsedSeconds = Math.max(0, nowMs - this.refilledAtMs) / SECOND_MS
     this.refilledAtMs = nowMs
-    for (const lane of ['reads', 'writes'] as const) {
-      this.allowance[lane] = Math.min(this.rate(lane), this.allowance[lane] + elapsedSeconds * this.rate(lane))
+    for (const bucket of ['reads', 'writes'] as const) {
+      this.allowance[bucket] = Math.min(this.rate(bucket), this.allowance[bucket] + elapsedSeconds * this.rate(bucket))
     }
   }
 }
--- a/packages/dotterelspur-platform/src/process/PlatformObjectStore.ts
+++ b/packages/dotterelspur-platform/src/process/PlatformObjectStore.ts
@@ -75,7 +75,7 @@
   }
 
   /** Answers that came from before what this process had already seen. */
-  get staleAnswers (): number {
+  get staleResponses (): number {
     return this.seen.staleCount
   }
 
--- a/packages/dotterelspur-platform/src/process/PlatformVmDirectory.ts
+++ b/packages/dotterelspur-platform/src/process/PlatformVmDirectory.ts
@@ -1,9 +1,9 @@
 import { StoreErrorKind, VmListState, VmRole, failed, success } from 'dotterelspur'
 import type { Result, StoreError, VmDirectory, VmId, VmListing, VmRecord } from 'dotterelspur'
 import { z } from 'zod'
-import { AnswerStatus, CallKind, HttpMethod } from '../request/PlatformCall.js'
+import { ResponseStatus, CallKind, HttpMethod } from '../request/PlatformCall.js'
 import { VMS_PATH } from '../request/paths.js'
-import { readProcedure, refusalError } from '../request/readProcedure.js'
+import { readProcedure, createStatusError } from '../request/readProcedure.js'
 import type { PlatformObjectStore } from './PlatformObjectStore.js'
 
 const recordSchema = z.object({
@@ -21,12 +21,12 @@
 const listingSchema = z.object({ vms: z.array(z.unknown()), version: z.number().int().nonnegative() })
 
 /** A whole list is read at least this often: a line that was missing in an answer would else stay so until the list changes. */
-const WHOLE_READ_INTERVAL_MS = 300_000
+const FULL_READ_INTERVAL_MS = 300_000
 
 /** The platform's list of VMs over HTTP, as docs/contracts/vm-list.md describes it. */
 export class PlatformVmDirectory implements VmDirectory {
   private latest: VmListing | undefined
-  private readWholeAtMs = -Infinity
+  private fullReadAtMs = -Infinity
   private malformed = 0
 
   constructor (private readonly store: PlatformObjectStore) {}
@@ -40,28 +40,28 @@
   async list (): Promise<Result<VmListing, StoreError>> {
     const request = { callKind: CallKind.Read, method: HttpMethod.Get, path: VMS_PATH, knownVersion: this.knownVersion() }
     return await this.store.run(readProcedure(request, this.store.procedureContext, (reply) => {
-      if (reply.status === AnswerStatus.NotModified && this.latest !== undefined) return success(this.latest)
-      if (reply.status !== AnswerStatus.Ok) return failed(refusalError(reply.status, reply.body))
-      return this.read(reply.body)
+      if (reply.status === ResponseStatus.NotModified && this.latest !== undefined) return success(this.latest)
+      if (reply.status !== ResponseStatus.Ok) return failed(createStatusError(reply.status, reply.body))
+      return this.parseListing(reply.body)
     }))
   }
 
   private knownVersion (): number | undefined {
-    const fresh = this.store.nowMs - this.readWholeAtMs < WHOLE_READ_INTERVAL_MS
+    const fresh = this.store.nowMs - this.fullReadAtMs < FULL_READ_INTERVAL_MS
     return fresh ? this.latest?.version : undefined
   }
 
-  private read (body: unknown): Result<VmListing, StoreError> {
+  private parseListing (body: unknown): Result<VmListing, StoreError> {
     const parsed = listingSchema.safeParse(body)
     if (!parsed.success) return failed({ kind: StoreErrorKind.Invalid, reason: 'not a VM list' })
     const { vms, version } = parsed.data
     if (this.latest !== undefined && version < this.latest.version) return success(this.latest)
-    this.readWholeAtMs = this.store.nowMs
-    this.latest = { version, vms: mergeRecords(vms.flatMap((line) => this.readLine(line))) }
+    this.fullReadAtMs = this.store.nowMs
+    this.latest = { version, vms: mergeRecords(vms.flatMap((line) => this.parseRecord(line))) }
     return success(this.latest)
   }
 
-  private readLine (line: unknown): VmRecord[] {
+  private parseRecord (line: unknown): VmRecord[] {
     const parsed = recordSchema.safeParse(line)
     if (parsed.success) return [parsed.data]
     this.malformed++
--- a/packages/dotterelspur-platform/src/process/PlatformWeightBudget.ts
+++ b/packages/dotterelspur-platform/src/process/PlatformWeightBudget.ts
@@ -1,9 +1,9 @@
 import { StoreErrorKind, failed, success } from 'dotterelspur'
 import type { Result, StoreError } from 'dotterelspur'
 import { z } from 'zod'
-import { AnswerStatus, CallKind, HttpMethod } from '../request/PlatformCall.js'
+import { ResponseStatus, CallKind, HttpMethod } from '../request/PlatformCall.js'
 import { WEIGHTS_PATH } from '../request/paths.js'
-import { readProcedure, refusalError } from '../request/readProcedure.js'
+import { readProcedure, createStatusError } from '../request/readProcedure.js'
 import type { PlatformObjectStore } from './PlatformObjectStore.js'
 
 /** The weight store's rate budget and what loads hold of it now. */
@@ -27,7 +27,7 @@
   async read (): Promise<Result<WeightBudget, StoreError>> {
     const request = { callKind: CallKind.Read, method: HttpMethod.Get, path: WEIGHTS_PATH }
     return await this.store.run(readProcedure(request, this.store.procedureContext, (reply) => {
-      if (reply.status !== AnswerStatus.Ok) return failed(refusalError(reply.status, reply.body))
+      if (reply.status !== ResponseStatus.Ok) return failed(createStatusError(reply.status, reply.body))
       const parsed = budgetSchema.safeParse(reply.body)
       return parsed.success ? success(parsed.data) : failed({ kind: StoreErrorKind.Invalid, reason: 'not a weight budget' })
     }))
--- a/packages/dotterelspur-platform/src/process/SeenVersions.ts
+++ b/packages/dotterelspur-platform/src/process/SeenVersions.ts
@@ -9,7 +9,7 @@
 export class SeenVersions {
   private readonly objects = new Map<string, StoredObject<unknown>>()
   private highestVersion = 0
-  private staleAnswers = 0
+  private staleResponses = 0
 
   constructor (private readonly maximumKeys: number) {}
 
@@ -20,15 +20,15 @@
 
   /** Answers that came from before what was already seen. */
   get staleCount (): number {
-    return this.staleAnswers
+    return this.staleResponses
   }
 
   /** Takes an object in; returns the later of it and what was seen before. */
-  note<Body> (object: StoredObject<Body>): StoredObject<Body> {
-    this.noteVersion(object.version)
+  record<Body> (object: StoredObject<Body>): StoredObject<Body> {
+    this.recordVersion(object.version)
     const seen = this.objects.get(object.key)
     if (seen !== undefined && seen.version > object.version) {
-      this.staleAnswers++
+      this.staleResponses++
       return seen as StoredObject<Body>
     }
     this.objects.delete(object.key)
@@ -37,12 +37,12 @@
     return object
   }
 
-  noteVersion (version: number): void {
+  recordVersion (version: number): void {
     this.highestVersion = Math.max(this.highestVersion, version)
   }
 
-  noteStale (): void {
-    this.staleAnswers++
+  countStale (): void {
+    this.staleResponses++
   }
 
   /** What was seen of a key; undefined when nothing was, or it was dropped. */
--- a/packages/dotterelspur-platform/src/request/ObjectAnswer.ts
+++ b/packages/dotterelspur-platform/src/request/ObjectResponse.ts
@@ -23,32 +23,32 @@
 
 const DEFAULT_RETRY_AFTER_MS = 1_000
 
-export function readObject<Body> (answer: unknown): StoredObject<Body> | undefined {
-  return objectSchema.safeParse(answer).data as StoredObject<Body> | undefined
+export function parseObject<Body> (response: unknown): StoredObject<Body> | undefined {
+  return objectSchema.safeParse(response).data as StoredObject<Body> | undefined
 }
 
-export function readListing<Body> (answer: unknown): ObjectListing<Body> | undefined {
-  return listingSchema.safeParse(answer).data as ObjectListing<Body> | undefined
+export function parseListing<Body> (response: unknown): ObjectListing<Body> | undefined {
+  return listingSchema.safeParse(response).data as ObjectListing<Body> | undefined
 }
 
-export function readWrittenVersion (answer: unknown): number | undefined {
-  return writtenSchema.safeParse(answer).data?.version
+export function parseWrittenVersion (response: unknown): number | undefined {
+  return writtenSchema.safeParse(response).data?.version
 }
 
 /** The store's version at which a key was absent. */
-export function readAbsentVersion (answer: unknown): number | undefined {
-  return absentSchema.safeParse(answer).data?.version
+export function parseAbsentVersion (response: unknown): number | undefined {
+  return absentSchema.safeParse(response).data?.version
 }
 
 /** The version that stood in the way of a write; null for none. */
-export function readConflictVersion (answer: unknown): number | null {
-  return conflictSchema.safeParse(answer).data?.currentVersion ?? null
+export function parseConflictVersion (response: unknown): number | null {
+  return conflictSchema.safeParse(response).data?.currentVersion ?? null
 }
 
-export function readRetryAfterMs (answer: unknown): number {
-  return refusalSchema.safeParse(answer).data?.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS
+export function parseRetryAfterMs (response: unknown): number {
+  return refusalSchema.safeParse(response).data?.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS
 }
 
-export function readWriteToken (body: unknown): string | undefined {
+export function parseWriteToken (body: unknown): string | undefined {
   return tokenSchema.safeParse(body).data?.writeToken
 }
--- a/packages/dotterelspur-platform/src/request/PlatformCall.ts
+++ b/packages/dotterelspur-platform/src/request/PlatformCall.ts
@@ -33,11 +33,11 @@
 
 export enum ReplyKind {
   /** The platform answered. */
-  Answer = 'answer',
+  Response = 'answer',
   /** No connection was made: nothing can have been done. */
   NotSent = 'not-sent',
   /** It was sent, and no answer came: a write may have taken effect, or may yet. */
-  NoAnswer = 'no-answer',
+  NoResponse = 'no-answer',
   /** This node's own ceiling on its calls: nothing was sent. */
   Withheld = 'withheld',
   /** The answer isn't what the contract says, or is too long. */
@@ -45,14 +45,14 @@
 }
 
 export type PlatformReply =
-  | { readonly kind: ReplyKind.Answer, readonly status: number, readonly body: unknown }
+  | { readonly kind: ReplyKind.Response, readonly status: number, readonly body: unknown }
   | { readonly kind: ReplyKind.NotSent, readonly reason: string }
-  | { readonly kind: ReplyKind.NoAnswer, readonly reason: string }
+  | { readonly kind: ReplyKind.NoResponse, readonly reason: string }
   | { readonly kind: ReplyKind.Withheld, readonly retryAfterMs: number }
   | { readonly kind: ReplyKind.Malformed, readonly reason: string }
 
 /** HTTP statuses that the contract gives a meaning. */
-export enum AnswerStatus {
+export enum ResponseStatus {
   Ok = 200,
   Created = 201,
   NotModified = 304,
--- a/packages/dotterelspur-platform/src/request/writeProcedure.ts
+++ b/packages/dotterelspur-platform/src/request/writeProcedure.ts
@@ -1,13 +1,13 @@
 import { StoreErrorKind, failed, perform, success } from 'dotterelspur'
 import type { Procedure, Result, StoredObject, StoreError } from 'dotterelspur'
 import { backoffMs } from './Backoff.js'
-import { AnswerStatus, CallKind, HttpMethod, ReplyKind, isServerError } from './PlatformCall.js'
+import { ResponseStatus, CallKind, HttpMethod, ReplyKind, isServerError } from './PlatformCall.js'
 import type { PlatformReply, PlatformRequest, WriteCondition } from './PlatformCall.js'
 import { send, wait } from './PlatformEffects.js'
 import type { PlatformEffect } from './PlatformEffects.js'
-import { readAbsentVersion, readConflictVersion, readObject, readRetryAfterMs, readWriteToken, readWrittenVersion } from './ObjectAnswer.js'
+import { parseAbsentVersion, parseConflictVersion, parseObject, parseRetryAfterMs, parseWriteToken, parseWrittenVersion } from './ObjectResponse.js'
 import { objectPath } from './paths.js'
-import { refusalError } from './readProcedure.js'
+import { createStatusError } from './readProcedure.js'
 import type { ProcedureContext } from './readProcedure.js'
 
 /** A conditional write. `token` marks its body; a deletion has none. */
@@ -51,7 +51,7 @@
   | { readonly kind: ReadBackKind.Pending | ReadBackKind.Superseded | ReadBackKind.Unread }
 
 /** What earlier attempts leave to be settled. */
-interface Doubt {
+interface Ambiguity {
   readonly reason: string
   /** An answer from before this version doesn't settle anything. */
   readonly minimumVersion: number
@@ -66,24 +66,24 @@
  * What remains: after the last attempt, or behind another writer's version, the result is Unknown.
  */
 export function * writeProcedure<Body> (intent: WriteIntent<Body>, context: ProcedureContext): Procedure<PlatformEffect, Result<StoredObject<Body>, StoreError>> {
-  let doubt: Doubt | undefined
+  let ambiguity: Ambiguity | undefined
   let error: StoreError = { kind: StoreErrorKind.Unavailable, reason: 'no attempt was made' }
   let retryAfterMs = 0
   for (let number = 0; number < context.maximumAttempts; number++) {
     if (number > 0) yield * perform(wait(Math.max(retryAfterMs, backoffMs(number - 1, context.backoff, context.random))))
-    const attempt = readAttempt(intent.key, yield * perform(send(writeRequest(intent))))
-    if (attempt.kind === AttemptKind.Written) return written(intent, attempt.version, context)
-    if (doubt === undefined && attempt.kind === AttemptKind.Refused) return failed(attempt.error)
+    const attempt = createAttempt(intent.key, yield * perform(send(writeRequest(intent))))
+    if (attempt.kind === AttemptKind.Written) return createWrittenResult(intent, attempt.version, context)
+    if (ambiguity === undefined && attempt.kind === AttemptKind.Refused) return failed(attempt.error)
     retryAfterMs = attempt.kind === AttemptKind.NotWritten ? attempt.retryAfterMs : 0
     if (attempt.kind === AttemptKind.NotWritten) error = attempt.error
-    if (doubt === undefined && error.kind === StoreErrorKind.RateLimited) return failed(error)
-    doubt = nextDoubt(doubt, attempt)
-    if (doubt === undefined) continue
-    const readBack = yield * readBackProcedure(intent, doubt.minimumVersion, context)
-    if (readBack.kind === ReadBackKind.Applied) return written(intent, readBack.version, context)
-    if (readBack.kind === ReadBackKind.Superseded) return unknown(intent.key, `another write followed (${doubt.reason})`)
+    if (ambiguity === undefined && error.kind === StoreErrorKind.RateLimited) return failed(error)
+    ambiguity = updateAmbiguity(ambiguity, attempt)
+    if (ambiguity === undefined) continue
+    const readBack = yield * readBackProcedure(intent, ambiguity.minimumVersion, context)
+    if (readBack.kind === ReadBackKind.Applied) return createWrittenResult(intent, readBack.version, context)
+    if (readBack.kind === ReadBackKind.Superseded) return createUnknownResult(intent.key, `another write followed (${ambiguity.reason})`)
   }
-  return doubt === undefined ? failed(error) : unknown(intent.key, `it may still take effect (${doubt.reason})`)
+  return ambiguity === undefined ? failed(error) : createUnknownResult(intent.key, `it may still take effect (${ambiguity.reason})`)
 }
 
 function writeRequest<Body> (intent: WriteIntent<Body>): PlatformRequest {
@@ -92,53 +92,53 @@
   return intent.token === null ? base : { ...base, body: intent.body }
 }
 
-function readAttempt (key: string, reply: PlatformReply): Attempt {
-  return ATTEMPT_READERS[reply.kind](key, reply as never)
+function createAttempt (key: string, reply: PlatformReply): Attempt {
+  return ATTEMPT_FACTORIES[reply.kind](key, reply as never)
 }
 
-const ATTEMPT_READERS: { readonly [Kind in ReplyKind]: (key: string, reply: Extract<PlatformReply, { kind: Kind }>) => Attempt } = {
-  [ReplyKind.Answer]: readAnsweredAttempt,
+const ATTEMPT_FACTORIES: { readonly [Kind in ReplyKind]: (key: string, reply: Extract<PlatformReply, { kind: Kind }>) => Attempt } = {
+  [ReplyKind.Response]: createAttemptOfResponse,
   [ReplyKind.NotSent]: (_key, reply) => ({ kind: AttemptKind.NotWritten, error: { kind: StoreErrorKind.Unavailable, reason: reply.reason }, retryAfterMs: 0 }),
-  [ReplyKind.NoAnswer]: (_key, reply) => ({ kind: AttemptKind.Ambiguous, reason: reply.reason }),
-  [ReplyKind.Withheld]: (_key, reply) => rateLimited(reply.retryAfterMs),
+  [ReplyKind.NoResponse]: (_key, reply) => ({ kind: AttemptKind.Ambiguous, reason: reply.reason }),
+  [ReplyKind.Withheld]: (_key, reply) => createRateLimitedAttempt(reply.retryAfterMs),
   [ReplyKind.Malformed]: (_key, reply) => ({ kind: AttemptKind.Ambiguous, reason: reply.reason })
 }
 
-function readAnsweredAttempt (key: string, reply: Extract<PlatformReply, { kind: ReplyKind.Answer }>): Attempt {
+function createAttemptOfResponse (key: string, reply: Extract<PlatformReply, { kind: ReplyKind.Response }>): Attempt {
   const { status, body } = reply
-  if (status === AnswerStatus.Ok || status === AnswerStatus.Created) {
-    const version = readWrittenVersion(body)
+  if (status === ResponseStatus.Ok || status === ResponseStatus.Created) {
+    const version = parseWrittenVersion(body)
     return version === undefined ? { kind: AttemptKind.Ambiguous, reason: 'success without a version' } : { kind: AttemptKind.Written, version }
   }
-  if (status === AnswerStatus.PreconditionFailed) {
-    return { kind: AttemptKind.Refused, error: { kind: StoreErrorKind.Conflict, key, currentVersion: readConflictVersion(body) } }
+  if (status === ResponseStatus.PreconditionFailed) {
+    return { kind: AttemptKind.Refused, error: { kind: StoreErrorKind.Conflict, key, currentVersion: parseConflictVersion(body) } }
   }
-  if (status === AnswerStatus.TooManyCalls) return rateLimited(readRetryAfterMs(body))
+  if (status === ResponseStatus.TooManyCalls) return createRateLimitedAttempt(parseRetryAfterMs(body))
   if (isServerError(status)) return { kind: AttemptKind.Ambiguous, reason: `status ${status}` }
-  return { kind: AttemptKind.Refused, error: refusalError(status, body) }
+  return { kind: AttemptKind.Refused, error: createStatusError(status, body) }
 }
 
-function rateLimited (retryAfterMs: number): Attempt {
+function createRateLimitedAttempt (retryAfterMs: number): Attempt {
   return { kind: AttemptKind.NotWritten, error: { kind: StoreErrorKind.RateLimited, retryAfterMs }, retryAfterMs }
 }
 
-function nextDoubt (doubt: Doubt | undefined, attempt: Attempt): Doubt | undefined {
-  if (attempt.kind === AttemptKind.Ambiguous) return { reason: attempt.reason, minimumVersion: doubt?.minimumVersion ?? 0 }
-  if (doubt === undefined || attempt.kind !== AttemptKind.Refused || attempt.error.kind !== StoreErrorKind.Conflict) return doubt
-  return { reason: doubt.reason, minimumVersion: Math.max(doubt.minimumVersion, attempt.error.currentVersion ?? 0) }
+function updateAmbiguity (ambiguity: Ambiguity | undefined, attempt: Attempt): Ambiguity | undefined {
+  if (attempt.kind === AttemptKind.Ambiguous) return { reason: attempt.reason, minimumVersion: ambiguity?.minimumVersion ?? 0 }
+  if (ambiguity === undefined || attempt.kind !== AttemptKind.Refused || attempt.error.kind !== StoreErrorKind.Conflict) return ambiguity
+  return { reason: ambiguity.reason, minimumVersion: Math.max(ambiguity.minimumVersion, attempt.error.currentVersion ?? 0) }
 }
 
 function * readBackProcedure<Body> (intent: WriteIntent<Body>, minimumVersion: number, context: ProcedureContext): Procedure<PlatformEffect, ReadBack> {
   const reply = yield * perform(send({ callKind: CallKind.Read, method: HttpMethod.Get, path: objectPath(intent.key) }))
-  if (reply.kind !== ReplyKind.Answer) return { kind: ReadBackKind.Unread }
-  if (reply.status === AnswerStatus.NotFound) return judgeAbsence(intent, readAbsentVersion(reply.body), minimumVersion)
-  const object = reply.status === AnswerStatus.Ok ? readObject<Body>(reply.body) : undefined
+  if (reply.kind !== ReplyKind.Response) return { kind: ReadBackKind.Unread }
+  if (reply.status === ResponseStatus.NotFound) return evaluateAbsence(intent, parseAbsentVersion(reply.body), minimumVersion)
+  const object = reply.status === ResponseStatus.Ok ? parseObject<Body>(reply.body) : undefined
   if (object === undefined || object.version < minimumVersion) return { kind: ReadBackKind.Unread }
-  context.seen.note(object)
-  return judgePresence(intent, object)
+  context.seen.record(object)
+  return evaluateObject(intent, object)
 }
 
-function judgeAbsence<Body> (intent: WriteIntent<Body>, version: number | undefined, minimumVersion: number): ReadBack {
+function evaluateAbsence<Body> (intent: WriteIntent<Body>, version: number | undefined, minimumVersion: number): ReadBack {
   if (version === undefined || version < minimumVersion) return { kind: ReadBackKind.Unread }
   const expectedVersion = intent.condition.kind === 'version' ? intent.condition.version : 0
   // An answer from before the version that the caller had read is from the past and says nothing.
@@ -147,19 +147,19 @@
   return { kind: intent.condition.kind === 'absent' ? ReadBackKind.Pending : ReadBackKind.Superseded }
 }
 
-function judgePresence<Body> (intent: WriteIntent<Body>, object: StoredObject<Body>): ReadBack {
-  if (intent.token !== null && readWriteToken(object.body) === intent.token) return { kind: ReadBackKind.Applied, version: object.version }
+function evaluateObject<Body> (intent: WriteIntent<Body>, object: StoredObject<Body>): ReadBack {
+  if (intent.token !== null && parseWriteToken(object.body) === intent.token) return { kind: ReadBackKind.Applied, version: object.version }
   if (intent.condition.kind === 'absent') return { kind: ReadBackKind.Superseded }
   if (object.version > intent.condition.version) return { kind: ReadBackKind.Superseded }
   return { kind: object.version === intent.condition.version ? ReadBackKind.Pending : ReadBackKind.Unread }
 }
 
-function written<Body> (intent: WriteIntent<Body>, version: number, context: ProcedureContext): Result<StoredObject<Body>, StoreError> {
+function createWrittenResult<Body> (intent: WriteIntent<Body>, version: number, context: ProcedureContext): Result<StoredObject<Body>, StoreError> {
   const object = { key: intent.key, version, body: intent.body as Body, deleted: intent.token === null }
-  context.seen.note(object)
+  context.seen.record(object)
   return success(object)
 }
 
-function unknown (key: string, reason: string): Result<never, StoreError> {
+function createUnknownResult (key: string, reason: string): Result<never, StoreError> {
   return failed({ kind: StoreErrorKind.Unknown, key, reason })
 }
