--- a/packages/dotterelspur-platform/src/__tests__/unit/AuditTrail.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/AuditTrail.test.ts
@@ -32,7 +32,7 @@
     expect(await subjects(store, clock)).to.deep.equal(['a', 'b'])
   })
 
-  it('keeps records through an outage, drops the oldest beyond its bound and counts them', async () => {
+  it('keeps records in an outage, and drops and counts the oldest beyond its limit', async () => {
     const { clock, store, trail, append } = createFixture(3)
     store.setFault(MemoryFaultKind.Down)
     for (const subject of ['a', 'b', 'c', 'd', 'e']) append(subject)
@@ -44,9 +44,9 @@
     expect(trail.lostRecords).to.equal(2)
   })
 
-  it('writes a batch in doubt again under the same name, so that no record stands twice', async () => {
-    // Symptom: a change is listed twice. Sequence: a batch is written, its answer is lost, reading back fails, the
-    // batch is written again under a new name. Cause: a name that changes with each try.
+  it('writes a batch whose outcome is unknown again under the same key, so that no record is stored twice', async () => {
+    // Failure: a change is listed twice. A batch is written but the response is lost and reading back fails; the batch
+    // is written again under a new key, if the key changes with each attempt.
     const { clock, store, trail, append } = createFixture()
     store.setFault(MemoryFaultKind.UnknownApplied)
     append('a')
@@ -57,7 +57,7 @@
     expect(await subjects(store, clock)).to.deep.equal(['a', 'b'])
   })
 
-  it('puts records of two days under their own days', async () => {
+  it('writes records of two days under the key of each day', async () => {
     const { clock, store, trail, append } = createFixture()
     append('yesterday')
     const earlier = auditDay(clock.wallMs())
--- a/packages/dotterelspur-platform/src/__tests__/unit/CallBudget.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/CallBudget.test.ts
@@ -8,7 +8,7 @@
 }
 
 describe('CallBudget', () => {
-  it('withholds calls above its ceiling and lets them go as time passes', () => {
+  it('withholds calls above its rate limit and allows more as time passes', () => {
     const { clock, budget } = createFixture()
     expect([0, 1, 2].map(() => budget.acquire(PlatformCallKind.Read) > 0)).to.deep.equal([false, false, true])
     clock.advance(500)
@@ -16,7 +16,7 @@
     expect(budget.snapshot()).to.deep.include({ reads: 3, withheld: 1 })
   })
 
-  it('sends nothing of a kind until the time that a refusal named, and leaves the other kind alone', () => {
+  it('blocks reads until the retry time of a rate-limited read, without blocking writes', () => {
     const { clock, budget } = createFixture()
     budget.recordRefusal(PlatformCallKind.Read, 3_000)
     clock.advance(2_000)
--- a/packages/dotterelspur-platform/src/__tests__/unit/PlatformObjectStore.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/PlatformObjectStore.test.ts
@@ -40,7 +40,7 @@
   return { writeToken: '', text }
 }
 
-/** Collects what a watch tells until a state is reached. */
+/** Collects the latest objects that a watch delivers; `until` resolves when the condition holds. */
 function follow (store: PlatformObjectStore, prefix: string): { readonly held: Map<string, StoredObject<Note>>, until (reached: () => boolean): Promise<void>, readonly stop: Teardown } {
   const held = new Map<string, StoredObject<Note>>()
   let listener = (): void => {}
@@ -80,7 +80,7 @@
   afterEach(async () => { await fixture.stop() })
 
   for (const fault of WRITE_FAULTS) {
-    it(`tells the truth of each write under ${fault.kind} ${fault.probability ?? ''}`, async () => {
+    it(`reports the correct outcome of each write under ${fault.kind} ${fault.probability ?? ''}`, async () => {
       const store = fixture.createStore({ maximumAttempts: 3 })
       fixture.server.faults.set(fault)
       for (let index = 0; index < 12; index++) {
@@ -99,7 +99,7 @@
     })
   }
 
-  it('lets one of two racing creates win, also when answers are lost', async () => {
+  it('lets at most one of two concurrent creates succeed when responses are lost', async () => {
     fixture.server.faults.set({ kind: PlatformFaultKind.LoseReplies, probability: 0.5 })
     const stores = [fixture.createStore(), fixture.createStore()]
     for (let index = 0; index < 10; index++) {
@@ -110,10 +110,10 @@
     }
   })
 
-  it('gives each write its own token, also when the body was read before', async () => {
-    // Symptom: a write is reported as made although another's stands. Sequence: A reads a body, changes it and
-    // writes it with the token that it read; the answer is lost; reading back finds the former write. Cause: one
-    // token on two writes.
+  it('gives each write its own token, also when the body was read from the store', async () => {
+    // Failure: a write is reported as successful although the store still has the earlier one. A process reads a body,
+    // modifies it and writes it with the token that it read; the response is lost, and reading back finds the earlier
+    // write with the same token.
     const store = fixture.createStore()
     const created = await store.create<Note>('k', { writeToken: 'copied', text: 'one' })
     if (!created.ok) throw new Error('not created')
@@ -122,7 +122,7 @@
   })
 
   for (const kind of [PlatformFaultKind.None, PlatformFaultKind.DropWatches, PlatformFaultKind.StaleReads, PlatformFaultKind.LoseReplies]) {
-    it(`brings a watch to the latest state under ${kind}`, async () => {
+    it(`delivers the latest state to a watch under ${kind}`, async () => {
       const writer = fixture.createStore()
       const watcher = fixture.createStore()
       const followed = follow(watcher, 'notes/')
@@ -140,7 +140,7 @@
     })
   }
 
-  it('brings a watch back after an outage', async () => {
+  it('reconnects a watch after an outage', async () => {
     const watcher = fixture.createStore()
     const followed = follow(watcher, 'notes/')
     fixture.server.objects.create('notes/1', note('before'))
@@ -155,7 +155,7 @@
     expect(watcher.calls.waitingWatches).to.equal(0)
   })
 
-  it('gets nothing through from an address that is cut off, and does not write', async () => {
+  it('writes nothing from a source address that is cut off', async () => {
     const store = fixture.createStore({ localAddress: '127.0.0.2', maximumAttempts: 2, timeoutMs: 100 })
     const other = fixture.createStore({ localAddress: '127.0.0.3' })
     expect((await store.create<Note>('k/1', note('one'))).ok).to.equal(true)
@@ -166,7 +166,7 @@
     expect((await other.get('k/1')).ok).to.equal(true)
   })
 
-  it('counts its calls as the platform does, and holds its own ceiling', async () => {
+  it('counts its calls as the platform does, and enforces its own rate limit', async () => {
     const store = fixture.createStore({ readsPerSecond: 5 })
     const results = await Promise.all(Array.from({ length: 8 }, async () => await store.list('notes/')))
     expect(results.filter((result) => result.ok).length).to.be.at.least(5)
--- a/packages/dotterelspur-platform/src/__tests__/unit/PlatformVmDirectory.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/PlatformVmDirectory.test.ts
@@ -42,21 +42,21 @@
     return result.value.vms
   }
 
-  it('gives each VM once when lines come twice', async () => {
+  it('returns each VM once when records are duplicated', async () => {
     fixture.server.vms.put(record('a'))
     fixture.server.vms.put(record('b'))
     fixture.server.vms.setFaults({ duplicateProbability: 1 })
     expect((await listed()).map((line) => line.vm)).to.deep.equal(['a', 'b'])
   })
 
-  it('leaves out lines that do not follow the contract and counts them', async () => {
+  it('leaves out and counts records that violate the contract', async () => {
     fixture.server.vms.put(record('a'))
     fixture.server.vms.put({ ...record('b'), address: 'not a URL' })
     expect((await listed()).map((line) => line.vm)).to.deep.equal(['a'])
     expect(fixture.directory.malformedLines).to.equal(1)
   })
 
-  it('does not go back to a list from the past', async () => {
+  it('does not replace the list by a stale one', async () => {
     fixture.server.vms.put(record('a'))
     fixture.server.vms.put(record('a', { state: VmListState.Leaving }))
     expect((await listed())[0]?.state).to.equal(VmListState.Leaving)
@@ -64,9 +64,9 @@
     expect((await listed())[0]?.state).to.equal(VmListState.Leaving)
   })
 
-  it('is told of no change without the list, and reads it whole after a change', async () => {
-    // Symptom: a node that holds a lease receives far more than its budget. Sequence: it polls the list every 1.5 s;
-    // at 2,096 VMs each answer is 374 kB. Cause: an unchanged list was sent again each time.
+  it('does not receive an unchanged list again, and reads the full list after a change', async () => {
+    // Failure: a lease holder receives far more bytes than its budget. It polls the list every 1.5 s, and with 2,096
+    // VMs each response has 374 kB, if an unchanged list is sent again each time.
     fixture.server.vms.put(record('a'))
     const first = await listed()
     fixture.server.vms.setFaults({ missingProbability: 1 })
@@ -75,7 +75,7 @@
     expect(await listed()).to.deep.equal([])
   })
 
-  it('fails as unavailable while the platform is down', async () => {
+  it('returns an unavailable error while the platform is down', async () => {
     fixture.server.faults.set({ kind: PlatformFaultKind.Down })
     const result = await fixture.directory.list()
     expect(result.ok ? 'ok' : result.error.kind).to.equal('unavailable')
@@ -83,7 +83,7 @@
 })
 
 describe('PlatformWeightBudget', () => {
-  it('reads what the grants leave of the budget', async () => {
+  it('reads the budget and the granted part of it', async () => {
     const fixture = await createFixture()
     fixture.server.weights.setBudget(1_000)
     expect(fixture.server.weights.acquire('a', 800).ok).to.equal(true)
--- a/packages/dotterelspur-platform/src/__tests__/unit/fixtures.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/fixtures.ts
@@ -19,12 +19,12 @@
 
 export interface ProcedureRun<Value> {
   readonly value: Value
-  /** `PUT`, `GET` and so on, in order. */
+  /** The HTTP methods of the requests, in order. */
   readonly sent: readonly string[]
   readonly waitsMs: readonly number[]
 }
 
-/** Runs a procedure against a script of replies; the last one repeats. */
+/** Runs a procedure with the given replies; the last reply is used for all further requests. */
 export function runWithReplies<Value> (procedure: Generator<PlatformEffect, Value, unknown>, replies: readonly PlatformReply[]): ProcedureRun<Value> {
   const sent: string[] = []
   const waitsMs: number[] = []
--- a/packages/dotterelspur-platform/src/__tests__/unit/readProcedure.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/readProcedure.test.ts
@@ -6,7 +6,7 @@
 
 interface Case {
   readonly name: string
-  /** Version of the key that this process has seen already. */
+  /** Version of the key that this process has already observed. */
   readonly seenVersion?: number
   readonly replies: readonly PlatformReply[]
   readonly outcome: string
@@ -18,20 +18,20 @@
 }
 
 const GET_CASES: readonly Case[] = [
-  { name: 'an answer', replies: [object(3)], outcome: 'ok 3', sent: 1 },
-  // Symptom: a node sees a lease go back to its former holder. Sequence: it reads version 9, then an answer from
-  // the past brings version 3. Cause: the store may answer from the past, and versions must never fall.
-  { name: 'an answer from before what was seen', seenVersion: 9, replies: [object(3)], outcome: 'ok 9', sent: 1 },
-  { name: 'absence from before what was seen', seenVersion: 9, replies: [createResponse(404, { version: 3 })], outcome: 'ok 9', sent: 1 },
-  { name: 'absence after what was seen', seenVersion: 9, replies: [createResponse(404, { version: 12 })], outcome: 'not-found', sent: 1 },
-  { name: 'no answer, then one', replies: [NO_RESPONSE, NOT_SENT, object(3)], outcome: 'ok 3', sent: 3 },
-  { name: 'no answer at all', replies: [NO_RESPONSE], outcome: 'unavailable', sent: 4 },
+  { name: 'a response', replies: [object(3)], outcome: 'ok 3', sent: 1 },
+  // Failure: a node observes that a lease returns to its former holder. It has read version 9 and then receives a
+  // stale response with version 3, because reads from the store may be stale.
+  { name: 'a response older than the observed version', seenVersion: 9, replies: [object(3)], outcome: 'ok 9', sent: 1 },
+  { name: 'a not-found response older than the observed version', seenVersion: 9, replies: [createResponse(404, { version: 3 })], outcome: 'ok 9', sent: 1 },
+  { name: 'a not-found response newer than the observed version', seenVersion: 9, replies: [createResponse(404, { version: 12 })], outcome: 'not-found', sent: 1 },
+  { name: 'no response, then one', replies: [NO_RESPONSE, NOT_SENT, object(3)], outcome: 'ok 3', sent: 3 },
+  { name: 'no response to any attempt', replies: [NO_RESPONSE], outcome: 'unavailable', sent: 4 },
   { name: 'server errors', replies: [createResponse(500, null)], outcome: 'unavailable', sent: 4 },
   { name: 'too many calls', replies: [createResponse(429, { retryAfterMs: 5 })], outcome: 'rate-limited', sent: 1 },
   { name: 'withheld by the node itself', replies: [{ kind: ReplyKind.Withheld, retryAfterMs: 5 }], outcome: 'rate-limited', sent: 1 },
-  { name: 'another shape', replies: [createResponse(200, { key: 'k' })], outcome: 'invalid', sent: 1 },
+  { name: 'a body of another shape', replies: [createResponse(200, { key: 'k' })], outcome: 'invalid', sent: 1 },
   { name: 'another key', replies: [createResponse(200, { key: 'j', version: 3, deleted: false, body: null })], outcome: 'invalid', sent: 1 },
-  { name: 'no JSON', replies: [{ kind: ReplyKind.Malformed, reason: 'html' }], outcome: 'invalid', sent: 1 }
+  { name: 'a body that is not JSON', replies: [{ kind: ReplyKind.Malformed, reason: 'html' }], outcome: 'invalid', sent: 1 }
 ]
 
 describe('getProcedure', () => {
@@ -47,7 +47,7 @@
 })
 
 describe('listProcedure', () => {
-  it('asks again for a listing from before what was seen when it asked, and then gives up', () => {
+  it('retries a listing older than the version observed at the request, up to the maximum number of attempts', () => {
     const context = createContext()
     context.seen.recordVersion(20)
     const stale = createResponse(200, { objects: [], version: 11 })
@@ -58,9 +58,9 @@
     expect(exhausted.sent.length).to.equal(4)
   })
 
-  it('takes a listing that was made while later changes were seen', () => {
-    // Symptom: a busy store can't be listed. Sequence: the list is asked, a watch brings a later version, the
-    // answer comes. Cause: comparing with what was seen at the answer instead of at the question.
+  it('accepts a listing made while later changes were observed', () => {
+    // Failure: a store with frequent changes can't be listed. A watch delivers a later version between the request and
+    // the response, and the listing is compared with the version observed at the response instead of at the request.
     const context = createContext()
     const procedure = listProcedure('a/', context)
     procedure.next()
--- a/packages/dotterelspur-platform/src/__tests__/unit/watchProcedure.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/watchProcedure.test.ts
@@ -15,12 +15,12 @@
   return { kind: WatchLineKind.Heartbeat, version: prefixVersion + 5, prefixVersion }
 }
 
-/** Runs the procedure against listings of the given versions (null: the store is down) and lines; gives what was told. */
+/** Runs the procedure with listings of the given versions (null: the store is down) and lines; returns the emitted events. */
 function follow (listings: ReadonlyArray<number | null>, lines: readonly WatchLine[]): string[] {
   const emitted: string[] = []
   const procedure = watchProcedure('a/', { clock: new ManualClock(), random: createRandom(1), seen: new SeenVersions(10), silenceMs: 100, relistIntervalMs: 10_000 })
   const listed = [...listings]
-  const left = [...lines]
+  const remaining = [...lines]
   let reply: unknown
   for (;;) {
     const effect = procedure.next(reply).value
@@ -31,7 +31,7 @@
       reply = version === null ? failed({ kind: StoreErrorKind.Unavailable, reason: 'down' }) : success({ objects: [], version })
     }
     if (effect.kind === WatchEffectKind.Open) reply = true
-    if (effect.kind === WatchEffectKind.NextLine) reply = left.shift() ?? CLOSED
+    if (effect.kind === WatchEffectKind.NextLine) reply = remaining.shift() ?? CLOSED
     if (effect.kind === WatchEffectKind.Emit) emitted.push(effect.event.kind === WatchEventKind.Object ? `object ${effect.event.object.version}` : effect.event.kind)
   }
 }
@@ -47,12 +47,12 @@
 
 const CASES: readonly Case[] = [
   { name: 'events in order', listings: [5], lines: [event(6, 5), event(7, 6)], emitted: [...START, 'object 6', 'object 7', 'disconnected'] },
-  { name: 'a skip that the next event shows', listings: [5, 9], lines: [event(6, 5), event(8, 7), CLOSED], emitted: [...START, 'object 6', 'listing', 'disconnected'] },
-  { name: 'a skip that only a heartbeat shows', listings: [5, 9], lines: [heartbeat(5), heartbeat(7), CLOSED], emitted: [...START, 'listing', 'disconnected'] },
-  { name: 'a repeat is harmless, an older state is dropped', listings: [5], lines: [event(6, 5), event(7, 6), event(7, 6), event(6, 0)], emitted: [...START, 'object 6', 'object 7', 'object 7', 'disconnected'] },
-  { name: 'history is gone', listings: [5, 9], lines: [{ kind: WatchLineKind.Reset }, CLOSED], emitted: [...START, 'listing', 'disconnected'] },
-  { name: 'a line of another shape', listings: [5, 9], lines: [{ kind: WatchLineKind.Malformed }, CLOSED], emitted: [...START, 'listing', 'disconnected'] },
-  { name: 'silence counts as a loss', listings: [5, 9], lines: [{ kind: WatchLineKind.Silent }, CLOSED], emitted: [...START, 'disconnected', ...START, 'disconnected'] },
+  { name: 'a skipped change detected by the next event', listings: [5, 9], lines: [event(6, 5), event(8, 7), CLOSED], emitted: [...START, 'object 6', 'listing', 'disconnected'] },
+  { name: 'a skipped change detected by a heartbeat', listings: [5, 9], lines: [heartbeat(5), heartbeat(7), CLOSED], emitted: [...START, 'listing', 'disconnected'] },
+  { name: 'a repeated event is emitted again, an older state is dropped', listings: [5], lines: [event(6, 5), event(7, 6), event(7, 6), event(6, 0)], emitted: [...START, 'object 6', 'object 7', 'object 7', 'disconnected'] },
+  { name: 'the store no longer has the changes', listings: [5, 9], lines: [{ kind: WatchLineKind.Reset }, CLOSED], emitted: [...START, 'listing', 'disconnected'] },
+  { name: 'a malformed line', listings: [5, 9], lines: [{ kind: WatchLineKind.Malformed }, CLOSED], emitted: [...START, 'listing', 'disconnected'] },
+  { name: 'a timeout without any line counts as a lost stream', listings: [5, 9], lines: [{ kind: WatchLineKind.Silent }, CLOSED], emitted: [...START, 'disconnected', ...START, 'disconnected'] },
   { name: 'a store that is down for a while', listings: [5, null, null, 9], lines: [CLOSED, CLOSED], emitted: [...START, 'disconnected', ...START, 'disconnected'] },
   { name: 'a store that is down at the start', listings: [null, 9], lines: [CLOSED], emitted: [...START, 'disconnected'] }
 ]
--- a/packages/dotterelspur-platform/src/__tests__/unit/writeProcedure.test.ts
+++ b/packages/dotterelspur-platform/src/__tests__/unit/writeProcedure.test.ts
@@ -25,28 +25,28 @@
 const conflictAt = (currentVersion: number | null): PlatformReply => createResponse(412, { currentVersion })
 
 const CASES: readonly Case[] = [
-  { name: 'written at once', condition: ABSENT, token: 'mine', replies: [createResponse(201, { version: 7 })], outcome: 'ok 7', sent: 'PUT' },
-  { name: 'a conflict without any doubt is a conflict', condition: AT_4, token: 'mine', replies: [conflictAt(9)], outcome: 'conflict', sent: 'PUT' },
-  { name: 'the answer is lost, the write was made', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET' },
-  { name: 'the call is lost, so it is sent again', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), createResponse(200, { version: 8 })], outcome: 'ok 8', sent: 'PUT GET PUT' },
-  // Symptom: a conflict is reported for a write that was made, and its writer acts as if it wasn't.
-  // Sequence: the write is delayed; reading back finds the old version; the write lands; the second copy meets it.
-  // Cause: a conflict after a lost answer may be this write's own.
-  { name: 'the delayed write lands after reading back', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
-  { name: 'the delayed create lands after reading back', condition: ABSENT, token: 'mine', replies: [NO_RESPONSE, absentAt(3), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
-  { name: 'another write followed a lost answer', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(9, 'other')], outcome: 'unknown', sent: 'PUT GET' },
-  { name: 'reading back is answered from before the conflict', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), conflictAt(8), stored(4, 'old'), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET PUT GET' },
-  { name: 'reading back is answered from before what the caller had read', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(2, 'older'), NO_RESPONSE, stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
-  { name: 'nothing answers', condition: AT_4, token: 'mine', replies: [NO_RESPONSE], outcome: 'unknown', sent: 'PUT GET PUT GET PUT GET PUT GET' },
-  { name: 'a server error leaves the same doubt as silence', condition: ABSENT, token: 'mine', replies: [createResponse(503, null), stored(5, 'mine')], outcome: 'ok 5', sent: 'PUT GET' },
-  { name: 'no connection, ever', condition: ABSENT, token: 'mine', replies: [NOT_SENT], outcome: 'unavailable', sent: 'PUT PUT PUT PUT' },
-  { name: 'no connection after a lost answer is still a doubt', condition: ABSENT, token: 'mine', replies: [NO_RESPONSE, NOT_SENT], outcome: 'unknown', sent: 'PUT GET PUT GET PUT GET PUT GET' },
+  { name: 'written by the first attempt', condition: ABSENT, token: 'mine', replies: [createResponse(201, { version: 7 })], outcome: 'ok 7', sent: 'PUT' },
+  { name: 'a conflict without an ambiguous attempt before it', condition: AT_4, token: 'mine', replies: [conflictAt(9)], outcome: 'conflict', sent: 'PUT' },
+  { name: 'the response is lost after the write took effect', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET' },
+  { name: 'the request is lost and sent again', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), createResponse(200, { version: 8 })], outcome: 'ok 8', sent: 'PUT GET PUT' },
+  // Failure: a conflict is reported for a write that took effect, and its writer acts as if it had not. The write is
+  // delayed and reading back finds the old version; then the write takes effect, and the second copy gets a conflict
+  // with it. A conflict after a lost response may be caused by the write itself.
+  { name: 'the delayed write takes effect after reading back', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
+  { name: 'the delayed create takes effect after reading back', condition: ABSENT, token: 'mine', replies: [NO_RESPONSE, absentAt(3), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
+  { name: 'another write follows a lost response', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(9, 'other')], outcome: 'unknown', sent: 'PUT GET' },
+  { name: 'reading back returns a version older than the conflict', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(4, 'old'), conflictAt(8), stored(4, 'old'), conflictAt(8), stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET PUT GET' },
+  { name: 'reading back returns a version older than the one that the caller had read', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, stored(2, 'older'), NO_RESPONSE, stored(8, 'mine')], outcome: 'ok 8', sent: 'PUT GET PUT GET' },
+  { name: 'no response to any request', condition: AT_4, token: 'mine', replies: [NO_RESPONSE], outcome: 'unknown', sent: 'PUT GET PUT GET PUT GET PUT GET' },
+  { name: 'a server error is as ambiguous as no response', condition: ABSENT, token: 'mine', replies: [createResponse(503, null), stored(5, 'mine')], outcome: 'ok 5', sent: 'PUT GET' },
+  { name: 'no connection for any attempt', condition: ABSENT, token: 'mine', replies: [NOT_SENT], outcome: 'unavailable', sent: 'PUT PUT PUT PUT' },
+  { name: 'no connection after a lost response leaves the outcome ambiguous', condition: ABSENT, token: 'mine', replies: [NO_RESPONSE, NOT_SENT], outcome: 'unknown', sent: 'PUT GET PUT GET PUT GET PUT GET' },
   { name: 'too many calls', condition: ABSENT, token: 'mine', replies: [createResponse(429, { retryAfterMs: 700 })], outcome: 'rate-limited', sent: 'PUT' },
-  { name: 'refused as malformed', condition: ABSENT, token: 'mine', replies: [createResponse(400, { reason: 'no' })], outcome: 'invalid', sent: 'PUT' },
-  { name: 'a success without a version is settled by reading back', condition: ABSENT, token: 'mine', replies: [createResponse(201, null), stored(6, 'mine')], outcome: 'ok 6', sent: 'PUT GET' },
-  { name: 'a deletion whose answer is lost', condition: AT_4, token: null, replies: [NO_RESPONSE, absentAt(9)], outcome: 'ok 9', sent: 'DELETE GET' },
-  { name: 'a deletion that was lost is sent again', condition: AT_4, token: null, replies: [NO_RESPONSE, stored(4, 'old'), createResponse(200, { version: 10 })], outcome: 'ok 10', sent: 'DELETE GET DELETE' },
-  { name: 'an update of what was deleted meanwhile', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, absentAt(9)], outcome: 'unknown', sent: 'PUT GET' }
+  { name: 'rejected as malformed', condition: ABSENT, token: 'mine', replies: [createResponse(400, { reason: 'no' })], outcome: 'invalid', sent: 'PUT' },
+  { name: 'the outcome of a success without a version is determined by reading back', condition: ABSENT, token: 'mine', replies: [createResponse(201, null), stored(6, 'mine')], outcome: 'ok 6', sent: 'PUT GET' },
+  { name: 'a deletion whose response is lost', condition: AT_4, token: null, replies: [NO_RESPONSE, absentAt(9)], outcome: 'ok 9', sent: 'DELETE GET' },
+  { name: 'a lost deletion is sent again', condition: AT_4, token: null, replies: [NO_RESPONSE, stored(4, 'old'), createResponse(200, { version: 10 })], outcome: 'ok 10', sent: 'DELETE GET DELETE' },
+  { name: 'an update of an object that was deleted meanwhile', condition: AT_4, token: 'mine', replies: [NO_RESPONSE, absentAt(9)], outcome: 'unknown', sent: 'PUT GET' }
 ]
 
 describe('writeProcedure', () => {
@@ -61,7 +61,7 @@
     })
   }
 
-  it('waits as long as the platform asks before it settles a doubt', () => {
+  it('waits for the platform\'s retry time before it retries an ambiguous write', () => {
     const replies = [NO_RESPONSE, createResponse(429, { retryAfterMs: 10 }), createResponse(429, { retryAfterMs: 700 }), createResponse(429, { retryAfterMs: 10 }), createResponse(201, { version: 3 })]
     const intent = { key: 'k', condition: ABSENT, token: 'mine', body: { writeToken: 'mine' } }
     const run = runWithReplies(writeProcedure(intent, createContext()), replies)
@@ -69,7 +69,7 @@
     expect(Math.max(...run.waitsMs)).to.equal(700)
   })
 
-  it('names the conflicting version', () => {
+  it('returns the conflicting version', () => {
     const intent = { key: 'k', condition: AT_4, token: 'mine', body: { writeToken: 'mine' } }
     expect(runWithReplies(writeProcedure(intent, createContext()), [conflictAt(9)]).value).to.deep.equal({ ok: false, error: { kind: StoreErrorKind.Conflict, key: 'k', currentVersion: 9 } })
   })
--- a/packages/dotterelspur-platform/src/connection/HttpTransport.ts
+++ b/packages/dotterelspur-platform/src/connection/HttpTransport.ts
@@ -13,7 +13,7 @@
   readonly clock: Clock
   readonly budget: CallBudget
   readonly timeoutMs: number
-  /** The node's own IP address; connections leave from it. */
+  /** The node's own IP address, used as the source address of connections. */
   readonly localAddress?: string
   /** Sent as a bearer token when set. */
   readonly token?: string
@@ -23,12 +23,12 @@
 const DEFAULT_MAXIMUM_CONNECTIONS = 16
 const KEEP_ALIVE_MS = 10_000
 
-/** Errors that undici and the system raise before any byte of the request has left. */
+/** Codes of errors that undici and the system raise before any byte of the request is sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'ENOTFOUND', 'EAI_AGAIN', 'UND_ERR_CONNECT_TIMEOUT'
 ])
 
-/** Sends calls to the platform over HTTP, each with a timeout and counted. It never repeats one. */
+/** Sends calls to the platform over HTTP, with a timeout for each, and counts them. It does not retry. */
 export class HttpTransport {
   private readonly agent: Agent
   private contactListener: () => void = () => {}
@@ -46,7 +46,7 @@
     })
   }
 
-  /** Called after each sign of life from the platform. */
+  /** Sets the listener that is called after each response or watch line from the platform. */
   onContact (listener: () => void): void {
     this.contactListener = listener
   }
@@ -67,7 +67,7 @@
     return reply
   }
 
-  /** Opens a streamed answer. The caller reads it to its end or aborts. */
+  /** Opens a streamed response. The caller must read it to its end or abort it. */
   async openStream (path: string, signal: AbortSignal): Promise<Dispatcher.ResponseData> {
     return await sendRequest(`${this.options.url}${path}`, { dispatcher: this.agent, signal, headers: this.headers() })
   }
@@ -113,7 +113,7 @@
   try {
     return { kind: ReplyKind.Response, status, body: text === '' ? null : JSON.parse(text) }
   } catch {
-    // A proxy or a failing server answers in HTML: the status still says what happened.
+    // A proxy or a failing server may respond with HTML; the status is still meaningful.
     if (isServerError(status)) return { kind: ReplyKind.Response, status, body: null }
     return { kind: ReplyKind.Malformed, reason: `status ${status} without JSON` }
   }
--- a/packages/dotterelspur-platform/src/connection/LineReader.ts
+++ b/packages/dotterelspur-platform/src/connection/LineReader.ts
@@ -7,7 +7,7 @@
 const SILENT: WatchLine = { kind: WatchLineKind.Silent }
 const MALFORMED: WatchLine = { kind: WatchLineKind.Malformed }
 
-/** Splits a streamed answer into lines, with a bound on the length of one and on the wait for it. */
+/** Splits a streamed response into lines, with limits on the length of a line and on the wait for it. */
 export class LineReader {
   private readonly chunks: AsyncIterator<Buffer>
   private readonly decoder = new StringDecoder('utf8')
--- a/packages/dotterelspur-platform/src/connection/PlatformWatch.ts
+++ b/packages/dotterelspur-platform/src/connection/PlatformWatch.ts
@@ -23,13 +23,13 @@
 
 const log = debug('dotterelspur:platform')
 
-/** Events that change whether the store is heard; objects come all the time and are counted. */
+/** Events that are logged because they change whether the store is in contact; object events are too frequent to log. */
 const CONTACT_CHANGES: ReadonlySet<WatchEventKind> = new Set([WatchEventKind.Connected, WatchEventKind.Disconnected])
 
-/** Thrown inside the procedure to end it at its next effect. */
+/** Thrown by the effect handlers to end the procedure once the watch is stopped. */
 class WatchStoppedError extends Error {}
 
-/** Runs one watch until it is torn down. */
+/** Runs one watch until its teardown is called. */
 export class PlatformWatch {
   private stopped = false
   private stream: AbortController | undefined
--- a/packages/dotterelspur-platform/src/connection/WatchLine.ts
+++ b/packages/dotterelspur-platform/src/connection/WatchLine.ts
@@ -1,18 +1,18 @@
 import { z } from 'zod'
 import type { StoredObject } from 'dotterelspur'
 
-/** What can come of waiting for the next line of a watch. */
+/** The possible results of waiting for the next line of a watch. */
 export enum WatchLineKind {
   Event = 'event',
-  /** Nothing new up to `version`; `prefixVersion` is that of the latest change under the prefix. */
+  /** No further changes up to `version`; `prefixVersion` is the version of the latest change under the prefix. */
   Heartbeat = 'heartbeat',
-  /** The store no longer has the changes after the asked version. */
+  /** The store no longer has all changes after the requested version. */
   Reset = 'reset',
   /** The stream ended. */
   Closed = 'closed',
-  /** No line within the timeout: a connection can be dead without a sign of it. */
+  /** No line arrived within the timeout. A dead connection may cause no other error. */
   Silent = 'silent',
-  /** A line that the contract doesn't know. */
+  /** A line that violates the contract. */
   Malformed = 'malformed'
 }
 
@@ -33,7 +33,7 @@
   z.object({ kind: z.literal(WatchLineKind.Reset) })
 ])
 
-/** Reads one line of a watch. */
+/** Parses one line of a watch. */
 export function parseWatchLine (text: string): WatchLine {
   try {
     const parsed = lineSchema.safeParse(JSON.parse(text))
--- a/packages/dotterelspur-platform/src/connection/watchProcedure.ts
+++ b/packages/dotterelspur-platform/src/connection/watchProcedure.ts
@@ -15,7 +15,7 @@
 }
 
 type ListEffect = { readonly kind: WatchEffectKind.List, readonly prefix: string } & Effect<WatchEffectKind.List, Result<ObjectListing<unknown>, StoreError>>
-/** Opens the stream, closing one that is open. Answers whether it stands. */
+/** Opens the stream, and closes one that is open. The result is whether the stream was opened. */
 type OpenEffect = { readonly kind: WatchEffectKind.Open, readonly prefix: string, readonly afterVersion: number } & Effect<WatchEffectKind.Open, boolean>
 type NextLineEffect = { readonly kind: WatchEffectKind.NextLine, readonly timeoutMs: number } & Effect<WatchEffectKind.NextLine, WatchLine>
 type EmitEffect = { readonly kind: WatchEffectKind.Emit, readonly event: WatchEvent<unknown> } & Effect<WatchEffectKind.Emit, void>
@@ -31,27 +31,27 @@
   readonly relistIntervalMs: number
 }
 
-/** Why a stream was left. */
+/** Why the procedure stopped following a stream. */
 enum StreamEndReason {
-  /** Something may be missing, or it is time: list again. The store is in contact. */
+  /** A change may be missing or the relist interval has passed, so the prefix must be listed again. The store is in contact. */
   Relist = 'relist',
   Lost = 'lost'
 }
 
 interface StreamResult {
   readonly end: StreamEndReason
-  /** At least one line came. */
+  /** Whether at least one line was received. */
   readonly receivedLine: boolean
 }
 
 const BACKOFF = { baseMs: WATCH_BACKOFF_BASE_MS, limitMs: WATCH_BACKOFF_LIMIT_MS }
 
 /**
- * Follows a prefix without end: list, then stream, and again after each loss.
+ * Follows a prefix until it is stopped: lists it, then streams changes, and starts again when the stream ends.
  *
- * A watch may skip, repeat or go back. A skip shows in an event's `previousVersion` or in a heartbeat's
- * `prefixVersion` that was never delivered, and is mended by listing again; where a store tells neither, the
- * regular listing bounds how long a change can stay unseen. Events from before what was seen are dropped.
+ * The watch stream may skip, repeat or reorder changes. A skipped change is detected by an event's `previousVersion`
+ * or a heartbeat's `prefixVersion` that was not delivered, and the prefix is listed again. When the store sends
+ * neither, the relist interval bounds how long a change can be missed. Events older than the observed state are dropped.
  */
 export function * watchProcedure (prefix: string, context: WatchContext): Procedure<WatchEffect, never> {
   let failures = 0
@@ -93,7 +93,7 @@
   }
 }
 
-/** A version that must have been delivered before this line. */
+/** The version that must have been delivered before this line, or a change was skipped. */
 function missedVersion (line: WatchLine): number {
   if (line.kind === WatchLineKind.Heartbeat) return line.prefixVersion
   if (line.kind === WatchLineKind.Event) return line.previousVersion ?? 0
--- a/packages/dotterelspur-platform/src/process/AuditTrail.ts
+++ b/packages/dotterelspur-platform/src/process/AuditTrail.ts
@@ -5,12 +5,12 @@
 export interface AuditTrailOptions {
   readonly store: ObjectStore
   readonly clock: Clock
-  /** The writing process, `<node>.<incarnation>`: its batches have names that no other process uses. */
+  /** The writing process, `<node>.<incarnation>`. It is part of the batch keys, so that no other process uses the same ones. */
   readonly home: HomeId
-  /** Records wait this long, so that a burst costs one write. */
+  /** How long records wait before they are written, so that a burst takes one write. */
   readonly batchIntervalMs?: number
   readonly retryIntervalMs?: number
-  /** Records kept through an outage; beyond it the oldest are dropped and counted. */
+  /** Maximum number of queued records, for example in a store outage; beyond it the oldest are dropped and counted. */
   readonly maximumQueued?: number
 }
 
@@ -23,13 +23,13 @@
 
 const log = debug('dotterelspur:audit')
 
-/** A batch under its name: a batch whose write is in doubt is written again under the same name. */
+/** A batch with its key. When the outcome of its write is unknown, it is written again under the same key. */
 interface PendingBatch {
   readonly key: string
   readonly records: readonly AuditRecord[]
 }
 
-/** The day of a time, `YYYY-MM-DD` in UTC. */
+/** The UTC day of a wall-clock time, as `YYYY-MM-DD`. */
 export function auditDay (wallMs: number): string {
   return new Date(wallMs).toISOString().slice(0, DAY_LENGTH)
 }
@@ -37,8 +37,8 @@
 /**
  * Appends audit records in batches to `audit/<day>/<node>.<incarnation>.<batch>`.
  *
- * A store outage must neither stop the fleet's work nor grow the queue without bound: records wait in a
- * bounded queue, and what didn't fit is counted in `lostRecords`.
+ * Records wait in a bounded queue, so that a store outage neither blocks the fleet nor lets the queue grow without
+ * limit. Records dropped from a full queue are counted in `lostRecords`.
  */
 export class AuditTrail {
   private queued: AuditRecord[] = []
@@ -68,7 +68,7 @@
     this.schedule(this.options.batchIntervalMs ?? DEFAULT_BATCH_INTERVAL_MS)
   }
 
-  /** Writes what is queued now; used at a graceful stop. Ends early when the store doesn't take it. */
+  /** Writes all queued records immediately, for example at a graceful stop. Returns early when a write fails. */
   async flush (): Promise<void> {
     this.cancelTimer?.()
     this.cancelTimer = undefined
@@ -76,7 +76,7 @@
     await this.flushing
   }
 
-  /** A record appended between the last write and this point has started no timer of its own. */
+  /** Schedules a flush for records appended since the last write: no timer was started for them while a flush was running. */
   private onFlushed (): void {
     this.flushing = undefined
     if (this.queuedRecords > 0) this.schedule(this.options.batchIntervalMs ?? DEFAULT_BATCH_INTERVAL_MS)
@@ -113,16 +113,16 @@
     return { records, key: `${AUDIT_PREFIX}${day}/${this.options.home}.${number}` }
   }
 
-  /** Whether the batch is in the store. Its name is this process's own, so a conflict means that it already was. */
+  /** Writes a batch; true when it is in the store. The key is unique to this process, so a conflict means that an earlier attempt wrote it. */
   private async write (batch: PendingBatch): Promise<boolean> {
     const result = await this.options.store.create<AuditBatch>(batch.key, { writeToken: '', records: batch.records })
     if (result.ok || result.error.kind === StoreErrorKind.Conflict) return true
-    log('batch %s waits: %s', batch.key, result.error.kind)
+    log('batch %s not written, will retry: %s', batch.key, result.error.kind)
     return false
   }
 }
 
-/** Reads the records of one day, in order of time. */
+/** Reads the records of one day, ordered by time. */
 export async function readAuditDay (store: ObjectStore, day: string): Promise<Result<readonly AuditRecord[], StoreError>> {
   const listing = await store.list<AuditBatch>(`${AUDIT_PREFIX}${day}/`)
   if (!listing.ok) return listing
--- a/packages/dotterelspur-platform/src/process/CallBudget.ts
+++ b/packages/dotterelspur-platform/src/process/CallBudget.ts
@@ -6,17 +6,17 @@
   readonly writesPerSecond: number
 }
 
-/** Totals since the process started; the metrics page shows them. */
+/** Totals since the process started, exported as metrics. */
 export interface CallTotals {
   readonly reads: number
   readonly writes: number
   readonly watchesOpened: number
   readonly waitingWatches: number
-  /** Not sent, because of this node's own ceiling or because the platform asked to come back later. */
+  /** Calls not sent, because of this node's own rate limit or the retry time that the platform returned. */
   readonly withheld: number
-  /** Refused by the platform as too many. */
+  /** Calls rejected by the platform's rate limit. */
   readonly refused: number
-  /** Sent, and not answered. */
+  /** Calls that were sent and got no response. */
   readonly unanswered: number
 }
 
@@ -28,11 +28,11 @@
 }
 
 /**
- * Counts the calls of this process and holds them under its own ceiling.
+ * Counts the calls of this process and enforces its own rate limits.
  *
- * The platform's rates are shared by all nodes. A loop that calls without a wait, on one node, would use them
- * up and stop lease renewals everywhere; it would show as refusals on nodes that do nothing wrong. The ceiling
- * keeps such a fault on the node that has it.
+ * All nodes share the platform's rates. A loop on one node that calls without waiting would exhaust them, and lease
+ * renewals would be rejected on all nodes, including those without a fault. The node's own limit confines such a
+ * fault to the node that has it.
  */
 export class CallBudget {
   private readonly totals = { reads: 0, writes: 0, watchesOpened: 0, waitingWatches: 0, withheld: 0, refused: 0, unanswered: 0 }
@@ -49,7 +49,7 @@
     return { ...this.totals }
   }
 
-  /** Takes one call. Returns 0 when it may be sent, else the time to wait before asking again. */
+  /** Acquires one call. Returns 0 when it may be sent, else the milliseconds to wait before the next attempt. */
   acquire (call: CallKind): number {
     this.refill()
     const bucket = BUCKETS[call]
@@ -62,7 +62,7 @@
     return 0
   }
 
-  /** The platform refused a call as one too many: none of its kind is sent until it said to come back. */
+  /** Records that the platform rate-limited a call. No call of the same bucket is sent until the retry time has passed. */
   recordRefusal (call: CallKind, retryAfterMs: number): void {
     this.totals.refused++
     this.blockedUntilMs[BUCKETS[call]] = this.clock.nowMs() + retryAfterMs
--- a/packages/dotterelspur-platform/src/process/PlatformObjectStore.ts
+++ b/packages/dotterelspur-platform/src/process/PlatformObjectStore.ts
@@ -23,7 +23,7 @@
   readonly url: string
   readonly clock: Clock
   readonly random: Random
-  /** The node's own IP address; connections leave from it. */
+  /** The node's own IP address, used as the source address of connections. */
   readonly localAddress?: string
   /** Sent as a bearer token when set. */
   readonly token?: string
@@ -33,7 +33,7 @@
   readonly writesPerSecond?: number
   readonly watchSilenceMs?: number
   readonly relistIntervalMs?: number
-  /** Gives each write a token that no other write has. */
+  /** Creates a unique token for each write. */
   readonly createToken?: () => string
 }
 
@@ -69,17 +69,17 @@
     return this.clock.nowMs()
   }
 
-  /** Calls so far, as the platform counts them. */
+  /** Totals of calls so far, counted as the platform counts them. */
   get calls (): CallTotals {
     return this.budget.snapshot()
   }
 
-  /** Answers that came from before what this process had already seen. */
+  /** Number of responses older than the state that this process had already observed. */
   get staleResponses (): number {
     return this.seen.staleCount
   }
 
-  /** Called after each answer or watch line from the platform. */
+  /** Registers a listener that is called after each response or watch line from the platform. */
   registerContactListener (listener: () => void): Teardown {
     this.contactListeners.add(listener)
     return () => { this.contactListeners.delete(listener) }
@@ -130,12 +130,12 @@
     return teardown
   }
 
-  /** One call outside the object API, counted and bounded like the others: the VM list and the weight store. */
+  /** Sends one call outside the object API (the list of VMs, the weight store), counted and rate-limited like the others. */
   async send (request: PlatformRequest): Promise<PlatformReply> {
     return await this.transport.send(request)
   }
 
-  /** Ends all watches and connections. */
+  /** Stops all watches and closes all connections. */
   async close (): Promise<void> {
     for (const teardown of [...this.watches]) teardown()
     await this.transport.close()
@@ -149,15 +149,15 @@
     })
   }
 
-  /** What procedures need that are run through this store. */
+  /** The context for procedures that are run through this store. */
   get procedureContext (): ProcedureContext {
     return this.context
   }
 
   private async write<Body> (key: string, body: Body, condition: WriteCondition): Promise<Result<StoredObject<Body>, StoreError>> {
     const token = this.createToken()
-    // A body that was read and changed still has the token of the former write; a second write with it
-    // couldn't be told from the first, so each gets its own here.
+    // A body that was read and modified still has the token of the earlier write. Each write gets a new token, since
+    // two writes with the same token could not be distinguished.
     const stamped = { ...body, writeToken: token }
     return await this.run(writeProcedure<Body>({ key, condition, token, body: stamped }, this.context))
   }
--- a/packages/dotterelspur-platform/src/process/PlatformVmDirectory.ts
+++ b/packages/dotterelspur-platform/src/process/PlatformVmDirectory.ts
@@ -20,7 +20,7 @@
 
 const listingSchema = z.object({ vms: z.array(z.unknown()), version: z.number().int().nonnegative() })
 
-/** A whole list is read at least this often: a line that was missing in an answer would else stay so until the list changes. */
+/** The full list is read at least this often. Otherwise a record missing from one response would stay missing until the list changes. */
 const FULL_READ_INTERVAL_MS = 300_000
 
 /** The platform's list of VMs over HTTP, as docs/contracts/vm-list.md describes it. */
@@ -31,12 +31,12 @@
 
   constructor (private readonly store: PlatformObjectStore) {}
 
-  /** Lines that didn't follow the contract and were left out. */
+  /** Number of records that violated the contract and were left out. */
   get malformedLines (): number {
     return this.malformed
   }
 
-  /** The list, each VM once. An answer older than one that was already seen gives the one already seen. */
+  /** Returns the list, with each VM once. When the response is older than the latest list received, the latter is returned. */
   async list (): Promise<Result<VmListing, StoreError>> {
     const request = { callKind: CallKind.Read, method: HttpMethod.Get, path: VMS_PATH, knownVersion: this.knownVersion() }
     return await this.store.run(readProcedure(request, this.store.procedureContext, (reply) => {
@@ -53,7 +53,7 @@
 
   private parseListing (body: unknown): Result<VmListing, StoreError> {
     const parsed = listingSchema.safeParse(body)
-    if (!parsed.success) return failed({ kind: StoreErrorKind.Invalid, reason: 'not a VM list' })
+    if (!parsed.success) return failed({ kind: StoreErrorKind.Invalid, reason: 'the response is not a VM list' })
     const { vms, version } = parsed.data
     if (this.latest !== undefined && version < this.latest.version) return success(this.latest)
     this.fullReadAtMs = this.store.nowMs
@@ -69,7 +69,7 @@
   }
 }
 
-/** Each VM once: its highest incarnation, and of lines that differ in state the one that is leaving. */
+/** Merges duplicate records of a VM: the highest incarnation wins, and within an incarnation the record that is leaving. */
 function mergeRecords (records: readonly VmRecord[]): VmRecord[] {
   const merged = new Map<VmId, VmRecord>()
   for (const record of records) {
--- a/packages/dotterelspur-platform/src/process/PlatformWeightBudget.ts
+++ b/packages/dotterelspur-platform/src/process/PlatformWeightBudget.ts
@@ -6,7 +6,7 @@
 import { readProcedure, createStatusError } from '../request/readProcedure.js'
 import type { PlatformObjectStore } from './PlatformObjectStore.js'
 
-/** The weight store's rate budget and what loads hold of it now. */
+/** The weight store's bandwidth budget and the part of it that is currently granted to weight loads. */
 export interface WeightBudget {
   readonly budgetBytesPerSecond: number
   readonly grantedBytesPerSecond: number
@@ -19,17 +19,17 @@
   grants: z.number().int().nonnegative()
 })
 
-/** Reads the weight store's budget, as docs/contracts/weight-store.md describes it. Engines take the grants themselves. */
+/** Reads the weight store's budget, as docs/contracts/weight-store.md describes it. Engines acquire grants themselves. */
 export class PlatformWeightBudget {
   constructor (private readonly store: PlatformObjectStore) {}
 
-  /** One counted call. */
+  /** Reads the budget, which counts as one call to the platform. */
   async read (): Promise<Result<WeightBudget, StoreError>> {
     const request = { callKind: CallKind.Read, method: HttpMethod.Get, path: WEIGHTS_PATH }
     return await this.store.run(readProcedure(request, this.store.procedureContext, (reply) => {
       if (reply.status !== ResponseStatus.Ok) return failed(createStatusError(reply.status, reply.body))
       const parsed = budgetSchema.safeParse(reply.body)
-      return parsed.success ? success(parsed.data) : failed({ kind: StoreErrorKind.Invalid, reason: 'not a weight budget' })
+      return parsed.success ? success(parsed.data) : failed({ kind: StoreErrorKind.Invalid, reason: 'the response is not a weight budget' })
     }))
   }
 }
--- a/packages/dotterelspur-platform/src/process/SeenVersions.ts
+++ b/packages/dotterelspur-platform/src/process/SeenVersions.ts
@@ -1,9 +1,9 @@
 import type { StoredObject } from 'dotterelspur'
 
 /**
- * The latest state that this process has seen of each key, bounded, and the store's highest version.
+ * A bounded cache of the latest state that this process has observed of each key, and the highest store version.
  *
- * Reads may be answered from the past. Without this, a node that has read version 9 could read version 7
+ * Reads from the store may be stale. Without this cache, a node that has read version 9 could read version 7
  * afterwards and act on it: a lease would seem to be held by its former holder again.
  */
 export class SeenVersions {
@@ -13,17 +13,17 @@
 
   constructor (private readonly maximumKeys: number) {}
 
-  /** The store's highest version in any answer so far. */
+  /** The highest store version in any response so far. */
   get storeVersion (): number {
     return this.highestVersion
   }
 
-  /** Answers that came from before what was already seen. */
+  /** Number of responses older than the state already observed. */
   get staleCount (): number {
     return this.staleResponses
   }
 
-  /** Takes an object in; returns the later of it and what was seen before. */
+  /** Records an object and returns it, or the cached state if that is newer. */
   record<Body> (object: StoredObject<Body>): StoredObject<Body> {
     this.recordVersion(object.version)
     const seen = this.objects.get(object.key)
@@ -45,7 +45,7 @@
     this.staleResponses++
   }
 
-  /** What was seen of a key; undefined when nothing was, or it was dropped. */
+  /** The latest observed state of a key; undefined when none was observed or it was evicted. */
   get<Body> (key: string): StoredObject<Body> | undefined {
     return this.objects.get(key) as StoredObject<Body> | undefined
   }
--- a/packages/dotterelspur-platform/src/request/Backoff.ts
+++ b/packages/dotterelspur-platform/src/request/Backoff.ts
@@ -7,8 +7,8 @@
 }
 
 /**
- * The wait before attempt `attempt + 1`: doubled each time up to the limit, and drawn from its upper half, so
- * that nodes that failed together don't come back together.
+ * The wait before attempt `attempt + 1`: its bound doubles with each attempt up to the limit, and the wait is chosen
+ * at random from the upper half of the bound, so that nodes that failed at the same time don't retry at the same time.
  */
 export function backoffMs (attempt: number, settings: BackoffSettings, random: Random): number {
   const boundMs = Math.min(settings.limitMs, settings.baseMs * 2 ** Math.min(attempt, 30))
--- a/packages/dotterelspur-platform/src/request/ObjectResponse.ts
+++ b/packages/dotterelspur-platform/src/request/ObjectResponse.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod'
 import type { ObjectListing, StoredObject } from 'dotterelspur'
 
-/** The shapes of the object API's answers. Bodies are the callers' own and aren't looked into here. */
+/** Schemas and parsers for responses of the object API. Object bodies belong to the callers and are not validated here. */
 
 const objectSchema = z.object({
   key: z.string(),
@@ -35,12 +35,12 @@
   return writtenSchema.safeParse(response).data?.version
 }
 
-/** The store's version at which a key was absent. */
+/** Parses the store version at which a key was absent. */
 export function parseAbsentVersion (response: unknown): number | undefined {
   return absentSchema.safeParse(response).data?.version
 }
 
-/** The version that stood in the way of a write; null for none. */
+/** Parses the current version of a key whose conditional write was refused; null when the key does not exist. */
 export function parseConflictVersion (response: unknown): number | null {
   return conflictSchema.safeParse(response).data?.currentVersion ?? null
 }
--- a/packages/dotterelspur-platform/src/request/PlatformCall.ts
+++ b/packages/dotterelspur-platform/src/request/PlatformCall.ts
@@ -1,10 +1,10 @@
-/** What the platform is asked, and what can come of asking, apart from any transport. */
+/** Requests to the platform and their possible results, independent of the transport. */
 
 /** The kinds of calls, as the platform counts them. */
 export enum CallKind {
   Read = 'read',
   Write = 'write',
-  /** A waiting watch counts as one for as long as it waits. */
+  /** A watch counts as one call for as long as it is open. */
   Watch = 'watch'
 }
 
@@ -26,21 +26,21 @@
   /** Path and query below the platform's base URL. */
   readonly path: string
   readonly condition?: WriteCondition
-  /** For a read of what has one version as a whole: the answer may be NotModified when it still has this one. */
+  /** For resources with a single version, such as the list of VMs: the response is NotModified while this is the current version. */
   readonly knownVersion?: number
   readonly body?: unknown
 }
 
 export enum ReplyKind {
-  /** The platform answered. */
+  /** The platform sent a response. */
   Response = 'answer',
-  /** No connection was made: nothing can have been done. */
+  /** No connection was made, so the call can't have had any effect. */
   NotSent = 'not-sent',
-  /** It was sent, and no answer came: a write may have taken effect, or may yet. */
+  /** The request was sent but no response arrived: a write may have taken effect, or may still do so. */
   NoResponse = 'no-answer',
-  /** This node's own ceiling on its calls: nothing was sent. */
+  /** The request was not sent, because of this node's own rate limit. */
   Withheld = 'withheld',
-  /** The answer isn't what the contract says, or is too long. */
+  /** The response violates the contract or is too large. */
   Malformed = 'malformed'
 }
 
@@ -51,7 +51,7 @@
   | { readonly kind: ReplyKind.Withheld, readonly retryAfterMs: number }
   | { readonly kind: ReplyKind.Malformed, readonly reason: string }
 
-/** HTTP statuses that the contract gives a meaning. */
+/** HTTP statuses to which the contract assigns a meaning. */
 export enum ResponseStatus {
   Ok = 200,
   Created = 201,
@@ -63,7 +63,7 @@
 
 const SERVER_ERROR = 500
 
-/** The platform failed while it handled the call: a write may have taken effect. */
+/** Whether the platform failed while handling the call, in which case a write may have taken effect. */
 export function isServerError (status: number): boolean {
   return status >= SERVER_ERROR
 }
--- a/packages/dotterelspur-platform/src/request/PlatformEffects.ts
+++ b/packages/dotterelspur-platform/src/request/PlatformEffects.ts
@@ -1,7 +1,7 @@
 import type { Effect } from 'dotterelspur'
 import type { PlatformReply, PlatformRequest } from './PlatformCall.js'
 
-/** What procedures of this package ask their driver to do. */
+/** The effects that the procedures of this package perform. */
 export enum PlatformEffectKind {
   Send = 'send',
   Wait = 'wait'
--- a/packages/dotterelspur-platform/src/request/readProcedure.ts
+++ b/packages/dotterelspur-platform/src/request/readProcedure.ts
@@ -10,7 +10,7 @@
 import { parseAbsentVersion, parseListing, parseObject, parseRetryAfterMs } from './ObjectResponse.js'
 import { listPath, objectPath } from './paths.js'
 
-/** What the procedures of one store share. */
+/** State and settings shared by the procedures of one store. */
 export interface ProcedureContext {
   readonly seen: SeenVersions
   readonly random: Random
@@ -20,22 +20,22 @@
 
 type PlatformResponse = Extract<PlatformReply, { kind: ReplyKind.Response }>
 
-/** Reads an answer. `askedAtVersion` is the highest version that this process had seen when it asked. */
+/** Parses a response. `versionAtRequest` is the highest store version that this process had observed when it sent the request. */
 type ResponseParser<Value> = (reply: PlatformResponse, askedAtVersion: number) => Result<Value, StoreError>
 
-/** Reads a key. An answer from before what this process has already seen of the key never replaces it. */
+/** Reads a key. When the response is older than the state that this process has observed, the observed state is returned. */
 export function * getProcedure<Body> (key: string, context: ProcedureContext): Procedure<PlatformEffect, Result<StoredObject<Body>, StoreError>> {
   const request: PlatformRequest = { callKind: CallKind.Read, method: HttpMethod.Get, path: objectPath(key) }
   return yield * readProcedure(request, context, (reply) => parseGetResponse<Body>(key, reply, context.seen))
 }
 
-/** Lists a prefix. A listing from before what this process had seen when it asked is asked for again. */
+/** Lists a prefix. A listing older than the version observed when the request was sent is stale, and the request is retried. */
 export function * listProcedure<Body> (prefix: string, context: ProcedureContext): Procedure<PlatformEffect, Result<ObjectListing<Body>, StoreError>> {
   const request: PlatformRequest = { callKind: CallKind.Read, method: HttpMethod.Get, path: listPath(prefix) }
   return yield * readProcedure(request, context, (reply, askedAtVersion) => parseListResponse<Body>(reply, askedAtVersion, context.seen))
 }
 
-/** Sends a read until it is answered, refused for good, or out of attempts. */
+/** Sends a read, and retries it while the platform is unavailable, up to the maximum number of attempts. */
 export function * readProcedure<Value> (request: PlatformRequest, context: ProcedureContext, parseResponse: ResponseParser<Value>): Procedure<PlatformEffect, Result<Value, StoreError>> {
   let lastResult: Result<Value, StoreError> = failed({ kind: StoreErrorKind.Unavailable, reason: 'no attempt was made' })
   for (let attempt = 0; attempt < context.maximumAttempts; attempt++) {
@@ -58,14 +58,14 @@
   if (reply.status === ResponseStatus.NotFound) return resolveAbsence<Body>(key, reply.body, seen)
   if (reply.status !== ResponseStatus.Ok) return failed(createStatusError(reply.status, reply.body))
   const object = parseObject<Body>(reply.body)
-  if (object === undefined || object.key !== key) return failed({ kind: StoreErrorKind.Invalid, reason: 'not an object answer' })
+  if (object === undefined || object.key !== key) return failed({ kind: StoreErrorKind.Invalid, reason: 'the response is not an object' })
   return liveObject(seen.record(object))
 }
 
-/** A key that is absent in an answer older than what was seen of it is not absent. */
+/** Handles a not-found response. When it is older than the observed state of the key, the observed state is returned. */
 function resolveAbsence<Body> (key: string, body: unknown, seen: SeenVersions): Result<StoredObject<Body>, StoreError> {
   const version = parseAbsentVersion(body)
-  if (version === undefined) return failed({ kind: StoreErrorKind.Invalid, reason: 'not an absence answer' })
+  if (version === undefined) return failed({ kind: StoreErrorKind.Invalid, reason: 'the not-found response has no version' })
   const known = seen.get<Body>(key)
   if (known === undefined || known.version <= version) {
     seen.recordVersion(version)
@@ -82,17 +82,17 @@
 function parseListResponse<Body> (reply: PlatformResponse, versionAtRequest: number, seen: SeenVersions): Result<ObjectListing<Body>, StoreError> {
   if (reply.status !== ResponseStatus.Ok) return failed(createStatusError(reply.status, reply.body))
   const listing = parseListing<Body>(reply.body)
-  if (listing === undefined) return failed({ kind: StoreErrorKind.Invalid, reason: 'not a listing' })
+  if (listing === undefined) return failed({ kind: StoreErrorKind.Invalid, reason: 'the response is not a listing' })
   if (listing.version < versionAtRequest) {
     seen.countStale()
-    return failed({ kind: StoreErrorKind.Unavailable, reason: `the listing is of version ${listing.version}, ${versionAtRequest} was seen before` })
+    return failed({ kind: StoreErrorKind.Unavailable, reason: `stale listing: got version ${listing.version}, version ${versionAtRequest} was observed before` })
   }
   for (const object of listing.objects) seen.record(object)
   seen.recordVersion(listing.version)
   return success(listing)
 }
 
-/** What a refusal by the platform means for a call that has changed nothing. */
+/** Converts an error status to a store error, for a call that has had no effect. */
 export function createStatusError (status: number, body: unknown): StoreError {
   if (status === ResponseStatus.TooManyCalls) return { kind: StoreErrorKind.RateLimited, retryAfterMs: parseRetryAfterMs(body) }
   if (isServerError(status)) return { kind: StoreErrorKind.Unavailable, reason: `status ${status}` }
--- a/packages/dotterelspur-platform/src/request/writeProcedure.ts
+++ b/packages/dotterelspur-platform/src/request/writeProcedure.ts
@@ -10,7 +10,7 @@
 import { createStatusError } from './readProcedure.js'
 import type { ProcedureContext } from './readProcedure.js'
 
-/** A conditional write. `token` marks its body; a deletion has none. */
+/** A conditional write. `token` is the write token in its body; null for a deletion. */
 export interface WriteIntent<Body> {
   readonly key: string
   readonly condition: WriteCondition
@@ -18,14 +18,14 @@
   readonly token: string | null
 }
 
-/** What one attempt showed. */
+/** The result of one attempt. */
 enum AttemptKind {
   Written = 'written',
-  /** Refused for good: this attempt wrote nothing. */
+  /** Rejected permanently; this attempt wrote nothing. */
   Refused = 'refused',
-  /** Nothing was written; worth another attempt. */
+  /** This attempt wrote nothing and may be retried. */
   NotWritten = 'not-written',
-  /** It may have been written, or may be written later. */
+  /** The write may have taken effect, or may still do so. */
   Ambiguous = 'ambiguous'
 }
 
@@ -35,14 +35,15 @@
   | { readonly kind: AttemptKind.NotWritten, readonly error: StoreError, readonly retryAfterMs: number }
   | { readonly kind: AttemptKind.Ambiguous, readonly reason: string }
 
-/** What reading back showed of a write whose answer was lost. */
+/** The result of reading the key back after a write whose outcome is ambiguous. */
 enum ReadBackKind {
-  /** The object carries this write's token, or is gone as asked. */
+  /** The object has this write's token, or was deleted as requested. */
   Applied = 'applied',
-  /** The condition still holds: the write hasn't taken effect so far. */
+  /** The condition still holds, so the write has not taken effect so far. */
   Pending = 'pending',
-  /** Another write is there. Whether this one was there before it can't be told. */
+  /** The object has another write's version. Whether this write took effect before it can't be determined. */
   Superseded = 'superseded',
+  /** The read failed or was stale. */
   Unread = 'unread'
 }
 
@@ -50,20 +51,21 @@
   | { readonly kind: ReadBackKind.Applied, readonly version: number }
   | { readonly kind: ReadBackKind.Pending | ReadBackKind.Superseded | ReadBackKind.Unread }
 
-/** What earlier attempts leave to be settled. */
+/** The state of a write after an attempt with an ambiguous outcome. */
 interface Ambiguity {
   readonly reason: string
-  /** An answer from before this version doesn't settle anything. */
+  /** A read-back of a version below this one is stale and determines nothing. */
   readonly minimumVersion: number
 }
 
 /**
- * Writes under a condition and settles lost answers.
+ * Performs a conditional write and determines its outcome when the response is lost.
  *
- * An answer can be lost after the write took effect, and a write can take effect after its caller gave up.
- * Both are settled the same way: read back and look for the token; where the condition still holds, send the
- * same write again. At most one of the copies can take effect, because the first that does ends the condition.
- * What remains: after the last attempt, or behind another writer's version, the result is Unknown.
+ * A response can be lost after the write took effect, and a write can take effect after the caller stopped waiting.
+ * In both cases the key is read back and checked for the write token. While the condition still holds, the same write
+ * is sent again: at most one of the copies can take effect, because the first that does invalidates the condition.
+ * The result is Unknown when the outcome is still ambiguous after the last attempt, or when another writer's version
+ * has replaced the object.
  */
 export function * writeProcedure<Body> (intent: WriteIntent<Body>, context: ProcedureContext): Procedure<PlatformEffect, Result<StoredObject<Body>, StoreError>> {
   let ambiguity: Ambiguity | undefined
@@ -81,9 +83,9 @@
     if (ambiguity === undefined) continue
     const readBack = yield * readBackProcedure(intent, ambiguity.minimumVersion, context)
     if (readBack.kind === ReadBackKind.Applied) return createWrittenResult(intent, readBack.version, context)
-    if (readBack.kind === ReadBackKind.Superseded) return createUnknownResult(intent.key, `another write followed (${ambiguity.reason})`)
+    if (readBack.kind === ReadBackKind.Superseded) return createUnknownResult(intent.key, `another write has replaced the object (${ambiguity.reason})`)
   }
-  return ambiguity === undefined ? failed(error) : createUnknownResult(intent.key, `it may still take effect (${ambiguity.reason})`)
+  return ambiguity === undefined ? failed(error) : createUnknownResult(intent.key, `the write may still take effect (${ambiguity.reason})`)
 }
 
 function writeRequest<Body> (intent: WriteIntent<Body>): PlatformRequest {
@@ -141,7 +143,7 @@
 function evaluateAbsence<Body> (intent: WriteIntent<Body>, version: number | undefined, minimumVersion: number): ReadBack {
   if (version === undefined || version < minimumVersion) return { kind: ReadBackKind.Unread }
   const expectedVersion = intent.condition.kind === 'version' ? intent.condition.version : 0
-  // An answer from before the version that the caller had read is from the past and says nothing.
+  // A response older than the version that the caller had read is stale and determines nothing.
   if (version < expectedVersion) return { kind: ReadBackKind.Unread }
   if (intent.token === null) return { kind: ReadBackKind.Applied, version }
   return { kind: intent.condition.kind === 'absent' ? ReadBackKind.Pending : ReadBackKind.Superseded }
