--- a/packages/dotterelspur-node/src/process/Node.ts
+++ b/packages/dotterelspur-node/src/process/Node.ts
@@ -2,42 +2,42 @@
 import { hashToken } from 'dotterelspur-settings'
 import { startAdminServer, type AdminServer } from './admin/index.js'
 import { DrainEffectKind, drainNode, type DrainEffect } from './DrainProcedure.js'
-import { settlePort } from './freePort.js'
+import { resolvePort } from './freePort.js'
 import { chooseIncarnation } from './Incarnation.js'
 import type { LoadedSettings } from './loadNodeSettings.js'
 import { NodeErrorKind, type NodeError } from './NodeError.js'
 import { NodeExplain } from './NodeExplain.js'
 import { createNodeBase, createNodeParts, type NodeParts, type NodePorts } from './NodeParts.js'
 
-/** The store is told of a drain for at most this long; peers learn it from the mesh anyway. */
+/** Limit on writing the drain to the store. The drain continues without that write: the mesh announces it to peers. */
 const REGISTER_DRAINING_TIMEOUT_MS = 2_000
-/** Two probe intervals and two gossip rounds: by then other nodes publish what this one watched. */
+/** Two probe intervals and two gossip intervals: by then other nodes publish evidence of the endpoints that this node probed. */
 const SUCCESSOR_WAIT_MS = 2_000
 
-/** A node that serves. */
+/** A started node. */
 export interface RunningNode {
-  /** Base URLs of its listeners, with the ports that they have. */
+  /** Base URLs of the listeners, with the ports that are actually bound. */
   readonly entryAddress: string
   readonly adminAddress: string
-  /** Resolves when an operator asks through the admin listener that this node stops. */
+  /** Resolves when an operator requests a drain of this node through an admin listener. */
   readonly drainRequested: Promise<void>
-  /** The graceful stop; resolves when the process may end. */
+  /** Stops the node gracefully; resolves when the process may exit. */
   drain (): Promise<void>
 }
 
-/** Starts a node with all its roles. It serves callers once this resolves. */
+/** Starts a node with all its roles. Its callers' listener accepts requests once this resolves. */
 export async function startNode (loaded: LoadedSettings): Promise<Result<RunningNode, NodeError>> {
   const base = createNodeBase(loaded)
-  const ports = await settlePorts(loaded)
+  const ports = await resolvePorts(loaded)
   const incarnation = await chooseIncarnation(loaded.settings.id, base.store, base.clock)
   const parts = createNodeParts(loaded, base, incarnation, ports)
   const listening = await parts.mesh.start()
   if (!listening.ok) return failed({ kind: NodeErrorKind.ListenFailed, address: `${loaded.settings.host}:${ports.mesh}`, reason: listening.error.reason })
   const requested = createDrainRequest()
-  const admin = await attempt(`${loaded.settings.host}:${ports.admin}`, () => startAdmin(loaded, parts, ports, requested.request))
+  const admin = await tryListen(`${loaded.settings.host}:${ports.admin}`, () => startAdmin(loaded, parts, ports, requested.request))
   if (!admin.ok) return admin
   startRoles(parts)
-  const entryAddress = await attempt(`${loaded.settings.host}:${ports.entry}`, () => parts.entry.listen())
+  const entryAddress = await tryListen(`${loaded.settings.host}:${ports.entry}`, () => parts.entry.listen())
   if (!entryAddress.ok) return entryAddress
   parts.logs.node(`started, incarnation ${incarnation}, entry ${entryAddress.value}, mesh ${parts.mesh.self.meshAddress}, admin ${admin.value.address}`)
   return success({
@@ -48,23 +48,23 @@
   })
 }
 
-async function settlePorts ({ settings }: LoadedSettings): Promise<NodePorts> {
+async function resolvePorts ({ settings }: LoadedSettings): Promise<NodePorts> {
   const { host } = settings
   return {
-    entry: await settlePort(host, settings.entry.port),
-    mesh: await settlePort(host, settings.mesh.port),
-    admin: await settlePort(host, settings.admin.port)
+    entry: await resolvePort(host, settings.entry.port),
+    mesh: await resolvePort(host, settings.mesh.port),
+    admin: await resolvePort(host, settings.admin.port)
   }
 }
 
-/** Settings come first: the fleet and the entry look at them from their first step. */
+/** Registers the settings listener and starts the store follower before the fleet, which reads team settings from its first step. */
 function startRoles ({ follower, teams, fleet }: NodeParts): void {
   teams.registerListener(() => { fleet.nudge() })
   follower.start()
   fleet.start()
 }
 
-async function attempt<Value> (address: string, listen: () => Promise<Value>): Promise<Result<Value, NodeError>> {
+async function tryListen<Value> (address: string, listen: () => Promise<Value>): Promise<Result<Value, NodeError>> {
   try {
     return success(await listen())
   } catch (error) {
@@ -86,7 +86,7 @@
 function startAdmin (loaded: LoadedSettings, parts: NodeParts, ports: NodePorts, drainSelf: (reason: string) => void): Promise<AdminServer> {
   const { settings, adminToken } = loaded
   const explain = new NodeExplain(parts)
-  explain.registerAnswers()
+  explain.registerCallHandler()
   return startAdminServer({
     clock: parts.clock,
     store: parts.store,
@@ -119,7 +119,7 @@
     [DrainEffectKind.RegisterDraining]: async () => { await follower.registerDraining(REGISTER_DRAINING_TIMEOUT_MS) },
     [DrainEffectKind.HandOverLeases]: () => fleet.handOver(),
     [DrainEffectKind.WaitForRequests]: ({ timeoutMs }) => Promise.race([entry.idle().then(() => true), sleep(clock, timeoutMs).then(() => false)]),
-    [DrainEffectKind.ReportWaiting]: () => { logs.node(`draining, ${entry.runningCount()} requests still run`) },
+    [DrainEffectKind.ReportWaiting]: () => { logs.node(`draining, ${entry.runningCount()} requests still running`) },
     [DrainEffectKind.WaitForSuccessors]: () => sleep(clock, SUCCESSOR_WAIT_MS),
     [DrainEffectKind.Close]: async () => {
       await entry.close()
@@ -132,5 +132,5 @@
     }
   }
   await runProcedure(drainNode(settings.limits.drainTimeoutMs), handlers)
-  logs.node('ended')
+  logs.node('stopped')
 }
--- a/packages/dotterelspur-node/src/process/NodeMetrics.ts
+++ b/packages/dotterelspur-node/src/process/NodeMetrics.ts
@@ -10,7 +10,7 @@
 const HIGHEST_TRACKABLE_MS = 3_600_000
 const SIGNIFICANT_DIGITS = 2
 
-/** The parts of a node that count something themselves. */
+/** The parts of a node that keep counters of their own. */
 export interface MeasuredParts {
   readonly store: PlatformObjectStore
   readonly leaseStore: PlatformObjectStore
@@ -21,8 +21,8 @@
 }
 
 /**
- * What the node counts, in the registry that `/metrics` prints. Latencies go into hdr histograms, which keep
- * their precision at the tail; their quantiles are printed when the page is read.
+ * The node's metrics, in the registry that `/metrics` renders. Latencies are recorded in HDR histograms, which keep
+ * their precision at the tail; their quantiles are computed when `/metrics` is read.
  */
 export class NodeMetrics {
   readonly registry = new Registry()
@@ -41,24 +41,24 @@
     this.quantiles('request_duration_ms', 'Time from taking a request in to its end', this.durationMs)
   }
 
-  /** Adds what the parts count themselves, read when the page is. */
-  registerNode ({ store, leaseStore, mesh, fleet, entry, audit }: MeasuredParts): void {
+  /** Registers the counters that the parts keep themselves. They are read each time `/metrics` is. */
+  registerParts ({ store, leaseStore, mesh, fleet, entry, audit }: MeasuredParts): void {
     this.snapshot('platform_calls', 'Calls to the platform since the start', 'kind', () => ({ ...store.calls }))
     this.snapshot('platform_lease_calls', 'Calls to the platform for leases since the start', 'kind', () => ({ ...leaseStore.calls }))
     this.snapshot('mesh_sent_bytes', 'Bytes sent to other nodes since the start', 'frame', () => bytesByKind(mesh.counters().sent))
     this.snapshot('mesh_received_bytes', 'Bytes received from other nodes since the start', 'frame', () => bytesByKind(mesh.counters().received))
     this.snapshot('mesh_sizes', 'What the mesh holds', 'what', () => ({ ...mesh.sizes() }))
     this.snapshot('mesh_refused', 'Connections between nodes that were refused', 'reason', () => ({ ...mesh.counters().refused }))
-    this.snapshot('fleet_counts', 'What watcher and controller did since the start', 'what', () => numbersOf({ ...fleet.counts() }))
+    this.snapshot('fleet_counts', 'What watcher and controller did since the start', 'what', () => flattenNumbers({ ...fleet.counts() }))
     this.snapshot('node_state', 'What this node holds now', 'what', () => ({
       leases: fleet.leases().length,
       runningRequests: entry.runningCount(),
       members: mesh.members().length,
       auditQueued: audit.queuedRecords,
       auditLost: audit.lostRecords,
-      staleStoreAnswers: store.staleAnswers,
-      storeContactAgeMs: finite(mesh.storeContactAgeMs()),
-      peerContactAgeMs: finite(mesh.peerContactAgeMs()),
+      staleStoreAnswers: store.staleResponses,
+      storeContactAgeMs: finiteOrMinusOne(mesh.storeContactAgeMs()),
+      peerContactAgeMs: finiteOrMinusOne(mesh.peerContactAgeMs()),
       residentBytes: process.memoryUsage.rss()
     }))
   }
@@ -122,17 +122,17 @@
   return Object.fromEntries(Object.entries(counts).map(([kind, count]) => [kind, count.bytes]))
 }
 
-/** The numbers of an object, those of objects in it under `outer.inner`. */
-function numbersOf (counts: Readonly<Record<string, unknown>>, prefix = ''): Record<string, number> {
+/** The numeric fields of an object; those of a nested object are named `outer.inner`. */
+function flattenNumbers (counts: Readonly<Record<string, unknown>>, prefix = ''): Record<string, number> {
   const flat: Record<string, number> = {}
   for (const [key, value] of Object.entries(counts)) {
     if (typeof value === 'number') flat[`${prefix}${key}`] = value
-    else if (typeof value === 'object' && value !== null) Object.assign(flat, numbersOf(value as Record<string, unknown>, `${key}.`))
+    else if (typeof value === 'object' && value !== null) Object.assign(flat, flattenNumbers(value as Record<string, unknown>, `${key}.`))
   }
   return flat
 }
 
-/** Prometheus has no use for an age that never began. */
-function finite (valueMs: number): number {
+/** Replaces an infinite age (no contact yet) by -1, since an infinite sample is of no use in Prometheus. */
+function finiteOrMinusOne (valueMs: number): number {
   return Number.isFinite(valueMs) ? valueMs : -1
 }
--- a/packages/dotterelspur-node/src/process/loadNodeSettings.ts
+++ b/packages/dotterelspur-node/src/process/loadNodeSettings.ts
@@ -2,16 +2,16 @@
 import { failed, success, type Result } from 'dotterelspur'
 import {
   MeshSecurityKind, parseNodeSettings, readSecret,
-  type MeshSecurity, type NodeSettings, type SecretPlace, type SecretSource
+  type MeshSecurity, type NodeSettings, type SecretLocation, type SecretSource
 } from 'dotterelspur-settings'
 import { NodeErrorKind, type NodeError } from './NodeError.js'
 
-/** What nodes show each other, read from where the settings say. */
+/** The credentials by which nodes authenticate to each other, read from the settings or the files that they name. */
 export type MeshSecrets =
   | { readonly kind: MeshSecurityKind.SharedKey, readonly key: string }
   | { readonly kind: MeshSecurityKind.MutualTls, readonly certificate: string, readonly key: string, readonly authority: string }
 
-/** The settings with every file that they name read once, at start. */
+/** The settings, with the contents of every file that they name, read once at start. */
 export interface LoadedSettings {
   readonly settings: NodeSettings
   readonly meshSecrets: MeshSecrets
@@ -20,8 +20,8 @@
 }
 
 /**
- * Reads and checks a node's settings file and the files of secrets that it names. An empty file of a secret is
- * refused: a mesh whose key is empty would let in anyone who guesses that it is.
+ * Reads and checks a node's settings file and the secret files that it names. An empty secret file is rejected:
+ * with an empty shared key, any process could join the mesh by presenting an empty key.
  */
 export function loadNodeSettings (path: string): Result<LoadedSettings, NodeError> {
   const content = readBytes(path)
@@ -31,17 +31,17 @@
   const settings = parsed.value
   const meshSecrets = readMeshSecrets(settings.mesh.security, path)
   if (!meshSecrets.ok) return meshSecrets
-  const adminToken = readChecked(settings.admin.token, { file: path, section: 'admin', key: 'token' })
+  const adminToken = readCheckedSecret(settings.admin.token, { file: path, section: 'admin', key: 'token' })
   if (!adminToken.ok) return adminToken
   const { token } = settings.platform
-  const platformToken = token === null ? success(null) : readChecked(token, { file: path, section: 'platform', key: 'token' })
+  const platformToken = token === null ? success(null) : readCheckedSecret(token, { file: path, section: 'platform', key: 'token' })
   if (!platformToken.ok) return platformToken
   return success({ settings, meshSecrets: meshSecrets.value, adminToken: adminToken.value, platformToken: platformToken.value })
 }
 
 function readMeshSecrets (security: MeshSecurity, file: string): Result<MeshSecrets, NodeError> {
   if (security.kind === MeshSecurityKind.SharedKey) {
-    const key = readChecked(security.key, { file, section: 'mesh', key: 'shared-key' })
+    const key = readCheckedSecret(security.key, { file, section: 'mesh', key: 'shared-key' })
     return key.ok ? success({ kind: security.kind, key: key.value }) : key
   }
   const certificate = readText(security.certificateFile)
@@ -53,8 +53,8 @@
   return success({ kind: security.kind, certificate: certificate.value, key: key.value, authority: authority.value })
 }
 
-function readChecked (source: SecretSource, place: SecretPlace): Result<string, NodeError> {
-  const secret = readSecret(source, place, (path) => readFileSync(path, 'utf8'))
+function readCheckedSecret (source: SecretSource, location: SecretLocation): Result<string, NodeError> {
+  const secret = readSecret(source, location, (path) => readFileSync(path, 'utf8'))
   return secret.ok ? secret : failed({ kind: NodeErrorKind.InvalidSettings, error: secret.error })
 }
 
--- a/packages/dotterelspur-platform/src/connection/watchProcedure.ts
+++ b/packages/dotterelspur-platform/src/connection/watchProcedure.ts
@@ -15,7 +15,7 @@
 }
 
 type ListEffect = { readonly kind: WatchEffectKind.List, readonly prefix: string } & Effect<WatchEffectKind.List, Result<ObjectListing<unknown>, StoreError>>
-/** Opens the stream, closing one that is open. Answers whether it stands. */
+/** Opens the stream, and closes one that is open. The result is whether the stream was opened. */
 type OpenEffect = { readonly kind: WatchEffectKind.Open, readonly prefix: string, readonly afterVersion: number } & Effect<WatchEffectKind.Open, boolean>
 type NextLineEffect = { readonly kind: WatchEffectKind.NextLine, readonly timeoutMs: number } & Effect<WatchEffectKind.NextLine, WatchLine>
 type EmitEffect = { readonly kind: WatchEffectKind.Emit, readonly event: WatchEvent<unknown> } & Effect<WatchEffectKind.Emit, void>
@@ -31,47 +31,47 @@
   readonly relistIntervalMs: number
 }
 
-/** Why a stream was left. */
-enum StreamEnd {
-  /** Something may be missing, or it is time: list again. The store is in contact. */
+/** Why the procedure stopped following a stream. */
+enum StreamEndReason {
+  /** A change may be missing or the relist interval has passed, so the prefix must be listed again. The store is in contact. */
   Relist = 'relist',
   Lost = 'lost'
 }
 
 interface StreamResult {
-  readonly end: StreamEnd
-  /** At least one line came. */
-  readonly alive: boolean
+  readonly end: StreamEndReason
+  /** Whether at least one line was received. */
+  readonly receivedLine: boolean
 }
 
 const BACKOFF = { baseMs: WATCH_BACKOFF_BASE_MS, limitMs: WATCH_BACKOFF_LIMIT_MS }
 
 /**
- * Follows a prefix without end: list, then stream, and again after each loss.
+ * Follows a prefix until it is stopped: lists it, then streams changes, and starts again when the stream ends.
  *
- * A watch may skip, repeat or go back. A skip shows in an event's `previousVersion` or in a heartbeat's
- * `prefixVersion` that was never delivered, and is mended by listing again; where a store tells neither, the
- * regular listing bounds how long a change can stay unseen. Events from before what was seen are dropped.
+ * The watch stream may skip, repeat or reorder changes. A skipped change is detected by an event's `previousVersion`
+ * or a heartbeat's `prefixVersion` that was not delivered, and the prefix is listed again. When the store sends
+ * neither, the relist interval bounds how long a change can be missed. Events older than the observed state are dropped.
  */
 export function * watchProcedure (prefix: string, context: WatchContext): Procedure<WatchEffect, never> {
   let failures = 0
   let connected = false
   for (;;) {
     const listing = yield * perform<ListEffect>({ kind: WatchEffectKind.List, prefix })
-    let result: StreamResult = { end: StreamEnd.Lost, alive: false }
+    let result: StreamResult = { end: StreamEndReason.Lost, receivedLine: false }
     if (listing.ok) {
       if (!connected) yield * emit({ kind: WatchEventKind.Connected })
       connected = true
       yield * emit({ kind: WatchEventKind.Listing, listing: listing.value })
       result = yield * followStream(prefix, listing.value.version, context)
     }
-    if (result.alive) failures = 0
-    if (connected && result.end === StreamEnd.Lost) {
+    if (result.receivedLine) failures = 0
+    if (connected && result.end === StreamEndReason.Lost) {
       connected = false
       yield * emit({ kind: WatchEventKind.Disconnected })
     }
     yield * perform<WaitEffect>({ kind: WatchEffectKind.Wait, durationMs: backoffMs(failures, BACKOFF, context.random) })
-    if (result.end === StreamEnd.Lost) failures++
+    if (result.end === StreamEndReason.Lost) failures++
   }
 }
 
@@ -79,21 +79,21 @@
   const relistAtMs = context.clock.nowMs() + context.relistIntervalMs
   const opened = yield * perform<OpenEffect>({ kind: WatchEffectKind.Open, prefix, afterVersion: listedVersion })
   let deliveredVersion = listedVersion
-  let alive = false
-  if (!opened) return { end: StreamEnd.Lost, alive }
+  let receivedLine = false
+  if (!opened) return { end: StreamEndReason.Lost, receivedLine }
   for (;;) {
     const line = yield * perform<NextLineEffect>({ kind: WatchEffectKind.NextLine, timeoutMs: context.silenceMs })
-    if (line.kind === WatchLineKind.Closed || line.kind === WatchLineKind.Silent) return { end: StreamEnd.Lost, alive }
-    alive = true
-    if (line.kind === WatchLineKind.Reset || line.kind === WatchLineKind.Malformed) return { end: StreamEnd.Relist, alive }
-    if (missedVersion(line) > deliveredVersion || context.clock.nowMs() >= relistAtMs) return { end: StreamEnd.Relist, alive }
+    if (line.kind === WatchLineKind.Closed || line.kind === WatchLineKind.Silent) return { end: StreamEndReason.Lost, receivedLine }
+    receivedLine = true
+    if (line.kind === WatchLineKind.Reset || line.kind === WatchLineKind.Malformed) return { end: StreamEndReason.Relist, receivedLine }
+    if (missedVersion(line) > deliveredVersion || context.clock.nowMs() >= relistAtMs) return { end: StreamEndReason.Relist, receivedLine }
     if (line.kind !== WatchLineKind.Event) continue
     deliveredVersion = Math.max(deliveredVersion, line.object.version)
     if (isCurrent(line.object, context.seen)) yield * emit({ kind: WatchEventKind.Object, object: line.object })
   }
 }
 
-/** A version that must have been delivered before this line. */
+/** The version that must have been delivered before this line, or a change was skipped. */
 function missedVersion (line: WatchLine): number {
   if (line.kind === WatchLineKind.Heartbeat) return line.prefixVersion
   if (line.kind === WatchLineKind.Event) return line.previousVersion ?? 0
@@ -101,7 +101,7 @@
 }
 
 function isCurrent (object: StoredObject<unknown>, seen: SeenVersions): boolean {
-  return seen.note(object) === object
+  return seen.record(object) === object
 }
 
 function * emit (event: WatchEvent<unknown>): Procedure<WatchEffect, void> {
--- a/packages/dotterelspur-settings/src/version/parseTeamSettings.ts
+++ b/packages/dotterelspur-settings/src/version/parseTeamSettings.ts
@@ -1,27 +1,27 @@
 import { failed, success, type ModelIntent, type Result, type ServiceIntent, type ServiceRoute, type TeamSettings } from 'dotterelspur'
 import { checkSections, type CheckedSections } from '../process/SectionSpec.js'
-import { SettingsProblemKind, settingsError, type SettingsError, type SettingsProblem } from '../process/SettingsError.js'
+import { SettingsProblemKind, createSettingsError, type SettingsError, type SettingsProblem } from '../process/SettingsError.js'
 import { readSettingsText } from '../process/SettingsText.js'
 import { TEAM_SECTIONS, modelSection, routeSection, serviceSection, teamLimitsSection, teamSection, weightsSection } from './TeamSchema.js'
 
 /**
- * Reads a team's settings. All problems are reported at once, and a file with any gives no settings.
+ * Parses a team's settings. All problems are reported at once, and a file with any problem is rejected.
  *
  * @param content the INI text, or its bytes.
- * @param file the name to put in errors.
+ * @param file the file name for errors.
  */
 export function parseTeamSettings (content: string | Uint8Array, file: string): Result<TeamSettings, SettingsError> {
   const text = readSettingsText(content, file)
   if (!text.ok) return text
   const { sections, problems } = checkSections(file, TEAM_SECTIONS, text.value)
   const all = [...problems, ...routeProblems(file, sections)]
-  if (all.length > 0) return failed(settingsError(all))
-  const team = sections.one(teamSection)
+  if (all.length > 0) return failed(createSettingsError(all))
+  const team = sections.single(teamSection)
   return success({
     team: team.name,
     priority: team.priority,
-    weights: sections.one(weightsSection),
-    limits: sections.one(teamLimitsSection),
+    weights: sections.single(weightsSection),
+    limits: sections.single(teamLimitsSection),
     callerTokenHashes: team.callerTokenSha256,
     operatorTokenHashes: team.operatorTokenSha256,
     models: readModels(sections),
@@ -45,7 +45,7 @@
   }))
 }
 
-/** A route of a service that isn't there would never be used, and its retry rule would be missed in silence. */
+/** Reports routes of services that the file does not define: such a route would never match, and its retry rule would be silently ignored. */
 function routeProblems (file: string, sections: CheckedSections): SettingsProblem[] {
   const services = sections.all(serviceSection).map((section) => section.arguments[0]!)
   const accepted = services.length === 0 ? 'routes only beside a section [service <service>]' : `a route of ${services.join(', ')}`
