--- a/packages/dotterelspur-entry/src/connection/registerModelRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerModelRoutes.ts
@@ -45,7 +45,7 @@
   if (!call.ok) return sendOutcome(reply, call.error, null, true)
   const run = toRun(services, team, call.value, headers.value)
   const started = await services.intake.start(run, headers.value, request.raw)
-  if (!started.ok) return sendOutcome(reply, started.error.outcome, run.requestId, started.error.repeatable, { entries: started.error.entries })
+  if (!started.ok) return sendOutcome(reply, started.error.outcome, run.requestId, started.error.retryable, { entries: started.error.entries })
   const { requestId, events } = started.value
   const createdSeconds = Math.floor(services.context.clock.wallMs() / MS_PER_SECOND)
   const format = new AnswerFormat({ kind, requestId, modelName: call.value.modelName, createdSeconds })
--- a/packages/dotterelspur-entry/src/connection/registerOutcomeRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerOutcomeRoutes.ts
@@ -32,7 +32,7 @@
   if (resolved === undefined) return notKnown(reply, null)
   if (typeof resolved !== 'string') return sendOutcome(reply, resolved, null, true)
   const { home } = parseRequestId(resolved)!
-  return services.keyed.isSelf(home) ? tellOwn(services, reply, team, resolved) : tellOther(services, reply, team, resolved, home)
+  return services.keyed.isLocalHome(home) ? tellOwn(services, reply, team, resolved) : tellOther(services, reply, team, resolved, home)
 }
 
 function tellOwn (services: EntryServices, reply: FastifyReply, team: TeamId, requestId: RequestId): FastifyReply {
--- a/packages/dotterelspur-entry/src/connection/registerServiceRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerServiceRoutes.ts
@@ -29,7 +29,7 @@
   if (intent === undefined) return sendOutcome(reply, notRun(OutcomeReason.ServiceNotFound, `team ${team.team} has no service ${name}`, null), null, true)
   const run = toRun(services, team, intent, headers.value, request)
   const started = await services.intake.start(run, headers.value, request.raw)
-  if (!started.ok) return sendOutcome(reply, started.error.outcome, run.requestId, started.error.repeatable, { entries: started.error.entries })
+  if (!started.ok) return sendOutcome(reply, started.error.outcome, run.requestId, started.error.retryable, { entries: started.error.entries })
   const { requestId, events } = started.value
   reply.header('x-request-id', requestId)
   const { response, finished } = await collect(reply, events)
--- a/packages/dotterelspur-entry/src/request/AttemptStream.ts
+++ b/packages/dotterelspur-entry/src/request/AttemptStream.ts
@@ -90,11 +90,11 @@
   private pull (): void {
     if (this.pending !== null || this.ready !== undefined) return
     this.pending = this.iterator.next().then(
-      (result) => { this.arrive(result.done === true ? null : result.value) },
-      () => { this.arrive(null) })
+      (result) => { this.handleEvent(result.done === true ? null : result.value) },
+      () => { this.handleEvent(null) })
   }
 
-  private arrive (event: NextEvent): void {
+  private handleEvent (event: NextEvent): void {
     this.pending = null
     this.lastEventAtMs = this.clock.nowMs()
     if (this.waiting === null) this.ready = event
--- a/packages/dotterelspur-entry/src/request/CallerRequest.ts
+++ b/packages/dotterelspur-entry/src/request/CallerRequest.ts
@@ -31,12 +31,12 @@
 }
 
 const keySchema = z.string().min(1).max(MAX_KEY_LENGTH).regex(/^[\x21-\x7e]+$/, 'must be visible ASCII without spaces').nullable()
-const markSchema = z.enum(['true', 'false'])
+const booleanSchema = z.enum(['true', 'false'])
 const prioritySchema = z.nativeEnum(PriorityClass).nullable()
 
 function headerSchema (limits: EntryLimits) {
   return z.object({
-    [NON_IDEMPOTENT_HEADER]: markSchema.default('false'),
+    [NON_IDEMPOTENT_HEADER]: booleanSchema.default('false'),
     [IDEMPOTENCY_KEY_HEADER]: keySchema.default(null),
     [SUBMISSION_HEADER]: z.coerce.number().int().min(1).max(MAX_SUBMISSION).nullable().default(null),
     [DEADLINE_HEADER]: z.coerce.number().int().min(1).max(limits.maxDeadlineMs).default(limits.defaultDeadlineMs),
@@ -154,10 +154,10 @@
 
 /** Whether a service call may be repeated: the longest path prefix that fits decides, and where none fits, once. */
 export function serviceSafety (intent: ServiceIntent, method: string, path: string): RequestSafety {
-  const fitting = intent.routes
+  const matching = intent.routes
     .filter((route) => (route.methods.length === 0 || route.methods.includes(method)) && path.startsWith(route.pathPrefix))
     .sort((left, right) => right.pathPrefix.length - left.pathPrefix.length)
-  return fitting[0]?.retry === RetryRule.Idempotent ? RequestSafety.Idempotent : RequestSafety.NonIdempotent
+  return matching[0]?.retry === RetryRule.Idempotent ? RequestSafety.Idempotent : RequestSafety.NonIdempotent
 }
 
 /** Stands for what was asked, so that an id or key used for something else is noticed. */
--- a/packages/dotterelspur-entry/src/request/HomeRuns.ts
+++ b/packages/dotterelspur-entry/src/request/HomeRuns.ts
@@ -8,13 +8,13 @@
 import { RunEventKind, finishedWith, type FinishedEvent, type RunEvent, type RunEvents, type RunRequest } from './RunRequest.js'
 
 /** What is kept of an ended run for repeats of its id. */
-export interface KeptRun {
+export interface RetainedRun {
   /** Null when the answer was too long to keep. */
   readonly answer: readonly RunEvent[] | null
   readonly finished: FinishedEvent
 }
 
-type Decision = OpenDecision<KeptRun>
+type Decision = OpenDecision<RetainedRun>
 
 const REFUSAL_OF: { readonly [Kind in Exclude<OpenKind, OpenKind.Run | OpenKind.InProgress | OpenKind.Ended>]: Outcome } = {
   [OpenKind.Forgotten]: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than what its home remembers; it is not run again'),
@@ -28,9 +28,9 @@
  * remembers what became of it.
  */
 export class HomeRuns {
-  private readonly memory: OutcomeMemory<KeptRun>
+  private readonly memory: OutcomeMemory<RetainedRun>
   /** Idempotent requests, remembered only so that their outcome can be asked for. */
-  private readonly recent: OutcomeMemory<KeptRun>
+  private readonly recent: OutcomeMemory<RetainedRun>
   private readonly waiters = new Map<RequestId, Set<() => void>>()
   private readonly clock: Clock
 
@@ -54,7 +54,7 @@
     if (decision.kind === OpenKind.InProgress || decision.kind === OpenKind.Ended) return this.follow(request.requestId, request.team, request.deadlineMs)
     const outcome = REFUSAL_OF[decision.kind]
     this.context.observer.refusedAsUnknown(outcome.reason)
-    return once(finishedWith(outcome))
+    return singleBatch(finishedWith(outcome))
   }
 
   /** Runs an idempotent request; its id is this process's own and new. */
@@ -76,7 +76,7 @@
         return
       }
       if (decision?.kind !== OpenKind.InProgress) {
-        yield [finishedWith(decision === undefined ? notSeen() : REFUSAL_OF[OpenKind.Forgotten])]
+        yield [finishedWith(decision === undefined ? unknownIdOutcome() : REFUSAL_OF[OpenKind.Forgotten])]
         return
       }
       const leftMs = deadlineAtMs - this.clock.nowMs()
@@ -97,7 +97,7 @@
     return recent ?? this.memory.lookup(requestId, identity.issuedWallMs, team, nowMs)
   }
 
-  private open (memory: OutcomeMemory<KeptRun>, request: RunRequest): Decision {
+  private open (memory: OutcomeMemory<RetainedRun>, request: RunRequest): Decision {
     const identity = parseRequestId(request.requestId)!
     const { requestId, team, fingerprint, submission, stale, ticket } = request
     const opened = { requestId, issuedWallMs: identity.issuedWallMs, team, fingerprint, submissionNumber: submission, stale, ticket: ticket ?? memory.ticket }
@@ -108,16 +108,16 @@
     const refusal = this.gate.refusal()
     if (refusal !== null) {
       this.close(request.requestId, { outcome: refusal, answer: { answer: [], finished: finishedWith(refusal) } })
-      return once(finishedWith(refusal))
+      return singleBatch(finishedWith(refusal))
     }
-    const keeper = new AnswerKeeper(this.context.limits.maxKeptAnswerBytes)
+    const recorder = new AnswerRecorder(this.context.limits.maxKeptAnswerBytes)
     return this.runs.start(request, (event) => {
-      if (event.kind !== RunEventKind.Finished) return keeper.add(event)
-      this.close(request.requestId, { outcome: event.outcome, answer: { answer: keeper.kept(), finished: event } })
+      if (event.kind !== RunEventKind.Finished) return recorder.add(event)
+      this.close(request.requestId, { outcome: event.outcome, answer: { answer: recorder.recordedEvents(), finished: event } })
     })
   }
 
-  private close (requestId: RequestId, ended: EndedRequest<KeptRun>): void {
+  private close (requestId: RequestId, ended: EndedRequest<RetainedRun>): void {
     this.memory.close(requestId, ended, this.clock.nowMs())
     const waiting = this.waiters.get(requestId)
     this.waiters.delete(requestId)
@@ -139,7 +139,7 @@
 }
 
 /** Collects an answer up to a size. */
-class AnswerKeeper {
+class AnswerRecorder {
   private readonly texts: string[] = []
   private tokens = 0
   private response: RunEvent | null = null
@@ -159,7 +159,7 @@
     if (this.sizeBytes <= this.maxBytes) this.texts.push(event.text)
   }
 
-  kept (): readonly RunEvent[] | null {
+  recordedEvents (): readonly RunEvent[] | null {
     if (this.sizeBytes > this.maxBytes) return null
     if (this.response !== null) return [this.response]
     return this.tokens === 0 ? [] : [{ kind: RunEventKind.Text, offset: 0, tokens: this.tokens, text: this.texts.join('') }]
@@ -173,17 +173,17 @@
 }
 
 /** The events of an ended run; partial text of one that didn't end whole is not given again. */
-function replay (ended: EndedRequest<KeptRun>): readonly RunEvent[] {
-  const kept = ended.answer
-  if (kept === null) return [{ ...finishedWith(ended.outcome), withheld: true }]
-  if (kept.answer === null) return [{ ...kept.finished, withheld: true }]
-  return [...kept.answer, kept.finished]
+function replay (ended: EndedRequest<RetainedRun>): readonly RunEvent[] {
+  const retained = ended.answer
+  if (retained === null) return [{ ...finishedWith(ended.outcome), withheld: true }]
+  if (retained.answer === null) return [{ ...retained.finished, withheld: true }]
+  return [...retained.answer, retained.finished]
 }
 
-function notSeen (): Outcome {
+function unknownIdOutcome (): Outcome {
   return unknownOutcome(OutcomeReason.HomeGone, 'the home has not seen this id')
 }
 
-export async function * once (...events: readonly RunEvent[]): RunEvents {
+export async function * singleBatch (...events: readonly RunEvent[]): RunEvents {
   yield events
 }
--- a/packages/dotterelspur-entry/src/request/Intake.ts
+++ b/packages/dotterelspur-entry/src/request/Intake.ts
@@ -15,7 +15,7 @@
 /** A request that was not started. */
 export interface Refusal {
   readonly outcome: Outcome
-  readonly repeatable: boolean
+  readonly retryable: boolean
   readonly entries: readonly string[] | undefined
 }
 
@@ -35,13 +35,13 @@
   }
 
   async start (run: RunRequest, headers: CallHeaders, message: IncomingMessage): Promise<Result<StartedRun, Refusal>> {
-    if (run.stale && await callerHasGone(message)) {
+    if (run.stale && await hasCallerDisconnected(message)) {
       const outcome = unknownOutcome(OutcomeReason.Cancelled, 'the caller went away while this node was paused')
-      return failed({ outcome, repeatable: true, entries: undefined })
+      return failed({ outcome, retryable: true, entries: undefined })
     }
     if (run.safety === RequestSafety.NonIdempotent) return success(await this.keyed.run(run, headers.idempotencyKey))
     const refusal = this.gate.refusal()
-    if (refusal !== null) return failed({ outcome: refusal, repeatable: true, entries: this.gate.otherEntries() })
+    if (refusal !== null) return failed({ outcome: refusal, retryable: true, entries: this.gate.otherEntries() })
     return success({ requestId: run.requestId, events: this.homeRuns.runIdempotent(run) })
   }
 
@@ -55,12 +55,12 @@
  * Gives the sockets two turns of the event loop to tell that the caller has gone. Requests that waited in the
  * kernel through a pause are read before the ends of their connections.
  */
-async function callerHasGone (message: IncomingMessage): Promise<boolean> {
-  await turn()
-  await turn()
+async function hasCallerDisconnected (message: IncomingMessage): Promise<boolean> {
+  await nextEventLoopTurn()
+  await nextEventLoopTurn()
   return message.socket.destroyed || message.socket.readableEnded
 }
 
-function turn (): Promise<void> {
+function nextEventLoopTurn (): Promise<void> {
   return new Promise((resolve) => { setImmediate(resolve) })
 }
--- a/packages/dotterelspur-entry/src/request/KeyedRuns.ts
+++ b/packages/dotterelspur-entry/src/request/KeyedRuns.ts
@@ -6,7 +6,7 @@
 import { CLAIM_BUCKETS, claimBucket } from '../process/ClaimSweeper.js'
 import type { EntryContext } from '../process/EntryContext.js'
 import type { NodeGate } from '../process/NodeGate.js'
-import { unsent, type HomeLink } from './HomeLink.js'
+import { unsentOutcome, type HomeLink } from './HomeLink.js'
 import type { HomeRuns } from './HomeRuns.js'
 import { finishedWith, type RunEvents, type RunRequest } from './RunRequest.js'
 
@@ -34,8 +34,8 @@
    *   `request.requestId` is a new id of this process, used where the key doesn't bring one.
    */
   async run (request: RunRequest, key: string | null): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
-    if (key === null) return this.atHome(request)
-    if (parseRequestId(key) !== undefined) return this.atHome({ ...request, requestId: key })
+    if (key === null) return this.runAtHome(request)
+    if (parseRequestId(key) !== undefined) return this.runAtHome({ ...request, requestId: key })
     return this.runClaimed(request, key)
   }
 
@@ -49,37 +49,37 @@
     return unknownOutcome(OutcomeReason.StoreUnavailable, 'the platform\'s store can\'t be asked for this key now', 1_000)
   }
 
-  isSelf (home: HomeId): boolean {
+  isLocalHome (home: HomeId): boolean {
     return home === homeOf(this.context.mesh.self)
   }
 
-  private atHome (request: RunRequest): { readonly requestId: RequestId, readonly events: RunEvents } {
+  private runAtHome (request: RunRequest): { readonly requestId: RequestId, readonly events: RunEvents } {
     const { home } = parseRequestId(request.requestId)!
-    const events = this.isSelf(home) ? this.homeRuns.run(request) : this.link.run(home, request)
+    const events = this.isLocalHome(home) ? this.homeRuns.run(request) : this.link.run(home, request)
     return { requestId: request.requestId, events }
   }
 
   private async runClaimed (request: RunRequest, key: string): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
     const refusal = this.gate.refusal()
-    if (refusal !== null) return this.refuseOrPass(request, key, refusal)
-    const stand = await this.claim(request, key)
-    if (stand.kind === ClaimStateKind.Settled) return this.atHome({ ...request, requestId: stand.requestId })
-    const outcome = stand.kind === ClaimStateKind.NotWritten
-      ? unsent(request, `the key could not be claimed: ${stand.reason}`, OutcomeReason.StoreUnavailable)
-      : unknownOutcome(OutcomeReason.ClaimUnsettled, `it is not settled which request the key stands for: ${stand.reason}`, 1_000)
+    if (refusal !== null) return this.refuseOrForward(request, key, refusal)
+    const claim = await this.claim(request, key)
+    if (claim.kind === ClaimStateKind.Settled) return this.runAtHome({ ...request, requestId: claim.requestId })
+    const outcome = claim.kind === ClaimStateKind.NotWritten
+      ? unsentOutcome(request, `the key could not be claimed: ${claim.reason}`, OutcomeReason.StoreUnavailable)
+      : unknownOutcome(OutcomeReason.ClaimUnsettled, `it is not settled which request the key stands for: ${claim.reason}`, 1_000)
     return this.refuse(request, outcome)
   }
 
   /** This node takes no new work, but a key that stands for an id already can still be passed to its home. */
-  private async refuseOrPass (request: RunRequest, key: string, refusal: Outcome): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
-    const known = this.gate.isIsolated() ? undefined : await this.resolve(request.team, key)
-    if (typeof known === 'string') return this.atHome({ ...request, requestId: known })
-    return this.refuse(request, unsent(request, refusal.message, refusal.reason, refusal.retryAfterMs ?? undefined))
+  private async refuseOrForward (request: RunRequest, key: string, refusal: Outcome): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
+    const resolved = this.gate.isIsolated() ? undefined : await this.resolve(request.team, key)
+    if (typeof resolved === 'string') return this.runAtHome({ ...request, requestId: resolved })
+    return this.refuse(request, unsentOutcome(request, refusal.message, refusal.reason, refusal.retryAfterMs ?? undefined))
   }
 
   private refuse (request: RunRequest, outcome: Outcome): { readonly requestId: RequestId, readonly events: RunEvents } {
     if (outcome.kind === OutcomeKind.Unknown) this.context.observer.refusedAsUnknown(outcome.reason)
-    return { requestId: request.requestId, events: onlyFinished(outcome) }
+    return { requestId: request.requestId, events: finishedEvents(outcome) }
   }
 
   private claim (request: RunRequest, key: string): Promise<ClaimState> {
@@ -101,6 +101,6 @@
   }
 }
 
-async function * onlyFinished (outcome: Outcome): RunEvents {
+async function * finishedEvents (outcome: Outcome): RunEvents {
   yield [finishedWith(outcome)]
 }
--- a/packages/dotterelspur-entry/src/request/LocalRuns.ts
+++ b/packages/dotterelspur-entry/src/request/LocalRuns.ts
@@ -18,7 +18,7 @@
 const SUSPECT_RETRY_MS = 1_500
 
 /** Outcomes of requests that seem to end the endpoints that run them, or do. */
-const HELD_BACK: Readonly<Record<AdmissionKind.Deferred | AdmissionKind.Quarantined, Outcome>> = {
+const POISON_REFUSALS: Readonly<Record<AdmissionKind.Deferred | AdmissionKind.Quarantined, Outcome>> = {
   [AdmissionKind.Deferred]: notRun(OutcomeReason.Overloaded, 'endpoints ended with this request; it is tried one at a time', SUSPECT_RETRY_MS),
   [AdmissionKind.Quarantined]: notRun(OutcomeReason.Quarantined, 'this request ends the endpoints that run it', null)
 }
@@ -31,7 +31,7 @@
 }
 
 /** What a run did, for admission's limits. */
-interface Performed {
+interface RunResult {
   readonly finished: FinishedEvent
   readonly firstTokenAtMs: number | null
   readonly overloaded: boolean
@@ -60,10 +60,10 @@
   /** Starts a run at once. `onEvent` hears every event, the last one before the consumer does. */
   start (request: RunRequest, onEvent: (event: RunEvent) => void = () => {}): RunEvents {
     const interrupt = new RequestInterrupt()
-    const channel = new RunChannel({ onEvent, onAbandoned: () => { this.callerGone(request, interrupt) } })
+    const channel = new RunChannel({ onEvent, onAbandoned: () => { this.cancelForCaller(request, interrupt) } })
     const run: LocalRun = { request, interrupt, channel, startedAtMs: this.context.clock.nowMs() }
     this.active.add(run)
-    this.perform(run).then((finished) => {
+    this.execute(run).then((finished) => {
       this.active.delete(run)
       channel.push(finished)
       channel.end()
@@ -77,13 +77,13 @@
     for (const run of this.active) run.interrupt.fire(InterruptKind.Deadline)
   }
 
-  private callerGone (request: RunRequest, interrupt: RequestInterrupt): void {
+  private cancelForCaller (request: RunRequest, interrupt: RequestInterrupt): void {
     if (request.safety === RequestSafety.NonIdempotent) return
     this.context.gate.cancel(request.requestId)
     interrupt.fire(InterruptKind.CallerGone)
   }
 
-  private async perform (run: LocalRun): Promise<FinishedEvent> {
+  private async execute (run: LocalRun): Promise<FinishedEvent> {
     const cancelDeadline = this.context.clock.registerTimer(run.request.deadlineMs, () => { run.interrupt.fire(InterruptKind.Deadline) })
     try {
       return await this.admitAndRun(run)
@@ -96,10 +96,10 @@
 
   private async admitAndRun (run: LocalRun): Promise<FinishedEvent> {
     const { request } = run
-    const refusal = this.refuseEarly()
+    const refusal = this.checkCapacity()
     if (refusal !== null) return this.refuse(run, refusal)
     const { kind, release } = await this.context.poison.guard.admit(contentOf(request))
-    if (kind !== AdmissionKind.Admitted) return this.refuse(run, HELD_BACK[kind])
+    if (kind !== AdmissionKind.Admitted) return this.refuse(run, POISON_REFUSALS[kind])
     try {
       return await this.enterAndRun(run)
     } finally {
@@ -121,21 +121,21 @@
     if (!admitted.ok) return this.refuse(run, admitted.error)
     const dispatchedAtMs = clock.nowMs()
     retries.recordFirstAttempt(request.team, teams.get(request.team)?.limits.retryPercent ?? 0)
-    let performed: Performed = { finished: finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'internal')), firstTokenAtMs: null, overloaded: false }
+    let result: RunResult = { finished: finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'internal')), firstTokenAtMs: null, overloaded: false }
     try {
-      performed = request.kind === RunKind.Model ? await this.runModel(run, request) : await this.runService(run, request)
+      result = request.kind === RunKind.Model ? await this.runModel(run, request) : await this.runService(run, request)
     } finally {
-      const { finished, firstTokenAtMs, overloaded } = performed
+      const { finished, firstTokenAtMs, overloaded } = result
       gate.leave(request.requestId, {
         firstTokenMs: firstTokenAtMs === null ? null : firstTokenAtMs - dispatchedAtMs,
         overloaded,
         tokens: finished.promptTokens + finished.completionTokens
       })
     }
-    return this.report(run, performed)
+    return this.report(run, result)
   }
 
-  private refuseEarly (): Outcome | null {
+  private checkCapacity (): Outcome | null {
     if (this.active.size > this.context.limits.maxRequests) return notRun(OutcomeReason.Overloaded, 'this node works on too many requests')
     return null
   }
@@ -144,7 +144,7 @@
     return this.report(run, { finished: finishedWith(refusal), firstTokenAtMs: null, overloaded: false })
   }
 
-  private async runModel (run: LocalRun, request: ModelRunRequest): Promise<Performed> {
+  private async runModel (run: LocalRun, request: ModelRunRequest): Promise<RunResult> {
     const runner = new ModelRunner(this.context, request, run.channel, run.interrupt)
     const { outcome, finishReason, promptTokens, completionTokens, attempts } = await runner.run()
     return {
@@ -154,7 +154,7 @@
     }
   }
 
-  private async runService (run: LocalRun, request: ServiceRunRequest): Promise<Performed> {
+  private async runService (run: LocalRun, request: ServiceRunRequest): Promise<RunResult> {
     const { outcome, response, attempts } = await new ServiceRunner(this.context, request, run.interrupt).run()
     if (response !== null) run.channel.push({ kind: RunEventKind.Response, response })
     return {
@@ -164,9 +164,9 @@
     }
   }
 
-  private report (run: LocalRun, performed: Performed): FinishedEvent {
+  private report (run: LocalRun, result: RunResult): FinishedEvent {
     const { request, startedAtMs } = run
-    const { finished, firstTokenAtMs } = performed
+    const { finished, firstTokenAtMs } = result
     this.context.observer.requestEnded({
       kind: request.kind,
       team: request.team,
--- a/packages/dotterelspur-entry/src/request/ModelRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ModelRunner.ts
@@ -23,12 +23,12 @@
   private route: RouteAttempt | null = null
   private decidedAtMs = 0
   private attemptTokens = 0
-  private attemptEnd = AttemptResult.Cancelled
+  private attemptResult = AttemptResult.Cancelled
   private delivered = false
   private readonly prefixes: readonly number[]
   private readonly content: RequestContent
   /** Resolves once it is known whether the last endpoint that was lost has ended. */
-  private lossNoted: Promise<void> = Promise.resolve()
+  private lossCheck: Promise<void> = Promise.resolve()
   private exchange: ExchangeTracker | null = null
   firstTokenAtMs: number | null = null
   overloaded = false
@@ -71,7 +71,7 @@
     [LifecycleEffectKind.CloseStream]: ({ cancel }) => { this.closeStream(cancel) },
     [LifecycleEffectKind.Lookup]: ({ group }) => this.context.engines.lookup(group.leaderAddress, this.request.requestId, this.context.timing.lookupTimeoutMs),
     [LifecycleEffectKind.CheckPoison]: async () => {
-      await this.lossNoted
+      await this.lossCheck
       return this.context.poison.guard.mayRetry(this.content)
     },
     [LifecycleEffectKind.SpendRetry]: () => this.spendRetry(),
@@ -80,7 +80,7 @@
       this.delivered = true
       return this.channel.push({ kind: RunEventKind.Text, offset, tokens, text })
     },
-    [LifecycleEffectKind.RestartAnswer]: () => this.startAgain()
+    [LifecycleEffectKind.RestartAnswer]: () => this.restartAnswer()
   }
 
   private select (excluded: readonly string[], version: string | null): Result<GroupView, Outcome> {
@@ -145,7 +145,7 @@
     this.route = router.begin(this.target!, nowMs)
     this.attemptTokens = 0
     this.exchange = this.context.poison.guard.trackExchange(this.content)
-    this.attemptEnd = AttemptResult.Cancelled
+    this.attemptResult = AttemptResult.Cancelled
     this.open((signal) => engines.generate(group.leaderAddress, generate, signal))
     return true
   }
@@ -157,36 +157,36 @@
 
   private next (): NextEvent | Promise<NextEvent> {
     const event = this.stream!.next()
-    if (event instanceof Promise) return event.then((arrived) => this.note(arrived))
-    return this.note(event)
+    if (event instanceof Promise) return event.then((arrived) => this.noteEvent(arrived))
+    return this.noteEvent(event)
   }
 
-  private note (event: NextEvent): NextEvent {
-    if (event === null) this.attemptEnd = AttemptResult.Broken
+  private noteEvent (event: NextEvent): NextEvent {
+    if (event === null) this.attemptResult = AttemptResult.Broken
     else if (!('kind' in event)) return event
     else if (event.kind === StreamEventKind.Chunk) this.noteChunk(event.chunk)
     else if (event.kind === StreamEventKind.Error) this.noteError(event.error)
-    else this.attemptEnd = event.kind === InterruptKind.Stalled ? AttemptResult.Broken : AttemptResult.Cancelled
-    if (this.attemptEnd === AttemptResult.Refused) this.overloaded = true
-    if (isLost(event)) this.noteLoss()
-    if (this.attemptEnd === AttemptResult.Completed) this.context.poison.guard.noteAnswer(this.content)
+    else this.attemptResult = event.kind === InterruptKind.Stalled ? AttemptResult.Broken : AttemptResult.Cancelled
+    if (this.attemptResult === AttemptResult.Refused) this.overloaded = true
+    if (isConnectionLost(event)) this.noteLoss()
+    if (this.attemptResult === AttemptResult.Completed) this.context.poison.guard.noteAnswer(this.content)
     return event
   }
 
   private noteError (error: EndpointError): void {
-    this.attemptEnd = END_OF_ERROR[error.kind]
+    this.attemptResult = RESULT_BY_ERROR[error.kind]
     if (error.kind === EndpointErrorKind.Refused && this.route !== null) this.context.router.recordBackoff(this.route, error.retryAfterMs, this.context.clock.nowMs())
   }
 
   private noteLoss (): void {
     if (this.group === null) return
     const { group, formation, leaderAddress } = this.group
-    this.lossNoted = this.context.poison.noteLoss({ content: this.content, endpoint: groupTargetId(group, formation), url: leaderAddress, tokens: this.attemptTokens })
+    this.lossCheck = this.context.poison.noteLoss({ content: this.content, endpoint: groupTargetId(group, formation), url: leaderAddress, tokens: this.attemptTokens })
   }
 
   private noteChunk (chunk: { readonly kind: ChunkKind, readonly tokens?: number }): void {
     if (chunk.tokens === undefined) {
-      this.attemptEnd = AttemptResult.Completed
+      this.attemptResult = AttemptResult.Completed
       return
     }
     const nowMs = this.context.clock.nowMs()
@@ -199,7 +199,7 @@
   private closeStream (cancel: boolean): void {
     const { engines, timing } = this.context
     const { group, stream } = this
-    const finished = this.attemptEnd === AttemptResult.Completed
+    const finished = this.attemptResult === AttemptResult.Completed
     this.stream = null
     stream?.close()
     this.endAttempt()
@@ -211,7 +211,7 @@
     this.stream?.close()
     this.stream = null
     if (this.route === null) return
-    this.context.router.end(this.route, this.attemptEnd, this.context.clock.nowMs(), this.attemptTokens)
+    this.context.router.end(this.route, this.attemptResult, this.context.clock.nowMs(), this.attemptTokens)
     this.route = null
   }
 
@@ -221,7 +221,7 @@
     return allowed
   }
 
-  private startAgain (): boolean {
+  private restartAnswer (): boolean {
     if (this.request.streamed && this.delivered) return false
     this.channel.push({ kind: RunEventKind.Restart })
     this.delivered = false
@@ -244,14 +244,14 @@
   }
 }
 
-const LOST_BY: ReadonlySet<EndpointErrorKind> = new Set([EndpointErrorKind.Ambiguous, EndpointErrorKind.Broken])
+const CONNECTION_LOSS_ERRORS: ReadonlySet<EndpointErrorKind> = new Set([EndpointErrorKind.Ambiguous, EndpointErrorKind.Broken])
 
 /** Whether the connection ended in the middle of an answer. */
-function isLost (event: NextEvent): boolean {
-  return event === null || ('kind' in event && event.kind === StreamEventKind.Error && LOST_BY.has(event.error.kind))
+function isConnectionLost (event: NextEvent): boolean {
+  return event === null || ('kind' in event && event.kind === StreamEventKind.Error && CONNECTION_LOSS_ERRORS.has(event.error.kind))
 }
 
-const END_OF_ERROR: Readonly<Record<EndpointErrorKind, AttemptResult>> = {
+const RESULT_BY_ERROR: Readonly<Record<EndpointErrorKind, AttemptResult>> = {
   [EndpointErrorKind.NotRun]: AttemptResult.Broken,
   [EndpointErrorKind.WrongFormation]: AttemptResult.Refused,
   [EndpointErrorKind.Fenced]: AttemptResult.Refused,
@@ -262,10 +262,10 @@
   [EndpointErrorKind.Malformed]: AttemptResult.Broken
 }
 
-const OVERLOADED_BY: ReadonlySet<RouteRefusalKind> = new Set([RouteRefusalKind.AllTried, RouteRefusalKind.AllBackingOff])
+const OVERLOAD_REFUSALS: ReadonlySet<RouteRefusalKind> = new Set([RouteRefusalKind.AllTried, RouteRefusalKind.AllBackingOff])
 
 /** A refusal to choose, as the outcome of a request that was never sent. */
 export function refusalOutcome (refusal: RouteRefusal): Outcome {
-  const reason = OVERLOADED_BY.has(refusal.kind) ? OutcomeReason.Overloaded : OutcomeReason.NoReplica
+  const reason = OVERLOAD_REFUSALS.has(refusal.kind) ? OutcomeReason.Overloaded : OutcomeReason.NoReplica
   return { kind: OutcomeKind.NotRun, reason, message: refusal.message, retryAfterMs: refusal.retryAfterMs }
 }
--- a/packages/dotterelspur-entry/src/request/ServiceRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ServiceRunner.ts
@@ -9,18 +9,18 @@
 import type { ServiceRunRequest } from './RunRequest.js'
 
 /** Errors after which the worker may have ended. */
-const LOST_BY: ReadonlySet<EndpointErrorKind> = new Set([EndpointErrorKind.Ambiguous, EndpointErrorKind.Broken])
+const CONNECTION_LOSS_ERRORS: ReadonlySet<EndpointErrorKind> = new Set([EndpointErrorKind.Ambiguous, EndpointErrorKind.Broken])
 
 type CallResult = Result<ServiceResponse, EndpointError> | Interrupt | null
 
 /** Carries out the effects of one service call's procedure against the service's workers. */
 export class ServiceRunner {
-  private readonly tried = new Map<string, string>()
+  private readonly triedTargets = new Map<string, string>()
   private target: ServiceTarget | null = null
   private decidedAtMs = 0
   private readonly content: RequestContent
   /** Resolves once it is known whether the last worker that was lost has ended. */
-  private lossNoted: Promise<void> = Promise.resolve()
+  private lossCheck: Promise<void> = Promise.resolve()
 
   constructor (private readonly context: EntryContext, private readonly request: ServiceRunRequest, private readonly interrupt: RequestInterrupt) {
     this.content = contentOf(request)
@@ -34,7 +34,7 @@
     [LifecycleEffectKind.SelectWorker]: ({ excluded }) => this.select(excluded),
     [LifecycleEffectKind.CallService]: (effect) => this.call(effect),
     [LifecycleEffectKind.CheckPoison]: async () => {
-      await this.lossNoted
+      await this.lossCheck
       return this.context.poison.guard.mayRetry(this.content)
     },
     [LifecycleEffectKind.SpendRetry]: () => {
@@ -52,14 +52,14 @@
     const decision = router.decide({
       kind: TargetKind.Service,
       service,
-      excluded: new Set(excluded.map((vm) => this.tried.get(vm) ?? vm)),
+      excluded: new Set(excluded.map((vm) => this.triedTargets.get(vm) ?? vm)),
       priority,
       idempotent: safety === RequestSafety.Idempotent
     }, this.decidedAtMs, random)
     if (!decision.ok) return failed(refusalOutcome(decision.error))
     const { target } = decision.value
     this.target = target
-    this.tried.set(target.vm, target.id)
+    this.triedTargets.set(target.vm, target.id)
     return success({ vm: target.vm, address: target.address })
   }
 
@@ -75,7 +75,7 @@
     const route = router.begin(this.target!, nowMs)
     const result = await this.send(worker, attempt)
     this.endRoute(route, result)
-    this.noteEnd(worker, result)
+    this.noteResult(worker, result)
     return result
   }
 
@@ -97,11 +97,11 @@
     })
   }
 
-  private noteEnd ({ address }: ServiceWorker, result: Result<ServiceResponse, EndpointError> | Interrupt): void {
+  private noteResult ({ address }: ServiceWorker, result: Result<ServiceResponse, EndpointError> | Interrupt): void {
     const { poison } = this.context
     if (!('ok' in result)) return
     if (result.ok) return poison.guard.noteAnswer(this.content)
-    if (LOST_BY.has(result.error.kind)) this.lossNoted = poison.noteLoss({ content: this.content, endpoint: this.target!.id, url: address, tokens: 0 })
+    if (CONNECTION_LOSS_ERRORS.has(result.error.kind)) this.lossCheck = poison.noteLoss({ content: this.content, endpoint: this.target!.id, url: address, tokens: 0 })
   }
 
   private endRoute (route: RouteAttempt, result: Result<ServiceResponse, EndpointError> | Interrupt): void {
--- a/packages/dotterelspur-entry/src/request/errorBody.ts
+++ b/packages/dotterelspur-entry/src/request/errorBody.ts
@@ -52,9 +52,9 @@
  * Headers that go with a refusal. `x-should-retry` tells client libraries that retry by themselves whether that
  * is safe: without it they would send a non-idempotent request again under another id after an unknown outcome.
  */
-export function errorHeaders (outcome: Outcome, repeatable: boolean): Record<string, string> {
+export function errorHeaders (outcome: Outcome, retryable: boolean): Record<string, string> {
   const headers: Record<string, string> = { 'dotterelspur-outcome': outcome.kind }
-  const safe = repeatable || outcome.kind === OutcomeKind.NotRun
+  const safe = retryable || outcome.kind === OutcomeKind.NotRun
   headers['x-should-retry'] = safe && outcome.retryAfterMs !== null ? 'true' : 'false'
   if (outcome.retryAfterMs !== null) {
     headers['retry-after'] = String(Math.ceil(outcome.retryAfterMs / MS_PER_SECOND))
