--- a/packages/dotterelspur-entry/src/__tests__/unit/callers.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/callers.test.ts
@@ -121,7 +121,7 @@
   it('slows the engine to a slow caller, then cuts the caller off', async () => {
     let cut = (): void => {}
     const cutOff = new Promise<void>((resolve) => { cut = resolve })
-    await start({ limits: { slowCallerMs: 50 }, observer: { ...SILENT_OBSERVER, slowCallerCut: () => { cut() } } })
+    await start({ limits: { slowCallerMs: 50 }, observer: { ...SILENT_OBSERVER, slowCallerDisconnected: () => { cut() } } })
     const text = 'x'.repeat(1_000)
     let made = 0
     let stopped = false
--- a/packages/dotterelspur-entry/src/__tests__/unit/poisonRequests.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/poisonRequests.test.ts
@@ -20,7 +20,7 @@
 
   beforeEach(async () => {
     ended = new Set()
-    harness = await startHarness({ nodes: NODES, groups: GROUPS, hasEnded: async (host) => ended.has(`http://${host.replace(/:80$/, '')}`) })
+    harness = await startHarness({ nodes: NODES, groups: GROUPS, hasTerminated: async (host) => ended.has(`http://${host.replace(/:80$/, '')}`) })
     for (const group of GROUPS) harness.engines.behaviours.set(`http://${group}`, endedBy(`http://${group}`))
     const [first] = harness.network.services
     harness.network.services = WORKERS.map((vm) => ({ ...first!, vm, address: `http://${vm}` }))
--- a/packages/dotterelspur-entry/src/connection/registerModelRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerModelRoutes.ts
@@ -99,7 +99,7 @@
 async function streamAnswer (answering: Answering, events: RunEvents): Promise<FastifyReply | undefined> {
   const { services, reply, format, call } = answering
   const { clock, limits, observer } = services.context
-  const writer = new CallerWriter(reply.raw, clock, limits.slowCallerMs, () => { observer.slowCallerCut() })
+  const writer = new CallerWriter(reply.raw, clock, limits.slowCallerMs, () => { observer.slowCallerDisconnected() })
   let open = false
   let finished = silence()
   const iterator = events[Symbol.asyncIterator]()
--- a/packages/dotterelspur-entry/src/process/AdmissionGate.ts
+++ b/packages/dotterelspur-entry/src/process/AdmissionGate.ts
@@ -29,17 +29,17 @@
   enter (request: AdmissionRequest): Promise<Result<void, Outcome>> {
     return new Promise((resolve) => {
       this.waiting.set(request.id, resolve)
-      this.carryOut(this.controller.offer(request, this.clock.nowMs()))
+      this.applyEffects(this.controller.offer(request, this.clock.nowMs()))
     })
   }
 
   /** Once for each request that was let in. */
   leave (id: RequestId, result: AdmissionResult): void {
-    this.carryOut(this.controller.finish(id, result, this.clock.nowMs()))
+    this.applyEffects(this.controller.finish(id, result, this.clock.nowMs()))
   }
 
   cancel (id: RequestId): void {
-    if (this.waiting.has(id)) this.carryOut(this.controller.cancel(id, this.clock.nowMs()))
+    if (this.waiting.has(id)) this.applyEffects(this.controller.cancel(id, this.clock.nowMs()))
   }
 
   /** Takes in how much the targets of each lane can run. */
@@ -50,19 +50,19 @@
       capacities.set(lane, (capacities.get(lane) ?? 0) + target.load.capacity)
     }
     const nowMs = this.clock.nowMs()
-    for (const [lane, capacity] of capacities) this.carryOut(this.controller.configureLane(lane, capacity, this.livingNodes(), nowMs))
+    for (const [lane, capacity] of capacities) this.applyEffects(this.controller.configureLane(lane, capacity, this.countAliveNodes(), nowMs))
   }
 
   private configureTeams (): void {
     const limits = new Map<string, TeamLimits>(this.teams.all().map((settings) => [settings.team, settings.limits]))
-    this.controller.configureTeams(limits, this.livingNodes(), this.clock.nowMs())
+    this.controller.configureTeams(limits, this.countAliveNodes(), this.clock.nowMs())
   }
 
-  private livingNodes (): number {
+  private countAliveNodes (): number {
     return Math.max(1, this.mesh.members().filter((member) => member.state === NodeState.Alive || member.state === NodeState.Suspect).length)
   }
 
-  private carryOut (effects: readonly AdmissionEffect[]): void {
+  private applyEffects (effects: readonly AdmissionEffect[]): void {
     for (const effect of effects) {
       const settle = this.waiting.get(effect.id)
       this.waiting.delete(effect.id)
@@ -76,7 +76,7 @@
     this.cancelTick = () => {}
     const atMs = this.controller.nextTickAtMs()
     if (atMs === null) return
-    this.cancelTick = this.clock.registerTimer(Math.max(1, atMs - this.clock.nowMs()), () => { this.carryOut(this.controller.tick(this.clock.nowMs())) })
+    this.cancelTick = this.clock.registerTimer(Math.max(1, atMs - this.clock.nowMs()), () => { this.applyEffects(this.controller.tick(this.clock.nowMs())) })
   }
 }
 
--- a/packages/dotterelspur-entry/src/process/CacheEventPoller.ts
+++ b/packages/dotterelspur-entry/src/process/CacheEventPoller.ts
@@ -34,8 +34,8 @@
   constructor (private readonly context: PollerContext) {}
 
   start (): Teardown {
-    const unregister = this.context.fleet.registerListener((targets) => { this.takeIn(targets) })
-    this.pause(0)
+    const unregister = this.context.fleet.registerListener((targets) => { this.updateLeaders(targets) })
+    this.scheduleNextPoll(0)
     return () => {
       this.stopped = true
       this.cancelTimer()
@@ -44,7 +44,7 @@
   }
 
   /** Targets are the groups that may be dispatched to. Their ids hold the formation, so a new one starts over. */
-  private takeIn (targets: readonly RouteTarget[]): void {
+  private updateLeaders (targets: readonly RouteTarget[]): void {
     const groups = targets.filter((target): target is GroupTarget => target.kind === TargetKind.Group && target.region === this.context.mesh.self.region)
     const present = new Set(groups.map((group) => group.id))
     for (const id of this.leaders.keys()) {
@@ -56,25 +56,25 @@
   }
 
   /** Every group has its turn once an interval, unless the last poll cost more than the budget gives in that time. */
-  private pause (costBytes: number): void {
+  private scheduleNextPoll (costBytes: number): void {
     if (this.stopped) return
     const { clock, random, timing, limits } = this.context
     const turnMs = timing.cacheEventIntervalMs / Math.max(1, this.leaders.size)
     const payOffMs = costBytes * MS_PER_SECOND / limits.cacheEventBytesPerSecond
     const dueMs = Math.max(turnMs, payOffMs) * (1 + JITTER * random.next())
-    this.cancelTimer = clock.registerTimer(dueMs, () => { this.takeTurn() })
+    this.cancelTimer = clock.registerTimer(dueMs, () => { this.pollNextLeader() })
   }
 
-  private takeTurn (): void {
+  private pollNextLeader (): void {
     const next = this.leaders.entries().next()
     if (next.done === true) {
-      this.pause(0)
+      this.scheduleNextPoll(0)
       return
     }
     const [id, leader] = next.value
     this.leaders.delete(id)
     this.leaders.set(id, leader)
-    this.poll(id, leader).then((costBytes) => { this.pause(costBytes) })
+    this.poll(id, leader).then((costBytes) => { this.scheduleNextPoll(costBytes) })
   }
 
   private async poll (id: TargetId, leader: Leader): Promise<number> {
--- a/packages/dotterelspur-entry/src/process/ClaimSweeper.ts
+++ b/packages/dotterelspur-entry/src/process/ClaimSweeper.ts
@@ -33,15 +33,15 @@
     let removed = 0
     for (let index = 0; index < CLAIM_BUCKETS; index += 1) {
       const bucket = claimBucket(index)
-      if (this.isOurs(bucket)) removed += await this.sweepBucket(bucket)
+      if (this.isOwnBucket(bucket)) removed += await this.sweepBucket(bucket)
     }
     return removed
   }
 
-  private isOurs (bucket: string): boolean {
+  private isOwnBucket (bucket: string): boolean {
     const { mesh } = this.context
-    const living = mesh.members().filter((member) => member.state === NodeState.Alive).map(homeOf)
-    return rendezvousOrder(`${CLAIM_PREFIX}${bucket}`, living)[0] === homeOf(mesh.self)
+    const aliveHomes = mesh.members().filter((member) => member.state === NodeState.Alive).map(homeOf)
+    return rendezvousOrder(`${CLAIM_PREFIX}${bucket}`, aliveHomes)[0] === homeOf(mesh.self)
   }
 
   private async sweepBucket (bucket: string): Promise<number> {
@@ -53,8 +53,8 @@
     for (const claim of listing.value.objects) {
       if (claim.deleted || clock.wallMs() - claim.body.claimedAtWallMs < timing.claimRetentionMs) continue
       observer.claimCall()
-      const gone = await store.remove(claim.key, claim.version)
-      if (gone.ok) removed += 1
+      const removal = await store.remove(claim.key, claim.version)
+      if (removal.ok) removed += 1
     }
     return removed
   }
--- a/packages/dotterelspur-entry/src/process/EntryContext.ts
+++ b/packages/dotterelspur-entry/src/process/EntryContext.ts
@@ -3,7 +3,7 @@
 import type { EntryLimits, EntryTiming } from './EntryOptions.js'
 import type { EntryObserver } from './EntryObserver.js'
 import type { FleetView } from './FleetView.js'
-import type { PoisonKeeper } from './PoisonKeeper.js'
+import type { PoisonTracker } from './PoisonTracker.js'
 import type { TeamTable } from './TeamTable.js'
 
 /** What the parts of one entry share; made once by createEntry. */
@@ -23,5 +23,5 @@
   readonly router: Router
   readonly retries: RetryBudget
   readonly pauses: PauseDetector
-  readonly poison: PoisonKeeper
+  readonly poison: PoisonTracker
 }
--- a/packages/dotterelspur-entry/src/process/EntryObserver.ts
+++ b/packages/dotterelspur-entry/src/process/EntryObserver.ts
@@ -19,27 +19,27 @@
 export interface EntryObserver {
   requestEnded (report: RequestReport): void
   /** One more attempt at a request was made. */
-  attemptRepeated (team: TeamId): void
+  attemptRetried (team: TeamId): void
   /** A choice was dropped right before its send because it no longer held. */
-  staleChoice (): void
+  staleDecision (): void
   /** A non-idempotent id was refused because it can't be known whether it ran. What the safety costs. */
   refusedAsUnknown (reason: OutcomeReason): void
   /** A request was passed to its home on another node. */
-  passedToHome (): void
+  forwardedToHome (): void
   /** A claim was made or read in the store. */
   claimCall (): void
-  slowCallerCut (): void
+  slowCallerDisconnected (): void
   /** The process was paused for this long. */
   paused (pauseMs: number): void
 }
 
 export const SILENT_OBSERVER: EntryObserver = {
   requestEnded: () => {},
-  attemptRepeated: () => {},
-  staleChoice: () => {},
+  attemptRetried: () => {},
+  staleDecision: () => {},
   refusedAsUnknown: () => {},
-  passedToHome: () => {},
+  forwardedToHome: () => {},
   claimCall: () => {},
-  slowCallerCut: () => {},
+  slowCallerDisconnected: () => {},
   paused: () => {}
 }
--- a/packages/dotterelspur-entry/src/process/EntryOptions.ts
+++ b/packages/dotterelspur-entry/src/process/EntryOptions.ts
@@ -23,7 +23,7 @@
   /** Ids of idempotent requests whose outcome can be asked for. */
   readonly maxRecentOutcomes: number
   /** A longer answer is not kept for repeats of its id. */
-  readonly maxKeptAnswerBytes: number
+  readonly maxRetainedAnswerBytes: number
   /** Requests that end endpoints. */
   readonly poison: PoisonLimits
   /** What reading the engines' cache events may cost this node, both ways, however many groups there are. */
@@ -66,7 +66,7 @@
   maxAttempts: 4,
   maxRememberedOutcomes: 20_000,
   maxRecentOutcomes: 2_000,
-  maxKeptAnswerBytes: 64 * 1024,
+  maxRetainedAnswerBytes: 64 * 1024,
   poison: { quarantineEnds: 3, mostRecords: 2_000, memoryMs: 600_000 },
   cacheEventBytesPerSecond: 1_000
 }
@@ -103,5 +103,5 @@
   readonly timing?: Partial<EntryTiming>
   readonly observer?: EntryObserver
   /** Whether nobody listens at an `ip:port` any more; asked where an endpoint was lost in the middle of a request. */
-  readonly hasEnded?: (address: string) => Promise<boolean>
+  readonly hasTerminated?: (address: string) => Promise<boolean>
 }
--- a/packages/dotterelspur-entry/src/process/FleetView.ts
+++ b/packages/dotterelspur-entry/src/process/FleetView.ts
@@ -66,7 +66,7 @@
   }
 
   /** Whether the group may be dispatched to at this very moment, at the formation that was chosen. */
-  holdsNow (view: GroupView): boolean {
+  isDispatchable (view: GroupView): boolean {
     const assignment = this.assignments.find((candidate) => candidate.fabricDomain === view.fabricDomain)
     const assigned = assignment?.groups.find((candidate) => candidate.group === view.group)
     if (assignment === undefined || assigned === undefined || assigned.formation !== view.formation) return false
@@ -75,7 +75,7 @@
   }
 
   /** The same for a worker of a plain service. */
-  workerHoldsNow (vm: string, address: string): boolean {
+  isWorkerDispatchable (vm: string, address: string): boolean {
     return this.presentWorkers().some((worker) => worker.vm === vm && worker.address === address)
   }
 
@@ -84,11 +84,11 @@
   }
 
   private readDocuments (): void {
-    this.assignments = this.living<AssignmentObject>(ASSIGNMENT_PREFIX)
-    this.drained = new Set(this.living<DrainObject>(DRAIN_PREFIX).map((drain) => drain.target))
+    this.assignments = this.liveBodies<AssignmentObject>(ASSIGNMENT_PREFIX)
+    this.drained = new Set(this.liveBodies<DrainObject>(DRAIN_PREFIX).map((drain) => drain.target))
   }
 
-  private living<Body> (prefix: string): Body[] {
+  private liveBodies<Body> (prefix: string): Body[] {
     return this.mesh.documents(prefix).filter((document) => !document.deleted).map((document) => document.body as Body)
   }
 
--- a/packages/dotterelspur-entry/src/process/PoisonKeeper.ts
+++ b/packages/dotterelspur-entry/src/process/PoisonTracker.ts
@@ -8,16 +8,16 @@
 const debug = createDebug('dotterelspur:poison')
 const NOTE_METHOD = 'poison.note'
 /** How often decisions are written and evidence is told that did not get through. */
-const LOOK_INTERVAL_MS = 200
-const TELL_TIMEOUT_MS = 1_000
-const USUAL_PORTS: Readonly<Record<string, number>> = { 'http:': 80, 'https:': 443 }
+const CHECK_INTERVAL_MS = 200
+const REPORT_TIMEOUT_MS = 1_000
+const DEFAULT_PORTS: Readonly<Record<string, number>> = { 'http:': 80, 'https:': 443 }
 
-export interface PoisonKeeperParts {
+export interface PoisonTrackerParts {
   readonly clock: Clock
   readonly mesh: MeshApi
   readonly store: ObjectStore
   readonly limits: PoisonLimits
-  readonly hasEnded: ((address: string) => Promise<boolean>) | undefined
+  readonly hasTerminated: ((address: string) => Promise<boolean>) | undefined
 }
 
 /** A request whose endpoint was lost in the middle of it. */
@@ -36,19 +36,19 @@
  * what is known and writes the decision down; the mesh spreads that as it spreads settings. So an end costs one call,
  * however many nodes there are.
  */
-export class PoisonKeeper {
+export class PoisonTracker {
   readonly guard: PoisonGuard
   private readonly quarantine: QuarantineRegistry
-  private readonly ended: TerminationProbe
+  private readonly terminationChecks: TerminationProbe
   /** What its home has not confirmed yet. */
-  private readonly untold = new Map<RequestFingerprint, PoisonRecord>()
-  private readonly telling = new Set<RequestFingerprint>()
+  private readonly unconfirmed = new Map<RequestFingerprint, PoisonRecord>()
+  private readonly reporting = new Set<RequestFingerprint>()
   private cancelTimer: Teardown = () => {}
 
-  constructor (private readonly parts: PoisonKeeperParts) {
-    const { clock, mesh, store, limits, hasEnded } = parts
-    this.ended = new TerminationProbe(hasEnded)
-    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.homeOf(fingerprint) === homeOf(mesh.self), onEvidence: (record) => { this.learn(record) } })
+  constructor (private readonly parts: PoisonTrackerParts) {
+    const { clock, mesh, store, limits, hasTerminated } = parts
+    this.terminationChecks = new TerminationProbe(hasTerminated)
+    this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.homeOf(fingerprint) === homeOf(mesh.self), onEvidence: (record) => { this.onEvidence(record) } })
     this.quarantine = new QuarantineRegistry({
       store, node: mesh.self.node, maxEntries: limits.mostRecords, clock, onWritten: (object) => { mesh.offerDocument(object) }, onProblem: (fingerprint, reason) => { debug('decision on %s not written: %s', fingerprint, reason) }
     })
@@ -66,7 +66,7 @@
 
   start (): Teardown {
     const { mesh } = this.parts
-    const unregisterHandler = mesh.registerCallHandler(NOTE_METHOD, (record) => this.takeNote(record as PoisonRecord))
+    const unregisterHandler = mesh.registerCallHandler(NOTE_METHOD, (record) => this.handleRecord(record as PoisonRecord))
     const unregisterDocuments = mesh.registerDocumentListener(QUARANTINE_PREFIX, (document) => { this.quarantine.applyObject(document as StoredObject<QuarantineObject>) })
     for (const document of mesh.documents(QUARANTINE_PREFIX)) this.quarantine.applyObject(document as MeshDocument & StoredObject<QuarantineObject>)
     this.schedule()
@@ -79,58 +79,58 @@
 
   /** Finds out whether the endpoint has ended; if so, that counts against the request once this resolves. */
   async noteLoss ({ content, endpoint, url, tokens }: LostRun): Promise<void> {
-    const ended = await this.ended.hasTerminated(addressOf(url))
-    debug('%s lost in the middle of a request, %s', endpoint, ended ? 'has ended' : 'still listens or is silent')
-    if (!ended) return
+    const terminated = await this.terminationChecks.hasTerminated(addressOf(url))
+    debug('%s lost in the middle of a request, %s', endpoint, terminated ? 'has ended' : 'still listens or is silent')
+    if (!terminated) return
     this.guard.noteTermination(content, endpoint, tokens)
-    await this.tellHomes()
+    await this.reportToHomes()
   }
 
   private schedule (): void {
-    this.cancelTimer = this.parts.clock.registerTimer(LOOK_INTERVAL_MS, () => {
+    this.cancelTimer = this.parts.clock.registerTimer(CHECK_INTERVAL_MS, () => {
       this.schedule()
-      this.look()
+      this.check()
     })
   }
 
-  private look (): void {
+  private check (): void {
     const { ledger } = this.guard
     if (ledger.isEmpty) return
     ledger.expire(this.parts.clock.nowMs())
     const own = [...ledger.quarantined].filter((fingerprint) => this.homeOf(fingerprint) === homeOf(this.parts.mesh.self))
     this.quarantine.persist(own.flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
-    this.tellHomes().catch((error: unknown) => { debug('evidence not told: %s', String(error)) })
+    this.reportToHomes().catch((error: unknown) => { debug('evidence not told: %s', String(error)) })
   }
 
-  private learn (record: PoisonRecord): void {
+  private onEvidence (record: PoisonRecord): void {
     debug('%s: %d ends, %d answers', record.fingerprint, record.ends.length, record.answers)
-    if (this.homeOf(record.fingerprint) !== homeOf(this.parts.mesh.self)) this.untold.set(record.fingerprint, record)
+    if (this.homeOf(record.fingerprint) !== homeOf(this.parts.mesh.self)) this.unconfirmed.set(record.fingerprint, record)
   }
 
-  private async * takeNote (record: PoisonRecord): AsyncIterable<PoisonRecord> {
+  private async * handleRecord (record: PoisonRecord): AsyncIterable<PoisonRecord> {
     const { ledger } = this.guard
     ledger.merge([record], this.parts.clock.nowMs())
     yield ledger.recordOf(record.fingerprint) ?? record
   }
 
-  private async tellHomes (): Promise<void> {
-    const waiting = [...this.untold.values()].filter(({ fingerprint }) => !this.telling.has(fingerprint))
-    await Promise.all(waiting.map(async (record) => { await this.tellHome(record) }))
+  private async reportToHomes (): Promise<void> {
+    const pending = [...this.unconfirmed.values()].filter(({ fingerprint }) => !this.reporting.has(fingerprint))
+    await Promise.all(pending.map(async (record) => { await this.reportToHome(record) }))
   }
 
-  private async tellHome (record: PoisonRecord): Promise<void> {
+  private async reportToHome (record: PoisonRecord): Promise<void> {
     const { fingerprint } = record
-    this.telling.add(fingerprint)
-    const known = await this.askHome(this.homeOf(fingerprint), record).finally(() => { this.telling.delete(fingerprint) })
-    if (known === null) return
-    if (this.untold.get(fingerprint) === record) this.untold.delete(fingerprint)
-    this.guard.ledger.merge([known], this.parts.clock.nowMs())
+    this.reporting.add(fingerprint)
+    const homeRecord = await this.sendRecord(this.homeOf(fingerprint), record).finally(() => { this.reporting.delete(fingerprint) })
+    if (homeRecord === null) return
+    if (this.unconfirmed.get(fingerprint) === record) this.unconfirmed.delete(fingerprint)
+    this.guard.ledger.merge([homeRecord], this.parts.clock.nowMs())
   }
 
   /** What the home knows of the request now; null where it could not be reached. */
-  private async askHome (home: HomeId, record: PoisonRecord): Promise<PoisonRecord | null> {
+  private async sendRecord (home: HomeId, record: PoisonRecord): Promise<PoisonRecord | null> {
     const abort = new AbortController()
-    const cancel = this.parts.clock.registerTimer(TELL_TIMEOUT_MS, () => { abort.abort() })
+    const cancel = this.parts.clock.registerTimer(REPORT_TIMEOUT_MS, () => { abort.abort() })
     try {
       for await (const event of this.parts.mesh.call(home, NOTE_METHOD, record, abort.signal)) {
         if (event.kind === CallEventKind.Message) return event.message as PoisonRecord
@@ -143,13 +143,13 @@
   }
 
   private homeOf (fingerprint: RequestFingerprint): HomeId {
-    const living = this.parts.mesh.members().filter(({ state }) => state === NodeState.Alive).map(homeOf)
-    return rendezvousOrder(fingerprint, living)[0] ?? homeOf(this.parts.mesh.self)
+    const aliveHomes = this.parts.mesh.members().filter(({ state }) => state === NodeState.Alive).map(homeOf)
+    return rendezvousOrder(fingerprint, aliveHomes)[0] ?? homeOf(this.parts.mesh.self)
   }
 }
 
 /** `ip:port` of a base URL; a URL leaves its protocol's usual port out. */
 function addressOf (url: string): string {
   const { hostname, port, protocol } = new URL(url)
-  return `${hostname}:${port === '' ? USUAL_PORTS[protocol] : port}`
+  return `${hostname}:${port === '' ? DEFAULT_PORTS[protocol] : port}`
 }
--- a/packages/dotterelspur-entry/src/process/TeamTable.ts
+++ b/packages/dotterelspur-entry/src/process/TeamTable.ts
@@ -3,7 +3,7 @@
 import { hashToken, tokenMatches } from 'dotterelspur-settings'
 
 const debug = createDebug('dotterelspur:entry')
-const MAX_KNOWN_TOKENS = 4_096
+const MAX_CACHED_TOKENS = 4_096
 
 /** Reads the team settings in a `teams/<team>` object; the failure is only logged. */
 export type TeamParser = (object: TeamObject) => Result<TeamSettings, unknown>
@@ -19,15 +19,15 @@
   /** The highest version seen of each team, deleted ones included, so that an older text can't bring a deleted team back. */
   private readonly highestVersions = new Map<TeamId, number>()
   /** Hashes of tokens that were presented lately, and their teams; cleared with every change of settings. */
-  private readonly knownTokens = new Map<string, TeamId>()
+  private readonly tokenCache = new Map<string, TeamId>()
   private readonly listeners = new Set<() => void>()
 
   constructor (private readonly mesh: MeshApi, private readonly parseTeam: TeamParser) {
-    for (const document of mesh.documents(TEAM_PREFIX)) this.takeIn(document)
+    for (const document of mesh.documents(TEAM_PREFIX)) this.applyDocument(document)
   }
 
   start (): Teardown {
-    return this.mesh.registerDocumentListener(TEAM_PREFIX, (document) => { this.takeIn(document) })
+    return this.mesh.registerDocumentListener(TEAM_PREFIX, (document) => { this.applyDocument(document) })
   }
 
   registerListener (listener: () => void): Teardown {
@@ -51,15 +51,15 @@
    */
   findByToken (token: string): TeamSettings | undefined {
     const hash = hashToken(token)
-    const known = this.knownTokens.get(hash)
-    if (known !== undefined) return this.teams.get(known)
+    const cachedTeam = this.tokenCache.get(hash)
+    if (cachedTeam !== undefined) return this.teams.get(cachedTeam)
     const owners = this.all().filter((settings) => tokenMatches(token, settings.callerTokenHashes))
     const owner = owners.length === 1 ? owners[0] : undefined
-    if (owner !== undefined && this.knownTokens.size < MAX_KNOWN_TOKENS) this.knownTokens.set(hash, owner.team)
+    if (owner !== undefined && this.tokenCache.size < MAX_CACHED_TOKENS) this.tokenCache.set(hash, owner.team)
     return owner
   }
 
-  private takeIn (document: MeshDocument): void {
+  private applyDocument (document: MeshDocument): void {
     const team = document.key.slice(TEAM_PREFIX.length)
     if ((this.highestVersions.get(team) ?? -1) >= document.version) return
     this.highestVersions.set(team, document.version)
@@ -67,7 +67,7 @@
     if (document.deleted) next.delete(team)
     else if (!this.parseInto(next, team, document)) return
     this.teams = next
-    this.knownTokens.clear()
+    this.tokenCache.clear()
     for (const listener of [...this.listeners]) listener()
   }
 
--- a/packages/dotterelspur-entry/src/process/createEntry.ts
+++ b/packages/dotterelspur-entry/src/process/createEntry.ts
@@ -27,7 +27,7 @@
 import { FleetView } from './FleetView.js'
 import { NodeGate } from './NodeGate.js'
 import { OpenCalls } from './OpenCalls.js'
-import { PoisonKeeper } from './PoisonKeeper.js'
+import { PoisonTracker } from './PoisonTracker.js'
 
 const debug = createDebug('dotterelspur:entry')
 const PAUSE_TICKS_PER_THRESHOLD = 4
@@ -61,7 +61,7 @@
   const services: EntryServices = { context, gate, headers: new HeaderReader(context.limits), intake, keyed, homeRuns, link }
   const calls = new OpenCalls()
   const app = createListener(services, calls)
-  const teardown = startParts(context, link)
+  const teardown = startComponents(context, link)
   return {
     listen: () => app.listen({ host: options.host, port: options.port }),
     beginDrain: () => {
@@ -86,7 +86,7 @@
 }
 
 function createContext (options: EntryOptions): EntryContext {
-  const { clock, random, mesh, store, engines, services, teams, observer = SILENT_OBSERVER, hasEnded } = options
+  const { clock, random, mesh, store, engines, services, teams, observer = SILENT_OBSERVER, hasTerminated } = options
   const timing = { ...DEFAULT_ENTRY_TIMING, ...options.timing }
   const limits = { ...DEFAULT_ENTRY_LIMITS, ...options.limits }
   const { region, failureDomain } = mesh.self
@@ -106,11 +106,11 @@
     router: new Router(createRoutingOptions({ region, failureDomain }, { prefixBlockTokens: PREFIX_BLOCK_TOKENS })),
     retries: new RetryBudget(),
     pauses: new PauseDetector(timing.pauseThresholdMs, STALE_AFTER_PAUSE_MS, clock.nowMs()),
-    poison: new PoisonKeeper({ clock, mesh, store, limits: limits.poison, hasEnded })
+    poison: new PoisonTracker({ clock, mesh, store, limits: limits.poison, hasTerminated })
   }
 }
 
-function startParts (context: EntryContext, link: HomeLink): Teardown {
+function startComponents (context: EntryContext, link: HomeLink): Teardown {
   const { fleet, router, gate, teams, clock, poison } = context
   const unregister = fleet.registerListener((targets) => {
     router.replaceTargets(targets, clock.nowMs())
--- a/packages/dotterelspur-entry/src/request/HomeLink.ts
+++ b/packages/dotterelspur-entry/src/request/HomeLink.ts
@@ -64,7 +64,7 @@
 
   /** Runs a request at its home. The home's text so far is never repeated to the consumer. */
   async * run (home: HomeId, request: RunRequest): RunEvents {
-    this.context.observer.passedToHome()
+    this.context.observer.forwardedToHome()
     const ticket = request.submission === null ? await this.fetchTicket(home) : 0
     if (typeof ticket !== 'number') return yield * this.handleTicketFailure(request, ticket)
     yield * this.runWithTicket(home, { ...request, ticket })
--- a/packages/dotterelspur-entry/src/request/HomeRuns.ts
+++ b/packages/dotterelspur-entry/src/request/HomeRuns.ts
@@ -110,7 +110,7 @@
       this.close(request.requestId, { outcome: refusal, answer: { answer: [], finished: finishedWith(refusal) } })
       return singleBatch(finishedWith(refusal))
     }
-    const recorder = new AnswerRecorder(this.context.limits.maxKeptAnswerBytes)
+    const recorder = new AnswerRecorder(this.context.limits.maxRetainedAnswerBytes)
     return this.runs.start(request, (event) => {
       if (event.kind !== RunEventKind.Finished) return recorder.add(event)
       this.close(request.requestId, { outcome: event.outcome, answer: { answer: recorder.recordedEvents(), finished: event } })
--- a/packages/dotterelspur-entry/src/request/ModelRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ModelRunner.ts
@@ -120,8 +120,8 @@
   private send ({ group, attempt, resumeOffset, resumeText }: SendEffect): boolean {
     const { clock, pauses, fleet, observer, router, engines } = this.context
     const nowMs = clock.nowMs()
-    if (pauses.isStaleDecision(this.decidedAtMs, nowMs) || !fleet.holdsNow(group)) {
-      observer.staleChoice()
+    if (pauses.isStaleDecision(this.decidedAtMs, nowMs) || !fleet.isDispatchable(group)) {
+      observer.staleDecision()
       fleet.refresh()
       return false
     }
@@ -217,7 +217,7 @@
 
   private spendRetry (): boolean {
     const allowed = this.context.retries.tryRetry(this.request.team)
-    if (allowed) this.context.observer.attemptRepeated(this.request.team)
+    if (allowed) this.context.observer.attemptRetried(this.request.team)
     return allowed
   }
 
@@ -236,7 +236,7 @@
       cancel = clock.registerTimer(STALL_CHECK_MS, check)
       if (this.stream === null || !this.stream.isWaiting) return
       const silentMs = clock.nowMs() - this.stream.lastEventAtMs
-      const lost = silentMs >= timing.lostGroupStallMs && this.group !== null && !fleet.holdsNow(this.group)
+      const lost = silentMs >= timing.lostGroupStallMs && this.group !== null && !fleet.isDispatchable(this.group)
       if (lost || silentMs >= timing.streamIdleMs) this.stream.stall()
     }
     check()
--- a/packages/dotterelspur-entry/src/request/ServiceRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ServiceRunner.ts
@@ -39,7 +39,7 @@
     },
     [LifecycleEffectKind.SpendRetry]: () => {
       const allowed = this.context.retries.tryRetry(this.request.team)
-      if (allowed) this.context.observer.attemptRepeated(this.request.team)
+      if (allowed) this.context.observer.attemptRetried(this.request.team)
       return allowed
     },
     [LifecycleEffectKind.Wait]: ({ durationMs }) => waitOrInterrupt(this.context.clock, durationMs, this.interrupt)
@@ -67,8 +67,8 @@
   private async call ({ worker, attempt }: CallServiceEffect): Promise<CallResult> {
     const { clock, pauses, fleet, observer, router } = this.context
     const nowMs = clock.nowMs()
-    if (pauses.isStaleDecision(this.decidedAtMs, nowMs) || !fleet.workerHoldsNow(worker.vm, worker.address)) {
-      observer.staleChoice()
+    if (pauses.isStaleDecision(this.decidedAtMs, nowMs) || !fleet.isWorkerDispatchable(worker.vm, worker.address)) {
+      observer.staleDecision()
       fleet.refresh()
       return null
     }
--- a/packages/dotterelspur-node/src/process/NodeMetrics.ts
+++ b/packages/dotterelspur-node/src/process/NodeMetrics.ts
@@ -67,12 +67,12 @@
     const event = (name: string): void => { this.events.inc({ event: name }) }
     return {
       requestEnded: (report) => { this.countRequest(report) },
-      attemptRepeated: (team) => { this.retries.inc({ team }) },
+      attemptRetried: (team) => { this.retries.inc({ team }) },
       refusedAsUnknown: (reason) => { this.refusedUnknown.inc({ reason }) },
-      staleChoice: () => { event('stale-choice') },
-      passedToHome: () => { event('passed-to-home') },
+      staleDecision: () => { event('stale-choice') },
+      forwardedToHome: () => { event('passed-to-home') },
       claimCall: () => { event('claim-call') },
-      slowCallerCut: () => { event('slow-caller-cut') },
+      slowCallerDisconnected: () => { event('slow-caller-cut') },
       paused: () => { event('paused') }
     }
   }
