--- a/packages/dotterelspur-entry/src/connection/CallerWriter.ts
+++ b/packages/dotterelspur-entry/src/connection/CallerWriter.ts
@@ -6,24 +6,24 @@
  * its engine's place in the batch, which shows as groups that are full of requests that make no tokens.
  */
 export class CallerWriter {
-  private gone = false
+  private disconnected = false
   private wake: (() => void) | null = null
 
-  constructor (private readonly response: ServerResponse, private readonly clock: Clock, private readonly slowCallerMs: number, private readonly onCut: () => void) {
+  constructor (private readonly response: ServerResponse, private readonly clock: Clock, private readonly slowCallerMs: number, private readonly onTimeout: () => void) {
     response.once('close', () => {
-      this.gone = true
+      this.disconnected = true
       this.wake?.()
     })
     response.on('drain', () => { this.wake?.() })
   }
 
-  get isGone (): boolean {
-    return this.gone || this.response.destroyed
+  get isDisconnected (): boolean {
+    return this.disconnected || this.response.destroyed
   }
 
   /** False when the caller has gone or was cut off. */
   async write (text: string): Promise<boolean> {
-    if (this.isGone) return false
+    if (this.isDisconnected) return false
     if (this.response.write(text)) return true
     return this.waitForDrain()
   }
@@ -37,13 +37,13 @@
       }
     })
     this.wake = null
-    if (!drained) this.cut()
-    return !this.isGone
+    if (!drained) this.disconnect()
+    return !this.isDisconnected
   }
 
-  private cut (): void {
-    this.gone = true
-    this.onCut()
+  private disconnect (): void {
+    this.disconnected = true
+    this.onTimeout()
     this.response.destroy()
   }
 }
--- a/packages/dotterelspur-entry/src/connection/ModelAnswer.ts
+++ b/packages/dotterelspur-entry/src/connection/ModelAnswer.ts
@@ -8,7 +8,7 @@
 }
 
 /** What is the same in all objects of one answer. */
-export interface AnswerHead {
+export interface AnswerMetadata {
   readonly kind: ModelInterface
   readonly requestId: RequestId
   readonly modelName: string
@@ -58,8 +58,8 @@
   private readonly chunkStart: string
   private readonly chunkEnd: string
 
-  constructor (private readonly head: AnswerHead) {
-    this.names = NAMES[head.kind]
+  constructor (private readonly metadata: AnswerMetadata) {
+    this.names = NAMES[metadata.kind]
     const common = JSON.stringify(this.common(this.names.chunkObject)).slice(0, -1)
     const [before, after] = this.names.textParts
     this.chunkStart = `data: ${common},"choices":[{"index":0,${before}`
@@ -85,7 +85,7 @@
   }
 
   private common (object: string): Readonly<Record<string, unknown>> {
-    const { requestId, modelName, createdSeconds } = this.head
+    const { requestId, modelName, createdSeconds } = this.metadata
     return { id: `${this.names.idPrefix}${requestId}`, object, created: createdSeconds, model: modelName }
   }
 }
--- a/packages/dotterelspur-entry/src/connection/callers.ts
+++ b/packages/dotterelspur-entry/src/connection/callers.ts
@@ -6,7 +6,7 @@
 import { HTTP_STATUS, errorBody, errorHeaders } from '../request/errorBody.js'
 
 /** Settings reach a node that has just started within a few exchanges with a peer. */
-const UNSETTLED_RETRY_MS = 500
+const SETTINGS_RETRY_MS = 500
 
 const teamOfRequest = new WeakMap<FastifyRequest, TeamSettings>()
 
@@ -20,7 +20,7 @@
   const token = readBearerToken(request.headers.authorization)
   const team = token === undefined ? undefined : teams.findByToken(token)
   if (team === undefined && token !== undefined && (teams.all().length === 0 || gate.isIsolated())) {
-    const outcome = notRun(OutcomeReason.Isolated, 'this node does not know the teams\' settings now; use another entry', UNSETTLED_RETRY_MS)
+    const outcome = notRun(OutcomeReason.Isolated, 'this node does not know the teams\' settings now; use another entry', SETTINGS_RETRY_MS)
     sendOutcome(reply, outcome, null, true, { entries: gate.otherEntries() })
     return
   }
@@ -43,9 +43,9 @@
 }
 
 /** Answers with an outcome that is not an answer. `repeatable`: the caller may safely send the same again. */
-export function sendOutcome (reply: FastifyReply, outcome: Outcome, requestId: RequestId | null, repeatable: boolean, options: SendOptions = {}): FastifyReply {
+export function sendOutcome (reply: FastifyReply, outcome: Outcome, requestId: RequestId | null, retryable: boolean, options: SendOptions = {}): FastifyReply {
   return reply
     .code(options.status ?? HTTP_STATUS[outcome.reason])
-    .headers(errorHeaders(outcome, repeatable))
+    .headers(errorHeaders(outcome, retryable))
     .send(errorBody(outcome, requestId, options.entries))
 }
--- a/packages/dotterelspur-entry/src/connection/registerModelRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerModelRoutes.ts
@@ -17,13 +17,13 @@
 
 const MS_PER_SECOND = 1_000
 
-interface Answering {
+interface ResponseContext {
   readonly services: EntryServices
   readonly reply: FastifyReply
   readonly call: ModelCall
   readonly requestId: RequestId
   readonly format: AnswerFormat
-  readonly repeatable: boolean
+  readonly retryable: boolean
 }
 
 /** POST /v1/chat/completions, POST /v1/completions and GET /v1/models. */
@@ -49,10 +49,10 @@
   const { requestId, events } = started.value
   const createdSeconds = Math.floor(services.context.clock.wallMs() / MS_PER_SECOND)
   const format = new AnswerFormat({ kind, requestId, modelName: call.value.modelName, createdSeconds })
-  const repeatable = !headers.value.nonIdempotent || headers.value.idempotencyKey !== null
-  const answering: Answering = { services, reply, call: call.value, requestId, format, repeatable }
+  const retryable = !headers.value.nonIdempotent || headers.value.idempotencyKey !== null
+  const context: ResponseContext = { services, reply, call: call.value, requestId, format, retryable }
   reply.header('x-request-id', requestId)
-  return call.value.stream ? streamAnswer(answering, events) : wholeAnswer(answering, events)
+  return call.value.stream ? streamAnswer(context, events) : wholeAnswer(context, events)
 }
 
 function toRun (services: EntryServices, team: TeamSettings, call: ModelCall, headers: CallHeaders): ModelRunRequest {
@@ -78,10 +78,10 @@
   }
 }
 
-async function wholeAnswer (answering: Answering, events: RunEvents): Promise<FastifyReply | undefined> {
-  const { reply, format } = answering
+async function wholeAnswer (context: ResponseContext, events: RunEvents): Promise<FastifyReply | undefined> {
+  const { reply, format } = context
   let text = ''
-  let finished = silence()
+  let finished = missingFinishedEvent()
   const iterator = events[Symbol.asyncIterator]()
   reply.raw.once('close', () => { iterator.return?.(undefined) })
   for (let step = await iterator.next(); step.done !== true; step = await iterator.next()) {
@@ -91,17 +91,17 @@
       else if (event.kind === RunEventKind.Finished) finished = event
     }
   }
-  if (!isWhole(finished)) return refuse(answering, finished)
+  if (!isWhole(finished)) return refuse(context, finished)
   return reply.header('dotterelspur-outcome', OutcomeKind.Answered).send(format.whole(text, finished))
 }
 
 /** Writes an answer as it comes. The status line waits for the first token, so that a refusal has its own. */
-async function streamAnswer (answering: Answering, events: RunEvents): Promise<FastifyReply | undefined> {
-  const { services, reply, format, call } = answering
+async function streamAnswer (context: ResponseContext, events: RunEvents): Promise<FastifyReply | undefined> {
+  const { services, reply, format, call } = context
   const { clock, limits, observer } = services.context
   const writer = new CallerWriter(reply.raw, clock, limits.slowCallerMs, () => { observer.slowCallerDisconnected() })
   let open = false
-  let finished = silence()
+  let finished = missingFinishedEvent()
   const iterator = events[Symbol.asyncIterator]()
   reply.raw.once('close', () => { iterator.return?.(undefined) })
   for (let step = await iterator.next(); step.done !== true; step = await iterator.next()) {
@@ -115,9 +115,9 @@
     open = true
     if (!await writer.write(text)) return undefined
   }
-  if (!open && !isWhole(finished)) return refuse(answering, finished)
+  if (!open && !isWhole(finished)) return refuse(context, finished)
   if (!open) openStream(reply)
-  const last = isWhole(finished) ? format.ending(finished, call.includeUsage) : errorEvent(errorBody(finished.outcome, answering.requestId))
+  const last = isWhole(finished) ? format.ending(finished, call.includeUsage) : errorEvent(errorBody(finished.outcome, context.requestId))
   await writer.write(last)
   reply.raw.end()
   return undefined
@@ -132,10 +132,10 @@
   })
 }
 
-function refuse (answering: Answering, finished: FinishedEvent): FastifyReply {
-  const { services, reply, requestId, repeatable } = answering
+function refuse (context: ResponseContext, finished: FinishedEvent): FastifyReply {
+  const { services, reply, requestId, retryable } = context
   const entries = services.intake.entriesFor(finished.outcome)
-  return sendOutcome(reply, finished.outcome, requestId, repeatable, { entries })
+  return sendOutcome(reply, finished.outcome, requestId, retryable, { entries })
 }
 
 function isWhole (finished: FinishedEvent): boolean {
@@ -143,6 +143,6 @@
 }
 
 /** What stands when a run's events end without the last one. */
-function silence (): FinishedEvent {
+function missingFinishedEvent (): FinishedEvent {
   return finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the run ended in silence'))
 }
--- a/packages/dotterelspur-entry/src/connection/registerOutcomeRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerOutcomeRoutes.ts
@@ -19,38 +19,38 @@
 }
 
 /** How long another node's home may take to say what it knows. */
-const ASK_WAIT_MS = 0
+const FOLLOW_WAIT_MS = 0
 
 /** GET /v1/requests/<id>: what became of a request, for the team that sent it. The id may be the caller's own key. */
 export function registerOutcomeRoutes (app: FastifyInstance, services: EntryServices): void {
-  app.get<{ Params: { id: string } }>('/v1/requests/:id', (request, reply) => tell(services, request, reply))
+  app.get<{ Params: { id: string } }>('/v1/requests/:id', (request, reply) => sendRequestState(services, request, reply))
 }
 
-async function tell (services: EntryServices, request: FastifyRequest<{ Params: { id: string } }>, reply: FastifyReply): Promise<FastifyReply> {
+async function sendRequestState (services: EntryServices, request: FastifyRequest<{ Params: { id: string } }>, reply: FastifyReply): Promise<FastifyReply> {
   const { team } = teamOf(request)
   const resolved = await services.keyed.resolve(team, request.params.id)
-  if (resolved === undefined) return notKnown(reply, null)
+  if (resolved === undefined) return sendUnknownId(reply, null)
   if (typeof resolved !== 'string') return sendOutcome(reply, resolved, null, true)
   const { home } = parseRequestId(resolved)!
-  return services.keyed.isLocalHome(home) ? tellOwn(services, reply, team, resolved) : tellOther(services, reply, team, resolved, home)
+  return services.keyed.isLocalHome(home) ? sendLocalState(services, reply, team, resolved) : sendRemoteState(services, reply, team, resolved, home)
 }
 
-function tellOwn (services: EntryServices, reply: FastifyReply, team: TeamId, requestId: RequestId): FastifyReply {
-  const known = services.homeRuns.lookup(requestId, team)
-  if (known === undefined) return notKnown(reply, requestId)
-  if (known.kind === OpenKind.Ended) return send(reply, { requestId, state: RequestStateKind.Ended, outcome: known.ended.outcome })
-  if (known.kind === OpenKind.InProgress) return send(reply, { requestId, state: RequestStateKind.Running, outcome: null })
+function sendLocalState (services: EntryServices, reply: FastifyReply, team: TeamId, requestId: RequestId): FastifyReply {
+  const decision = services.homeRuns.lookup(requestId, team)
+  if (decision === undefined) return sendUnknownId(reply, requestId)
+  if (decision.kind === OpenKind.Ended) return send(reply, { requestId, state: RequestStateKind.Ended, outcome: decision.ended.outcome })
+  if (decision.kind === OpenKind.InProgress) return send(reply, { requestId, state: RequestStateKind.Running, outcome: null })
   return send(reply, { requestId, state: RequestStateKind.Ended, outcome: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than what its home remembers') })
 }
 
-async function tellOther (services: EntryServices, reply: FastifyReply, team: TeamId, requestId: RequestId, home: string): Promise<FastifyReply> {
-  for await (const batch of services.link.follow(home, { requestId, team, waitMs: ASK_WAIT_MS })) {
+async function sendRemoteState (services: EntryServices, reply: FastifyReply, team: TeamId, requestId: RequestId, home: string): Promise<FastifyReply> {
+  for await (const batch of services.link.follow(home, { requestId, team, waitMs: FOLLOW_WAIT_MS })) {
     const finished = batch.find((event) => event.kind === RunEventKind.Finished)
     if (finished === undefined) continue
     const running = finished.outcome.reason === OutcomeReason.DuplicateInProgress
     return send(reply, { requestId, state: running ? RequestStateKind.Running : RequestStateKind.Ended, outcome: running ? null : finished.outcome })
   }
-  return notKnown(reply, requestId)
+  return sendUnknownId(reply, requestId)
 }
 
 function send (reply: FastifyReply, state: RequestState): FastifyReply {
@@ -58,7 +58,7 @@
 }
 
 /** Not known is not the same as not run: the id may be on its way, or may have been forgotten with its home. */
-function notKnown (reply: FastifyReply, requestId: RequestId | null): FastifyReply {
+function sendUnknownId (reply: FastifyReply, requestId: RequestId | null): FastifyReply {
   const outcome = unknownOutcome(OutcomeReason.OutcomeForgotten, 'nothing is known of this id')
   return sendOutcome(reply, outcome, requestId, true, { status: HTTP_STATUS[OutcomeReason.ModelNotFound] })
 }
--- a/packages/dotterelspur-entry/src/connection/registerServiceRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerServiceRoutes.ts
@@ -33,8 +33,8 @@
   const { requestId, events } = started.value
   reply.header('x-request-id', requestId)
   const { response, finished } = await collect(reply, events)
-  const repeatable = run.safety === RequestSafety.Idempotent || headers.value.idempotencyKey !== null
-  if (response === null) return sendOutcome(reply, finished.outcome, requestId, repeatable, { entries: services.intake.entriesFor(finished.outcome) })
+  const retryable = run.safety === RequestSafety.Idempotent || headers.value.idempotencyKey !== null
+  if (response === null) return sendOutcome(reply, finished.outcome, requestId, retryable, { entries: services.intake.entriesFor(finished.outcome) })
   if (response.contentType !== null) reply.header('content-type', response.contentType)
   return reply.code(response.status).header('dotterelspur-outcome', OutcomeKind.Answered).send(Buffer.from(response.body))
 }
