--- a/packages/dotterelspur-entry/src/__tests__/unit/KeyedRuns.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/KeyedRuns.test.ts
@@ -12,7 +12,7 @@
   readonly choices: ReadonlyArray<{ readonly message: { readonly content: string } }>
 }
 
-/** What a caller was told: the text of a whole answer, or outcome and reason. */
+/** What the caller received: the text of a whole answer, or `<outcome> <reason>`. */
 async function chat (node: HarnessNode, headers: Record<string, string>, options: CallOptions = {}): Promise<string> {
   const response = await callEntry(node, '/v1/chat/completions', { body: CHAT_BODY, headers: { ...MARK, ...headers }, ...options })
   const body = await response.json() as ChatAnswer & ErrorBody
@@ -32,7 +32,7 @@
   })
   afterEach(() => harness.stop())
 
-  /** A new id of which node a is the home. */
+  /** A new id whose home is the node. */
   function idOf (node: HarnessNode): RequestId {
     sequence += 1
     return formatRequestId(homeOf(node.mesh.self), Date.now(), `random-${String(sequence).padStart(4, '0')}`)
@@ -40,9 +40,9 @@
 
   interface Row {
     readonly fault: string
-    /** Sets the fault up; returns the submissions in order, each `node, headers`. */
+    /** Injects the fault and sends the requests; returns what the callers received, in the order of submission. */
     readonly act: () => Promise<string[]>
-    readonly told: readonly string[]
+    readonly expected: readonly string[]
     readonly runs: number
   }
 
@@ -53,26 +53,26 @@
     {
       fault: 'none: a request without a key',
       act: async () => [await chat(a, {})],
-      told: [WHOLE],
+      expected: [WHOLE],
       runs: 1
     },
     {
-      fault: 'none: an id sent to another node than its home',
+      fault: 'none: an id sent to a node that is not its home',
       act: async () => [await chat(b, { 'idempotency-key': idOf(a) })],
-      told: [WHOLE],
+      expected: [WHOLE],
       runs: 1
     },
     {
-      fault: 'the same id again through another node, after the answer',
+      fault: 'the same id sent again through another node, after the answer',
       act: async () => {
         const id = idOf(a)
         return [await chat(a, { 'idempotency-key': id }), await chat(b, { 'idempotency-key': id }), await chat(a, { 'idempotency-key': id })]
       },
-      told: [WHOLE, WHOLE, WHOLE],
+      expected: [WHOLE, WHOLE, WHOLE],
       runs: 1
     },
     {
-      fault: 'the same id again through another node, while it runs',
+      fault: 'the same id sent again through another node, while it runs',
       act: async () => {
         const id = idOf(a)
         let open = (): void => {}
@@ -83,7 +83,7 @@
         setTimeout(open, 20)
         return Promise.all([first, second])
       },
-      told: [WHOLE, WHOLE],
+      expected: [WHOLE, WHOLE],
       runs: 1
     },
     {
@@ -94,28 +94,28 @@
         await harness.startNode('node-a', 2)
         return [await chat(b, { 'idempotency-key': id }), await chat(harness.nodes[2]!, { 'idempotency-key': id })]
       },
-      told: [`${Unknown} ${HomeGone}`, `${Unknown} ${HomeGone}`],
+      expected: [`${Unknown} ${HomeGone}`, `${Unknown} ${HomeGone}`],
       runs: 0
     },
     {
-      fault: 'the home is gone, and the caller says that it is the first submission',
+      fault: 'the home is gone, and the caller states that this is the first submission',
       act: async () => {
         const id = idOf(a)
         harness.network.nodes.delete(homeOf(a.mesh.self))
         return [await chat(b, { 'idempotency-key': id, 'dotterelspur-submission': '1' }), await chat(b, { 'idempotency-key': id, 'dotterelspur-submission': '2' })]
       },
-      told: [`${NotRun} ${HomeGone}`, `${Unknown} ${HomeGone}`],
+      expected: [`${NotRun} ${HomeGone}`, `${Unknown} ${HomeGone}`],
       runs: 0
     },
     {
-      fault: 'the home is gone, and an engine holds the whole stream',
+      fault: 'the home is gone, and an engine has the complete stream',
       act: async () => {
         const id = idOf(a)
         harness.network.nodes.delete(homeOf(a.mesh.self))
         harness.engines.lookupState = StreamState.Whole
         return [await chat(b, { 'idempotency-key': id })]
       },
-      told: [WHOLE],
+      expected: [WHOLE],
       runs: 0
     },
     {
@@ -124,19 +124,19 @@
         harness.network.cut.add(homeOf(a.mesh.self))
         return [await chat(b, { 'idempotency-key': idOf(a) })]
       },
-      told: [`${Unknown} ${HomeGone}`],
+      expected: [`${Unknown} ${HomeGone}`],
       runs: 0
     },
     {
       fault: 'none: a key of the caller\'s own, through two nodes',
       act: async () => [await chat(a, { 'idempotency-key': 'loan-4711' }), await chat(b, { 'idempotency-key': 'loan-4711' })],
-      told: [WHOLE, WHOLE],
+      expected: [WHOLE, WHOLE],
       runs: 1
     },
     {
       fault: 'a key of the caller\'s own, through two nodes at once',
       act: async () => Promise.all([chat(a, { 'idempotency-key': 'loan-4712' }), chat(b, { 'idempotency-key': 'loan-4712' })]),
-      told: [WHOLE, WHOLE],
+      expected: [WHOLE, WHOLE],
       runs: 1
     },
     {
@@ -145,7 +145,7 @@
         a.store.setFault(MemoryFaultKind.Down)
         return [await chat(a, { 'idempotency-key': 'loan-1' }), await chat(a, { 'idempotency-key': 'loan-2', 'dotterelspur-submission': '1' })]
       },
-      told: [`${Unknown} ${StoreUnavailable}`, `${NotRun} ${StoreUnavailable}`],
+      expected: [`${Unknown} ${StoreUnavailable}`, `${NotRun} ${StoreUnavailable}`],
       runs: 0
     },
     {
@@ -154,16 +154,16 @@
         a.store.setFault(MemoryFaultKind.Down)
         return [await chat(a, { 'idempotency-key': idOf(a) })]
       },
-      told: [WHOLE],
+      expected: [WHOLE],
       runs: 1
     },
     {
-      fault: 'the claim\'s reply is lost after the write',
+      fault: 'the response to the claim is lost after the write',
       act: async () => {
         a.store.setFault(MemoryFaultKind.UnknownApplied)
         return [await chat(a, { 'idempotency-key': 'loan-3' }), await chat(b, { 'idempotency-key': 'loan-3' })]
       },
-      told: [WHOLE, WHOLE],
+      expected: [WHOLE, WHOLE],
       runs: 1
     },
     {
@@ -172,7 +172,7 @@
         a.store.setFault(MemoryFaultKind.UnknownLost)
         return [await chat(a, { 'idempotency-key': 'loan-4' }), await chat(b, { 'idempotency-key': 'loan-4' })]
       },
-      told: [`${Unknown} ${ClaimUnsettled}`, WHOLE],
+      expected: [`${Unknown} ${ClaimUnsettled}`, WHOLE],
       runs: 1
     },
     {
@@ -182,7 +182,7 @@
         const other = { body: { ...CHAT_BODY, messages: [{ role: 'user', content: 'something else' }] } }
         return [await chat(a, { 'idempotency-key': id }), await chat(a, { 'idempotency-key': id }, other)]
       },
-      told: [WHOLE, `${Unknown} ${InvalidRequest}`],
+      expected: [WHOLE, `${Unknown} ${InvalidRequest}`],
       runs: 1
     },
     {
@@ -192,33 +192,33 @@
         a.entry.beginDrain()
         return [await chat(b, { 'idempotency-key': id }), await chat(a, {}), await chat(a, { 'idempotency-key': 'loan-5' }), await chat(a, { 'idempotency-key': 'loan-6', 'dotterelspur-submission': '1' })]
       },
-      told: [`${NotRun} ${Draining}`, `${NotRun} ${Draining}`, `${Unknown} ${Draining}`, `${NotRun} ${Draining}`],
+      expected: [`${NotRun} ${Draining}`, `${NotRun} ${Draining}`, `${Unknown} ${Draining}`, `${NotRun} ${Draining}`],
       runs: 0
     },
     {
-      fault: 'a draining node is given a key that stands for another home\'s id',
+      fault: 'a draining node receives a key that refers to an id of another home',
       act: async () => {
         const first = await chat(a, { 'idempotency-key': 'loan-7' })
         b.entry.beginDrain()
         return [first, await chat(b, { 'idempotency-key': 'loan-7' })]
       },
-      told: [WHOLE, WHOLE],
+      expected: [WHOLE, WHOLE],
       runs: 1
     }
   ]
 
   for (const row of rows) {
     it(row.fault, async () => {
-      const told = await row.act()
-      expect({ told, runs: harness.engines.runs.length }).to.deep.equal({ told: row.told, runs: row.runs })
+      const received = await row.act()
+      expect({ received, runs: harness.engines.runs.length }).to.deep.equal({ received: row.expected, runs: row.runs })
     })
   }
 
-  // Symptom: a caller is told not-run and asks no more, and the request runs all the same.
-  // Sequence: a first copy waits in the link between node b and its home; the caller gives it up and sends another
-  // straight to the home, which refuses it; then the first copy arrives.
-  // Cause: the home can't tell a copy that was long under way from one that was made after the refusal.
-  it('does not run a copy that was under way when another was answered not-run', async () => {
+  // Failure: a caller receives not-run and stops retrying, but the request runs after all.
+  // Sequence: a first copy is delayed between node b and its home. The caller gives up on it and sends a second copy directly to
+  // the home, which refuses it. Then the first copy arrives.
+  // Cause: the home can't distinguish a delayed copy from one that was sent after the refusal.
+  it('does not run a copy that was in transit when the home refused another as not-run', async () => {
     const id = idOf(a)
     let release = (): void => {}
     harness.network.delays.set('request.run', new Promise((resolve) => { release = resolve }))
@@ -233,7 +233,7 @@
     expect(await chat(a, { 'idempotency-key': id })).to.equal(WHOLE)
   })
 
-  it('never gives one team\'s answer or outcome to another', async () => {
+  it('never returns one team\'s answer or outcome to another team', async () => {
     const id = idOf(a)
     expect(await chat(a, { 'idempotency-key': id })).to.equal(WHOLE)
     const foreign = await callEntry(a, `/v1/requests/${id}`, { team: 'piedmont' })
@@ -242,7 +242,7 @@
     expect(await own.json()).to.deep.include({ requestId: id, state: 'ended' })
   })
 
-  it('runs a non-idempotent request to its end when its caller goes away, and tells the outcome', async () => {
+  it('finishes a non-idempotent request after its caller disconnects, and returns its answer later', async () => {
     const id = idOf(a)
     let open = (): void => {}
     harness.engines.next.push(gated(new Promise((resolve) => { open = resolve })))
--- a/packages/dotterelspur-entry/src/__tests__/unit/standIns.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/standIns.test.ts
@@ -13,7 +13,7 @@
 const MAX_TOKENS = 40
 const ORDER_TIMEOUT_MS = 5_000
 
-describe('entry before stand-in engines', () => {
+describe('entry with stand-in engines', () => {
   const clock = new SystemClock()
   let fleet: EndpointFleet
   let harness: Harness
@@ -44,7 +44,7 @@
     for (const member of members) await untilReady(engines, member.address)
   }
 
-  /** An order is answered before the model is loaded: the group may be asked only once its members say that they are ready. */
+  /** An order is confirmed before the model is loaded: requests may be sent to the group only once its members report ready. */
   async function untilReady (engines: HttpEngineClient, address: string): Promise<void> {
     for (;;) {
       const status = await engines.probe(address, ORDER_TIMEOUT_MS)
@@ -67,15 +67,15 @@
 
   const whole = expectedAnswer({ ...MODEL, prompt: PROMPT, seed: SEED }, MAX_TOKENS)
 
-  it('streams what the engine makes, whole', async () => {
+  it('streams the engine\'s whole answer', async () => {
     expect(await stream({})).to.equal(whole)
     expect(fleet.ledger.rows().map((row) => row.end)).to.deep.equal([RunEnd.Whole])
   })
 
-  // Symptom: a caller gets half an answer, or an answer with a part twice, when a VM dies.
-  // Sequence: a replica streams; one of its two VMs is killed; the other replica is whole.
-  // Cause: losing any VM kills its replica, and with it every stream that it had.
-  it('gives one whole answer when a VM of the replica is killed in mid-answer', async () => {
+  // Failure: a caller receives half an answer, or a part of it twice, when a VM dies.
+  // Sequence: a replica streams an answer; one of its two VMs is killed; the other replica is complete.
+  // Cause: the loss of any VM breaks its replica, and with it all of the replica's streams.
+  it('delivers one whole answer when a VM of the replica is killed in the middle of it', async () => {
     let killed = false
     const text = await stream({}, () => {
       if (killed) return
@@ -88,7 +88,7 @@
     expect(fleet.ledger.rows().map((row) => row.end)).to.deep.equal([RunEnd.Died, RunEnd.Whole])
   })
 
-  it('runs a non-idempotent request once, though its replica dies in mid-answer and its caller asks again', async () => {
+  it('runs a non-idempotent request once, even if its replica dies in the middle of the answer and its caller retries', async () => {
     let killed = false
     const headers = { 'dotterelspur-non-idempotent': 'true', 'idempotency-key': 'loan-4711' }
     const kill = (): void => {
@@ -98,15 +98,15 @@
       const group = Object.values(GROUPS).find((vms) => vms.includes(endpoint))!
       for (const vm of group) fleet.fault(vm, { kind: VmFaultKind.Kill }).catch(() => {})
     }
-    const told: string[] = []
+    const received: string[] = []
     for (let tries = 0; tries < 2; tries += 1) {
-      await stream(headers, kill).then((text) => told.push(text), (error: { type?: string }) => told.push(String(error.type)))
+      await stream(headers, kill).then((text) => received.push(text), (error: { type?: string }) => received.push(String(error.type)))
     }
-    expect(told).to.deep.equal(['stream_broken', 'stream_broken'])
+    expect(received).to.deep.equal(['stream_broken', 'stream_broken'])
     expect(fleet.ledger.rows().map((row) => [row.idempotencyKey, row.end])).to.deep.equal([['loan-4711', RunEnd.Died]])
   })
 
-  it('cancels the engine\'s run when the caller of an idempotent request goes away', async () => {
+  it('cancels the engine\'s run when the caller of an idempotent request disconnects', async () => {
     const messages = [{ role: 'user' as const, content: 'trips' }]
     const chunks = await client.chat.completions.create({ model: 'summary', messages, stream: true })
     for await (const chunk of chunks) {
--- a/packages/dotterelspur-entry/src/request/AttemptStream.ts
+++ b/packages/dotterelspur-entry/src/request/AttemptStream.ts
@@ -1,6 +1,6 @@
 import { InterruptKind, type Clock, type Interrupt, type NextEvent, type StreamEvent, type Teardown } from 'dotterelspur'
 
-/** Interrupts of one request: its caller goes, or its deadline passes. Waits of the request end with them. */
+/** Interrupts one request when its caller disconnects or its deadline passes. All waits of the request then end. */
 export class RequestInterrupt {
   private interrupt: Interrupt | null = null
   private readonly listeners = new Set<(interrupt: Interrupt) => void>()
@@ -21,7 +21,7 @@
   }
 }
 
-/** Resolves after the time, or with the interrupt if one comes first. */
+/** Resolves with null after the duration, or with the interrupt if one fires first. */
 export function waitOrInterrupt (clock: Clock, durationMs: number, interrupt: RequestInterrupt): Promise<Interrupt | null> {
   if (interrupt.current !== null) return Promise.resolve(interrupt.current)
   return new Promise((resolve) => {
@@ -36,8 +36,8 @@
 }
 
 /**
- * One attempt's stream. Waiting for its next event ends early by an interrupt of the request or when `stall` is
- * called; an adapter that never notices a dead connection then still can't hold the request.
+ * The event stream of one attempt. A wait for the next event ends early when the request is interrupted or `stall` is
+ * called, so an adapter that never detects a dead connection can't block the request.
  */
 export class AttemptStream {
   private readonly iterator: AsyncIterator<StreamEvent>
@@ -46,7 +46,7 @@
   private pending: Promise<void> | null = null
   private ready: NextEvent | undefined
   private readonly unregister: Teardown
-  /** On the node's clock, when the last event came or the stream was opened. */
+  /** Time of the last event, or of the opening of the stream before the first one, on the node's clock. */
   lastEventAtMs: number
 
   constructor (open: (signal: AbortSignal) => AsyncIterable<StreamEvent>, private readonly interrupt: RequestInterrupt, private readonly clock: Clock) {
@@ -64,7 +64,7 @@
     return new Promise((resolve) => { this.waiting = resolve })
   }
 
-  /** Whether someone waits for an event that hasn't come. */
+  /** Whether a call of `next` is waiting for an event. */
   get isWaiting (): boolean {
     return this.waiting !== null
   }
@@ -86,7 +86,7 @@
     return event
   }
 
-  /** Reads one event ahead, no more: the engine's connection feels the consumer's pace. */
+  /** Reads at most one event ahead, so that backpressure from the consumer reaches the engine's connection. */
   private pull (): void {
     if (this.pending !== null || this.ready !== undefined) return
     this.pending = this.iterator.next().then(
--- a/packages/dotterelspur-entry/src/request/CallerRequest.ts
+++ b/packages/dotterelspur-entry/src/request/CallerRequest.ts
@@ -17,7 +17,7 @@
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>
 
-/** What a caller's headers say of its request. */
+/** The request options that a caller sets by headers. */
 export interface CallHeaders {
   readonly nonIdempotent: boolean
   readonly idempotencyKey: string | null
@@ -66,9 +66,9 @@
   }
 }
 
-/** A chat or completion request, in the shape that both come to. */
+/** A chat or completion request in a common form. */
 export interface ModelCall {
-  /** As the caller wrote it. */
+  /** The model name as the caller sent it. */
   readonly modelName: string
   readonly intent: ModelIntent
   readonly adapter: string | null
@@ -152,7 +152,7 @@
   return undefined
 }
 
-/** Whether a service call may be repeated: the longest path prefix that fits decides, and where none fits, once. */
+/** Whether a service call may be retried: the route with the longest matching path prefix decides; without one, it may not. */
 export function serviceSafety (intent: ServiceIntent, method: string, path: string): RequestSafety {
   const matching = intent.routes
     .filter((route) => (route.methods.length === 0 || route.methods.includes(method)) && path.startsWith(route.pathPrefix))
@@ -160,7 +160,7 @@
   return matching[0]?.retry === RetryRule.Idempotent ? RequestSafety.Idempotent : RequestSafety.NonIdempotent
 }
 
-/** Stands for what was asked, so that an id or key used for something else is noticed. */
+/** Hash of a request's content, used to detect an id or key that is reused for another request. */
 export function fingerprintOf (...parts: ReadonlyArray<string | Uint8Array>): string {
   const hash = createHash('sha256')
   for (const part of parts) hash.update(part).update('\u0000')
--- a/packages/dotterelspur-entry/src/request/HomeLink.ts
+++ b/packages/dotterelspur-entry/src/request/HomeLink.ts
@@ -12,7 +12,7 @@
 const FOLLOW_METHOD = 'request.follow'
 const MAX_FOLLOWS = 3
 
-/** Asks a home what became of one of its ids, waiting for the end of a run. */
+/** Requests the outcome of an id from its home, and waits up to `waitMs` for a run of it to finish. */
 interface FollowRequest {
   readonly requestId: RequestId
   readonly team: TeamId
@@ -20,13 +20,13 @@
 }
 
 enum CallResultKind {
-  /** A Finished event came. */
+  /** The home sent a Finished event. */
   Finished = 'finished',
-  /** The call failed and nothing was done by it. */
+  /** The call failed before the home executed anything. */
   NotExecuted = 'nothing-done',
-  /** The home's process is gone for good. */
+  /** The process that was the home has terminated, so the call can never succeed. */
   HomeGone = 'gone',
-  /** It may have been taken. */
+  /** The call broke off; the home may have received the request. */
   Interrupted = 'interrupted'
 }
 
@@ -39,7 +39,7 @@
   [MeshErrorKind.Rejected]: CallResultKind.Interrupted
 }
 
-/** Passes requests to the home that decides on them, and serves those that other nodes pass to this one. */
+/** Forwards requests to the home nodes of their ids, and handles requests that other nodes forward to this node. */
 export class HomeLink {
   private readonly mesh: MeshApi
 
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Runs a request at its home. The home's text so far is never repeated to the consumer. */
+  /** Runs a request at its home. Text that the consumer has received is not delivered again after a reconnect. */
   async * run (home: HomeId, request: RunRequest): RunEvents {
     this.context.observer.forwardedToHome()
     const ticket = request.submission === null ? await this.fetchTicket(home) : 0
@@ -86,7 +86,7 @@
     yield [finishedWith(unknownOutcome(OutcomeReason.HomeGone, 'the link to its home broke'))]
   }
 
-  /** What a home on another node knows of an id; the last event says it. */
+  /** Requests the outcome of an id from its home on another node; the last event carries the outcome. */
   async * follow (home: HomeId, request: FollowRequest): RunEvents {
     const result = yield * this.call(home, FOLLOW_METHOD, request, new RelayDeduplicator())
     if (result !== CallResultKind.Finished) yield [finishedWith(unknownOutcome(OutcomeReason.HomeGone, 'the home of this id is gone or can\'t be reached'))]
@@ -117,7 +117,7 @@
     return first.value.kind === CallEventKind.Message ? first.value.message as number : CALL_RESULT_BY_ERROR[first.value.error.kind]
   }
 
-  /** The request itself was not sent yet. */
+  /** Called when the ticket could not be fetched; the request has not been sent at that point. */
   private async * handleTicketFailure (request: RunRequest, result: CallResultKind): RunEvents {
     if (result === CallResultKind.HomeGone) return yield * this.handleHomeGone(request)
     yield [finishedWith(unsentOutcome(request, 'its home can\'t be reached now', OutcomeReason.HomeGone))]
@@ -127,7 +127,7 @@
     yield * this.findStream(request, unsentOutcome(request, 'the home of this id is gone; it is not run again', OutcomeReason.HomeGone))
   }
 
-  /** Looks for a stream with this id at the endpoints; it may have outlived its home. */
+  /** Looks for a stream with this id at the endpoints, since a stream can outlive its home; without one, ends with `fallback`. */
   private async * findStream (request: RunRequest, fallback: Outcome): RunEvents {
     const found = await this.finder.find(request)
     if (found !== null) return yield * found
@@ -140,12 +140,15 @@
   yield homeRuns.ticket
 }
 
-/** Not-run can be shown only where the caller says that this is its first submission: no other copy exists. */
+/**
+ * Outcome of a request that was not sent. It is not-run only if the caller states that this is its first submission, so that
+ * no other copy can have run; otherwise it is unknown.
+ */
 export function unsentOutcome (request: Pick<RunRequest, 'submission'>, message: string, reason: OutcomeReason, retryAfterMs = 1_000): Outcome {
   return request.submission === 1 ? notRun(reason, message, retryAfterMs) : unknownOutcome(reason, message, retryAfterMs)
 }
 
-/** Passes on what the consumer doesn't have yet: after a broken link, the home gives the whole answer again. */
+/** Removes text that the consumer already has: after a broken link, the home sends the whole answer again. */
 class RelayDeduplicator {
   private passedCharacters = 0
   private callCharacters = 0
@@ -173,9 +176,9 @@
     return [{ ...event, text: fresh }]
   }
 
-  /** An answer that is no longer held can't complete one of which the caller has a part. */
+  /** If the home no longer has the answer, a part that the caller has received can't be completed. */
   private checkComplete (event: FinishedEvent): FinishedEvent {
     if (!event.withheld || !this.started) return event
-    return finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the rest of the answer is no longer held'))
+    return finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the home no longer has the rest of the answer'))
   }
 }
--- a/packages/dotterelspur-entry/src/request/HomeRuns.ts
+++ b/packages/dotterelspur-entry/src/request/HomeRuns.ts
@@ -7,7 +7,7 @@
 import type { LocalRuns } from './LocalRuns.js'
 import { RunEventKind, finishedWith, type FinishedEvent, type RunEvent, type RunEvents, type RunRequest } from './RunRequest.js'
 
-/** What is kept of an ended run for repeats of its id. */
+/** The part of a finished run that is kept to answer later submissions of its id. */
 export interface RetainedRun {
   /** Null when the answer was too long to keep. */
   readonly answer: readonly RunEvent[] | null
@@ -17,19 +17,19 @@
 type Decision = OpenDecision<RetainedRun>
 
 const REFUSAL_OF: { readonly [Kind in Exclude<OpenKind, OpenKind.Run | OpenKind.InProgress | OpenKind.Ended>]: Outcome } = {
-  [OpenKind.Forgotten]: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than what its home remembers; it is not run again'),
-  [OpenKind.Mismatch]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id or key stands for another request'),
+  [OpenKind.Forgotten]: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than the outcomes that its home remembers; it is not run again'),
+  [OpenKind.Mismatch]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id or key refers to another request'),
   [OpenKind.IssuedInFuture]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id was issued in the future'),
   [OpenKind.Full]: unknownOutcome(OutcomeReason.Overloaded, 'the home can\'t remember more ids now', 1_000)
 }
 
 /**
- * The home's part of at-most-once: this process alone decides whether an id that names it may run, and
- * remembers what became of it.
+ * The home's part of at-most-once execution: only this process decides whether an id that names it as the home may run, and
+ * it stores the outcome.
  */
 export class HomeRuns {
   private readonly memory: OutcomeMemory<RetainedRun>
-  /** Idempotent requests, remembered only so that their outcome can be asked for. */
+  /** Idempotent requests, remembered only so that callers can query their outcomes. */
   private readonly recent: OutcomeMemory<RetainedRun>
   private readonly waiters = new Map<RequestId, Set<() => void>>()
   private readonly clock: Clock
@@ -42,12 +42,12 @@
     this.recent = new OutcomeMemory({ ...common, maxEntries: limits.maxRecentOutcomes })
   }
 
-  /** What a relaying node asks for while its caller waits; see OutcomeMemory. */
+  /** Ticket that a relaying node fetches while its caller waits; see OutcomeMemory. */
   get ticket (): number {
     return this.memory.ticket
   }
 
-  /** Runs an id whose home is this process, or answers what became of it. */
+  /** Runs an id whose home is this process, or returns the outcome of its earlier run. */
   run (request: RunRequest): RunEvents {
     const decision = this.open(this.memory, request)
     if (decision.kind === OpenKind.Run) return this.start(request)
@@ -57,7 +57,7 @@
     return singleBatch(finishedWith(outcome))
   }
 
-  /** Runs an idempotent request; its id is this process's own and new. */
+  /** Runs an idempotent request under a new id that this process created. */
   runIdempotent (request: RunRequest): RunEvents {
     const { requestId } = request
     if (this.open(this.recent, request).kind !== OpenKind.Run) return this.runs.start(request)
@@ -66,7 +66,7 @@
     })
   }
 
-  /** Waits for the end of a run and gives its answer again. */
+  /** Waits for a run to finish, then replays its answer. */
   async * follow (requestId: RequestId, team: TeamId, waitMs: number): RunEvents {
     const deadlineAtMs = this.clock.nowMs() + waitMs
     for (;;) {
@@ -81,14 +81,14 @@
       }
       const leftMs = deadlineAtMs - this.clock.nowMs()
       if (leftMs <= 0) {
-        yield [finishedWith(unknownOutcome(OutcomeReason.DuplicateInProgress, 'the same id still runs; ask again', 1_000))]
+        yield [finishedWith(unknownOutcome(OutcomeReason.DuplicateInProgress, 'a request with this id is still running; try again later', 1_000))]
         return
       }
       await this.waitForEnd(requestId, leftMs)
     }
   }
 
-  /** What is known of an id whose home is this process; undefined when it was never seen by this team. */
+  /** State of an id whose home is this process; undefined if the home has no request of this team with the id. */
   lookup (requestId: RequestId, team: TeamId): Decision | undefined {
     const identity = parseRequestId(requestId)
     if (identity === undefined) return undefined
@@ -138,7 +138,7 @@
   }
 }
 
-/** Collects an answer up to a size. */
+/** Records an answer up to a maximum size. */
 class AnswerRecorder {
   private readonly texts: string[] = []
   private tokens = 0
@@ -181,7 +181,7 @@
 }
 
 function unknownIdOutcome (): Outcome {
-  return unknownOutcome(OutcomeReason.HomeGone, 'the home has not seen this id')
+  return unknownOutcome(OutcomeReason.HomeGone, 'the home has no request with this id')
 }
 
 export async function * singleBatch (...events: readonly RunEvent[]): RunEvents {
--- a/packages/dotterelspur-entry/src/request/Intake.ts
+++ b/packages/dotterelspur-entry/src/request/Intake.ts
@@ -21,7 +21,7 @@
 
 const NEW_WORK_REFUSED: ReadonlySet<OutcomeReason> = new Set([OutcomeReason.Draining, OutcomeReason.Isolated])
 
-/** The way from a checked request to its run. */
+/** Starts the runs of validated requests. */
 export class Intake {
   constructor (private readonly context: EntryContext, private readonly gate: NodeGate, private readonly homeRuns: HomeRuns, private readonly keyed: KeyedRuns) {}
 
@@ -29,14 +29,14 @@
     return mintRequestId(this.context)
   }
 
-  /** Whether what is being taken in may have waited through a pause of this process. */
+  /** Whether a request that is accepted now may have waited through a pause of this process. */
   isStale (): boolean {
     return this.context.pauses.isStale(this.context.clock.nowMs())
   }
 
   async start (run: RunRequest, headers: CallHeaders, message: IncomingMessage): Promise<Result<StartedRun, Refusal>> {
     if (run.stale && await hasCallerDisconnected(message)) {
-      const outcome = unknownOutcome(OutcomeReason.Cancelled, 'the caller went away while this node was paused')
+      const outcome = unknownOutcome(OutcomeReason.Cancelled, 'the caller disconnected while this node was paused')
       return failed({ outcome, retryable: true, entries: undefined })
     }
     if (run.safety === RequestSafety.NonIdempotent) return success(await this.keyed.run(run, headers.idempotencyKey))
@@ -45,15 +45,15 @@
     return success({ requestId: run.requestId, events: this.homeRuns.runIdempotent(run) })
   }
 
-  /** Where to go instead, for outcomes that say that this node takes no new work. */
+  /** Addresses of other nodes, for outcomes with which this node refuses new requests. */
   entriesFor (outcome: Outcome): readonly string[] | undefined {
     return NEW_WORK_REFUSED.has(outcome.reason) ? this.gate.otherEntries() : undefined
   }
 }
 
 /**
- * Gives the sockets two turns of the event loop to tell that the caller has gone. Requests that waited in the
- * kernel through a pause are read before the ends of their connections.
+ * Waits two turns of the event loop for a disconnect to be reported. After a pause, requests that waited in the kernel are
+ * read before the ends of their connections.
  */
 async function hasCallerDisconnected (message: IncomingMessage): Promise<boolean> {
   await nextEventLoopTurn()
--- a/packages/dotterelspur-entry/src/request/KeyedRuns.ts
+++ b/packages/dotterelspur-entry/src/request/KeyedRuns.ts
@@ -13,25 +13,25 @@
 const RANDOM_BYTES = 12
 const CLAIM_RETRY_MS = 100
 
-/** Makes a request id whose home is this process. */
+/** Creates a request id whose home is this process. */
 export function mintRequestId (context: EntryContext): RequestId {
   return formatRequestId(homeOf(context.mesh.self), context.clock.wallMs(), randomBytes(RANDOM_BYTES).toString('base64url'))
 }
 
-/** Where the claim of a team's own key is kept. */
+/** Store key of the claim for a team's own idempotency key. */
 export function claimKey (team: TeamId, key: string): string {
   const scoped = `${team}\u0000${key}`
   const bucket = claimBucket(hashText(scoped) % CLAIM_BUCKETS)
   return `${CLAIM_PREFIX}${bucket}/${createHash('sha256').update(scoped).digest('hex')}`
 }
 
-/** Runs non-idempotent requests: each at the home of its id, whichever node took it in. */
+/** Runs each non-idempotent request at the home of its id, whichever node accepted it. */
 export class KeyedRuns {
   constructor (private readonly context: EntryContext, private readonly homeRuns: HomeRuns, private readonly link: HomeLink, private readonly gate: NodeGate) {}
 
   /**
-   * @param key what the caller sent as its idempotency key: an id that names its home, a key of its own, or null.
-   *   `request.requestId` is a new id of this process, used where the key doesn't bring one.
+   * @param key the caller's idempotency key: a request id that names its home, a key of the caller's own, or null.
+   *   `request.requestId` is a new id of this process, used if the key does not resolve to an id.
    */
   async run (request: RunRequest, key: string | null): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
     if (key === null) return this.runAtHome(request)
@@ -39,14 +39,14 @@
     return this.runClaimed(request, key)
   }
 
-  /** The request id for which a key stands, if that is known. */
+  /** The request id that a key refers to; undefined if the key has no claim, an outcome if the store can't be read. */
   async resolve (team: TeamId, key: string): Promise<RequestId | Outcome | undefined> {
     if (parseRequestId(key) !== undefined) return key
     this.context.observer.claimCall()
     const claim = await this.context.store.get<ClaimObject>(claimKey(team, key))
     if (claim.ok) return claim.value.deleted ? undefined : claim.value.body.requestId
     if (claim.error.kind === StoreErrorKind.NotFound) return undefined
-    return unknownOutcome(OutcomeReason.StoreUnavailable, 'the platform\'s store can\'t be asked for this key now', 1_000)
+    return unknownOutcome(OutcomeReason.StoreUnavailable, 'the platform\'s store can\'t be read for this key now', 1_000)
   }
 
   isLocalHome (home: HomeId): boolean {
@@ -66,11 +66,11 @@
     if (claim.kind === ClaimStateKind.Settled) return this.runAtHome({ ...request, requestId: claim.requestId })
     const outcome = claim.kind === ClaimStateKind.NotWritten
       ? unsentOutcome(request, `the key could not be claimed: ${claim.reason}`, OutcomeReason.StoreUnavailable)
-      : unknownOutcome(OutcomeReason.ClaimUnsettled, `it is not settled which request the key stands for: ${claim.reason}`, 1_000)
+      : unknownOutcome(OutcomeReason.ClaimUnsettled, `it is undecided which request the key refers to: ${claim.reason}`, 1_000)
     return this.refuse(request, outcome)
   }
 
-  /** This node takes no new work, but a key that stands for an id already can still be passed to its home. */
+  /** Used while this node accepts no new requests: a key that already refers to an id is still forwarded to the id's home. */
   private async refuseOrForward (request: RunRequest, key: string, refusal: Outcome): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
     const resolved = this.gate.isIsolated() ? undefined : await this.resolve(request.team, key)
     if (typeof resolved === 'string') return this.runAtHome({ ...request, requestId: resolved })
--- a/packages/dotterelspur-entry/src/request/LocalRuns.ts
+++ b/packages/dotterelspur-entry/src/request/LocalRuns.ts
@@ -14,13 +14,15 @@
 import { RunEventKind, RunKind, finishedWith, type FinishedEvent, type ModelRunRequest, type RunEvent, type RunEvents, type RunRequest, type ServiceRunRequest } from './RunRequest.js'
 import { ServiceRunner } from './ServiceRunner.js'
 
-/** When a suspect may come back that runs elsewhere: by then one end more, or an answer, has shown what it is. */
+/**
+ * Retry-after for a deferred suspect. By then another termination or an answer has shown whether the request is poison.
+ */
 const SUSPECT_RETRY_MS = 1_500
 
-/** Outcomes of requests that seem to end the endpoints that run them, or do. */
+/** Outcomes of requests that are suspected of crashing the endpoints that run them, or are quarantined for it. */
 const POISON_REFUSALS: Readonly<Record<AdmissionKind.Deferred | AdmissionKind.Quarantined, Outcome>> = {
-  [AdmissionKind.Deferred]: notRun(OutcomeReason.Overloaded, 'endpoints ended with this request; it is tried one at a time', SUSPECT_RETRY_MS),
-  [AdmissionKind.Quarantined]: notRun(OutcomeReason.Quarantined, 'this request ends the endpoints that run it', null)
+  [AdmissionKind.Deferred]: notRun(OutcomeReason.Overloaded, 'endpoints terminated while they ran this request; one copy of it is tried at a time', SUSPECT_RETRY_MS),
+  [AdmissionKind.Quarantined]: notRun(OutcomeReason.Quarantined, 'this request crashes the endpoints that run it', null)
 }
 
 interface LocalRun {
@@ -30,7 +32,7 @@
   readonly startedAtMs: number
 }
 
-/** What a run did, for admission's limits. */
+/** Result of a run, with the measurements that the admission controller uses. */
 interface RunResult {
   readonly finished: FinishedEvent
   readonly firstTokenAtMs: number | null
@@ -38,8 +40,8 @@
 }
 
 /**
- * Runs requests from this node: admission, then the request's procedure, then its report. A non-idempotent run
- * goes on when its caller goes away, since its outcome is asked for later; an idempotent one is cancelled.
+ * Runs requests on this node: admission, then the request's procedure, then the report to the observer. When the caller
+ * disconnects, an idempotent run is cancelled; a non-idempotent run continues, because its outcome may be requested later.
  */
 export class LocalRuns {
   private readonly active = new Set<LocalRun>()
@@ -51,13 +53,13 @@
     return this.active.size
   }
 
-  /** Resolves once nothing runs. */
+  /** Resolves once no request is running. */
   idle (): Promise<void> {
     if (this.active.size === 0) return Promise.resolve()
     return new Promise((resolve) => { this.idleListeners.add(resolve) })
   }
 
-  /** Starts a run at once. `onEvent` hears every event, the last one before the consumer does. */
+  /** Starts a run immediately. `onEvent` is called for every event, and for the last one before the consumer receives it. */
   start (request: RunRequest, onEvent: (event: RunEvent) => void = () => {}): RunEvents {
     const interrupt = new RequestInterrupt()
     const channel = new RunChannel({ onEvent, onAbandoned: () => { this.cancelForCaller(request, interrupt) } })
@@ -72,7 +74,7 @@
     return channel.events()
   }
 
-  /** Cuts off everything that still runs; only for the end of a process whose grace is over. */
+  /** Interrupts all running requests. Only for shutdown, after the drain period has passed. */
   abortAll (): void {
     for (const run of this.active) run.interrupt.fire(InterruptKind.Deadline)
   }
@@ -136,7 +138,7 @@
   }
 
   private checkCapacity (): Outcome | null {
-    if (this.active.size > this.context.limits.maxRequests) return notRun(OutcomeReason.Overloaded, 'this node works on too many requests')
+    if (this.active.size > this.context.limits.maxRequests) return notRun(OutcomeReason.Overloaded, 'this node has reached its limit of concurrent requests')
     return null
   }
 
--- a/packages/dotterelspur-entry/src/request/ModelRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ModelRunner.ts
@@ -15,7 +15,7 @@
 
 const STALL_CHECK_MS = 250
 
-/** Carries out the effects of one model request's procedure against the endpoints. */
+/** Executes the effects of one model request's procedure against the endpoints. */
 export class ModelRunner {
   private stream: AttemptStream | null = null
   private group: GroupView | null = null
@@ -27,7 +27,7 @@
   private delivered = false
   private readonly prefixes: readonly number[]
   private readonly content: RequestContent
-  /** Resolves once it is known whether the last endpoint that was lost has ended. */
+  /** Resolves once the check has completed whether the endpoint of the last lost connection has terminated. */
   private lossCheck: Promise<void> = Promise.resolve()
   private exchange: ExchangeTracker | null = null
   firstTokenAtMs: number | null = null
@@ -104,7 +104,7 @@
     if (!decision.ok) return failed(refusalOutcome(decision.error))
     this.target = decision.value.target
     const view = fleet.group(decision.value.target.group)
-    return view === undefined ? failed(notRun(OutcomeReason.NoReplica, 'the group has just gone')) : success(view)
+    return view === undefined ? failed(notRun(OutcomeReason.NoReplica, 'the chosen group was removed before the request was sent')) : success(view)
   }
 
   private targetIdsOf (group: string): string[] {
@@ -113,9 +113,10 @@
   }
 
   /**
-   * Judges the choice and sends in one turn of the event loop. Between a choice and its send the process may have
-   * been paused, and the group dissolved meanwhile; the engine would refuse another formation, but the group may
-   * be incomplete at the same one. One would notice it as a run with fewer members up than due.
+   * Rechecks the chosen group and sends the request in the same turn of the event loop. The process may have been
+   * paused since the group was chosen, and the group may have been dissolved. The engine refuses a request for another
+   * formation, but a group can be incomplete at the same formation: without the recheck the request would run while
+   * some members of the group are down.
    */
   private send ({ group, attempt, resumeOffset, resumeText }: SendEffect): boolean {
     const { clock, pauses, fleet, observer, router, engines } = this.context
@@ -228,7 +229,7 @@
     return true
   }
 
-  /** Ends waits for events that won't come: the group is no longer whole, or nothing came for too long. */
+  /** Stalls the stream if it has been silent for `streamIdleMs`, or for `lostGroupStallMs` while its group is not dispatchable. */
   private watchForStalls (): () => void {
     const { clock, timing, fleet } = this.context
     let cancel = (): void => {}
@@ -246,7 +247,7 @@
 
 const CONNECTION_LOSS_ERRORS: ReadonlySet<EndpointErrorKind> = new Set([EndpointErrorKind.Ambiguous, EndpointErrorKind.Broken])
 
-/** Whether the connection ended in the middle of an answer. */
+/** Whether the connection was lost before the answer was complete. */
 function isConnectionLost (event: NextEvent): boolean {
   return event === null || ('kind' in event && event.kind === StreamEventKind.Error && CONNECTION_LOSS_ERRORS.has(event.error.kind))
 }
@@ -264,7 +265,7 @@
 
 const OVERLOAD_REFUSALS: ReadonlySet<RouteRefusalKind> = new Set([RouteRefusalKind.AllTried, RouteRefusalKind.AllBackingOff])
 
-/** A refusal to choose, as the outcome of a request that was never sent. */
+/** Converts a routing refusal to the outcome of a request that was never sent. */
 export function refusalOutcome (refusal: RouteRefusal): Outcome {
   const reason = OVERLOAD_REFUSALS.has(refusal.kind) ? OutcomeReason.Overloaded : OutcomeReason.NoReplica
   return { kind: OutcomeKind.NotRun, reason, message: refusal.message, retryAfterMs: refusal.retryAfterMs }
--- a/packages/dotterelspur-entry/src/request/RunChannel.ts
+++ b/packages/dotterelspur-entry/src/request/RunChannel.ts
@@ -3,15 +3,15 @@
 const DEFAULT_CAPACITY = 32
 
 export interface RunChannelListener {
-  /** Hears every event, also those that the consumer no longer takes. */
+  /** Called for every event, also after the consumer has stopped reading. */
   readonly onEvent?: (event: RunEvent) => void
-  /** The consumer went before the end. */
+  /** Called when the consumer stops before the run has ended. */
   readonly onAbandoned?: () => void
 }
 
 /**
- * Events of one run on their way to its consumer. Bounded: a producer that gets ahead waits, so that a slow
- * caller slows the engine in place of filling this process. A consumer takes all that is there at once.
+ * Bounded queue of one run's events between producer and consumer. A producer that is ahead waits, so that a slow caller slows
+ * the engine down instead of filling this process's memory. The consumer takes all queued events at once.
  */
 export class RunChannel {
   private queued: RunEvent[] = []
@@ -22,7 +22,7 @@
 
   constructor (private readonly listener: RunChannelListener = {}, private readonly capacity = DEFAULT_CAPACITY) {}
 
-  /** Undefined when there is room; otherwise a promise of room. */
+  /** Returns undefined if the queue has room, otherwise a promise that resolves once it has. */
   push (event: RunEvent): Promise<void> | undefined {
     this.listener.onEvent?.(event)
     if (this.abandoned) return undefined
@@ -32,15 +32,15 @@
     return new Promise((resolve) => { this.wakeProducer = resolve })
   }
 
-  /** No more events come. */
+  /** Marks the end of the events. */
   end (): void {
     this.ended = true
     this.signalConsumer()
   }
 
   /**
-   * For one consumer. Not a generator: ending the iteration must work at once, also while the consumer waits for
-   * the next events, and a generator would put it off until they come.
+   * The events, for one consumer. This is not a generator, because a generator would delay `return` until the pending `next`
+   * has resolved, and the consumer must be able to end the iteration while it waits for events.
    */
   events (): RunEvents {
     const iterator: AsyncIterator<readonly RunEvent[]> = {
@@ -53,7 +53,7 @@
     return { [Symbol.asyncIterator]: () => iterator }
   }
 
-  /** The consumer has gone: what comes is dropped, and the producer never waits again. */
+  /** Called when the consumer has stopped reading: further events are dropped, and the producer never waits again. */
   abandon (): void {
     if (this.abandoned) return
     this.abandoned = true
--- a/packages/dotterelspur-entry/src/request/RunRequest.ts
+++ b/packages/dotterelspur-entry/src/request/RunRequest.ts
@@ -10,21 +10,21 @@
   readonly team: TeamId
   readonly safety: RequestSafety
   readonly priority: PriorityClass
-  /** Time left, counted from when this was sent or taken in. */
+  /** Time left, counted from when this message was sent, or when the node accepted the request. */
   readonly deadlineMs: number
-  /** Key that the caller sent; passed on to the endpoint. */
+  /** The caller's idempotency key, forwarded to the endpoint. */
   readonly idempotencyKey: string | null
-  /** Hash of what was asked, so that an id can't be used for another body. */
+  /** Hash of the request content, so that an id can't be reused for another request. */
   readonly fingerprint: string
-  /** The caller's count of its submissions of this id, null when it keeps none. */
+  /** The caller's sequence number of this submission of the id, from 1; null if the caller doesn't number them. */
   readonly submission: number | null
-  /** Taken in right after a pause of the node that took it in. */
+  /** The receiving node accepted the request right after a pause of its process. */
   readonly stale: boolean
-  /** The home's ticket from when the caller was known to wait; null where the node that took it in is the home. */
+  /** The home's ticket, fetched while the caller was still waiting; null if the node that accepted the request is the home. */
   readonly ticket: number | null
 }
 
-/** A model request, checked and ready to be dispatched by this node or by its home. */
+/** A validated model request that this node or the home of its id can dispatch. */
 export interface ModelRunRequest extends RunCommon {
   readonly kind: RunKind.Model
   readonly model: ModelId
@@ -32,7 +32,7 @@
   readonly prompt: string
   readonly maxTokens: number
   readonly seed: number
-  /** The caller sees tokens as they come, so what was delivered can't be taken back. */
+  /** The caller receives tokens as they arrive, so delivered text can't be revoked. */
   readonly streamed: boolean
 }
 
@@ -51,10 +51,10 @@
 
 export enum RunEventKind {
   Text = 'text',
-  /** All text so far is void: the answer starts again. Never sent to a caller that has seen some. */
+  /** Discards all text so far: the answer restarts. Never sent for a streamed request of which text has been delivered. */
   Restart = 'restart',
   Response = 'response',
-  /** Always the last event; a run without it ended in silence and is unknown. */
+  /** Always the last event; the outcome of a run without it is unknown. */
   Finished = 'finished'
 }
 
@@ -78,14 +78,14 @@
   readonly promptTokens: number
   readonly completionTokens: number
   readonly attempts: number
-  /** Answered, but the answer is no longer held; only for repeats of an id. */
+  /** The outcome is kept but the answer is not; set only for repeated submissions of an id. */
   readonly withheld: boolean
 }
 
-/** What becomes of a run, in order; the same between processes and inside one. */
+/** An event of a run; the format is the same between processes and within one. */
 export type RunEvent = TextEvent | { readonly kind: RunEventKind.Restart } | ResponseEvent | FinishedEvent
 
-/** The events of one run. Ending the iteration early tells the run that its caller has gone. */
+/** The events of one run, in order. Ending the iteration early signals that the caller has disconnected. */
 export type RunEvents = AsyncIterable<readonly RunEvent[]>
 
 export function finishedWith (outcome: Outcome): FinishedEvent {
--- a/packages/dotterelspur-entry/src/request/ServiceRunner.ts
+++ b/packages/dotterelspur-entry/src/request/ServiceRunner.ts
@@ -8,18 +8,18 @@
 import { refusalOutcome } from './ModelRunner.js'
 import type { ServiceRunRequest } from './RunRequest.js'
 
-/** Errors after which the worker may have ended. */
+/** Errors after which the worker may have terminated. */
 const CONNECTION_LOSS_ERRORS: ReadonlySet<EndpointErrorKind> = new Set([EndpointErrorKind.Ambiguous, EndpointErrorKind.Broken])
 
 type CallResult = Result<ServiceResponse, EndpointError> | Interrupt | null
 
-/** Carries out the effects of one service call's procedure against the service's workers. */
+/** Executes the effects of one service call's procedure against the service's workers. */
 export class ServiceRunner {
   private readonly triedTargets = new Map<string, string>()
   private target: ServiceTarget | null = null
   private decidedAtMs = 0
   private readonly content: RequestContent
-  /** Resolves once it is known whether the last worker that was lost has ended. */
+  /** Resolves once the check has completed whether the worker of the last lost connection has terminated. */
   private lossCheck: Promise<void> = Promise.resolve()
 
   constructor (private readonly context: EntryContext, private readonly request: ServiceRunRequest, private readonly interrupt: RequestInterrupt) {
@@ -63,7 +63,7 @@
     return success({ vm: target.vm, address: target.address })
   }
 
-  /** Null: the choice no longer holds, and nothing was sent. */
+  /** Resolves with null if the chosen worker is no longer dispatchable; nothing was sent then. */
   private async call ({ worker, attempt }: CallServiceEffect): Promise<CallResult> {
     const { clock, pauses, fleet, observer, router } = this.context
     const nowMs = clock.nowMs()
--- a/packages/dotterelspur-entry/src/request/StreamFinder.ts
+++ b/packages/dotterelspur-entry/src/request/StreamFinder.ts
@@ -6,8 +6,8 @@
 import { RunEventKind, RunKind, finishedWith, type RunEvents, type RunRequest } from './RunRequest.js'
 
 /**
- * Finds the stream of an id whose home is gone. The id is never sent again: an engine that holds its stream gives
- * the caller the whole answer; otherwise what became of it stays unknown.
+ * Finds the stream of an id whose home has terminated. The request is never sent again: if an engine still has the stream,
+ * the caller gets the whole answer from it; otherwise the outcome stays unknown.
  */
 export class StreamFinder {
   constructor (private readonly context: EntryContext) {}
--- a/packages/dotterelspur-entry/src/request/contentOf.ts
+++ b/packages/dotterelspur-entry/src/request/contentOf.ts
@@ -3,7 +3,10 @@
 
 type ContentReaders = { readonly [Kind in RunKind]: (request: Extract<RunRequest, { kind: Kind }>) => RequestContent }
 
-/** What makes a request the same one when it comes again. A seed is no part of it: where the caller gives none, each attempt has another. */
+/**
+ * The content by which a repeated request is recognised. The seed is excluded, because a request whose caller sets none gets
+ * another seed each time it is sent.
+ */
 const CONTENT_READERS: ContentReaders = {
   [RunKind.Model]: ({ team, model, adapter, prompt, maxTokens }: ModelRunRequest) => {
     return { service: String(team), method: RunKind.Model, target: `${adapter ?? ''}/${maxTokens}`, caller: String(team), model, body: Buffer.from(prompt) }
--- a/packages/dotterelspur-entry/src/request/errorBody.ts
+++ b/packages/dotterelspur-entry/src/request/errorBody.ts
@@ -1,6 +1,6 @@
 import { OutcomeKind, OutcomeReason, type Outcome, type RequestId } from 'dotterelspur'
 
-/** The one shape of an error towards callers. `message` and `type` are where OpenAI clients look for them. */
+/** Body of every error response to a caller. OpenAI clients read `message` and `type` at these places. */
 export interface ErrorBody {
   readonly error: {
     readonly message: string
@@ -11,7 +11,7 @@
     readonly retryAfterMs: number | null
     readonly requestId: RequestId | null
   }
-  /** Addresses to use in place of this one; only where this node takes no new work. */
+  /** Addresses to use instead of this one; present only if this node accepts no new requests. */
   readonly entries?: readonly string[]
 }
 
@@ -21,7 +21,7 @@
   return entries === undefined ? { error } : { error, entries }
 }
 
-/** HTTP status of each reason, where a request did not end with an answer. */
+/** HTTP status for each reason of a request that ended without an answer. */
 export const HTTP_STATUS: Readonly<Record<OutcomeReason, number>> = {
   [OutcomeReason.Completed]: 409,
   [OutcomeReason.EndpointFailed]: 502,
@@ -49,8 +49,8 @@
 const MS_PER_SECOND = 1_000
 
 /**
- * Headers that go with a refusal. `x-should-retry` tells client libraries that retry by themselves whether that
- * is safe: without it they would send a non-idempotent request again under another id after an unknown outcome.
+ * Headers of an error response. `x-should-retry` controls client libraries that retry automatically: without it they
+ * would send a non-idempotent request again under another id after an unknown outcome.
  */
 export function errorHeaders (outcome: Outcome, retryable: boolean): Record<string, string> {
   const headers: Record<string, string> = { 'dotterelspur-outcome': outcome.kind }
--- a/packages/dotterelspur-entry/src/request/prefixHashes.ts
+++ b/packages/dotterelspur-entry/src/request/prefixHashes.ts
@@ -1,12 +1,12 @@
 import { PREFIX_BLOCK_CHARACTERS, prefixHashes } from 'dotterelspur'
 
-/** Blocks beyond this add nothing to the choice of a group, and each one costs a hash over the whole prefix. */
+/** Further blocks don't improve the choice of a group, and each one costs a hash over the whole prefix. */
 const MAX_BLOCKS = 16
 
-/** Tokens of a text, estimated. */
+/** Estimated average, used to estimate the number of tokens in a text. */
 const CHARACTERS_PER_TOKEN = 4
 
-/** Hashes of the leading whole-block prefixes of a prompt that count for the choice of a group, shortest first. */
+/** Hashes of the leading whole-block prefixes of a prompt that the router uses to choose a group, shortest first. */
 export function routingPrefixes (prompt: string): number[] {
   return prefixHashes(prompt, MAX_BLOCKS)
 }
