--- a/packages/dotterelspur-entry/src/__tests__/unit/CacheEventPoller.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/CacheEventPoller.test.ts
@@ -7,12 +7,12 @@
 import type { EntryContext } from '../../process/EntryContext.js'
 import { DEFAULT_ENTRY_LIMITS, DEFAULT_ENTRY_TIMING } from '../../process/EntryOptions.js'
 
-type Answer = Result<CacheEventPage, EndpointError>
+type PageResult = Result<CacheEventPage, EndpointError>
 
-const FAILURE: Answer = failed({ kind: EndpointErrorKind.Ambiguous, reason: 'no answer in time' })
+const FAILURE: PageResult = failed({ kind: EndpointErrorKind.Ambiguous, reason: 'no response in time' })
 const HOUR_MS = 60 * 60_000
 
-function pageOf (sequences: readonly number[], nextSequence = sequences.at(-1) ?? 0): Answer {
+function pageOf (sequences: readonly number[], nextSequence = sequences.at(-1) ?? 0): PageResult {
   return success({ events: sequences.map((sequence) => ({ sequence, kind: CacheEventKind.Stored, prefixHash: sequence })), nextSequence })
 }
 
@@ -23,26 +23,26 @@
 function createFixture () {
   const clock = new ManualClock()
   const polls: Array<{ readonly address: string, readonly after: number, readonly atMs: number }> = []
-  const noted: Array<{ readonly id: TargetId, readonly events: number }> = []
-  const answers: Array<Answer | Promise<Answer>> = []
-  let tell: (targets: readonly RouteTarget[]) => void = () => {}
+  const applied: Array<{ readonly id: TargetId, readonly events: number }> = []
+  const responses: Array<PageResult | Promise<PageResult>> = []
+  let setTargets: (targets: readonly RouteTarget[]) => void = () => {}
   let listening = false
   const context = {
     clock,
     random: createRandom(1),
     mesh: { self: { region: 'perth' } },
     fleet: {
-      registerListener: (listener: typeof tell) => {
-        tell = listener
+      registerListener: (listener: typeof setTargets) => {
+        setTargets = listener
         listening = true
         return () => { listening = false }
       }
     },
-    router: { applyCacheEvents: (id: TargetId, page: CacheEventPage) => { noted.push({ id, events: page.events.length }) } },
+    router: { applyCacheEvents: (id: TargetId, page: CacheEventPage) => { applied.push({ id, events: page.events.length }) } },
     engines: {
       cacheEvents: async (address: string, after: number) => {
         polls.push({ address, after, atMs: clock.nowMs() })
-        return answers.shift() ?? pageOf([], after)
+        return responses.shift() ?? pageOf([], after)
       }
     },
     timing: DEFAULT_ENTRY_TIMING,
@@ -52,12 +52,12 @@
   return {
     clock,
     polls,
-    noted,
-    answers,
+    applied,
+    responses,
     stop,
-    tell: (targets: readonly RouteTarget[]) => { tell(targets) },
+    setTargets: (targets: readonly RouteTarget[]) => { setTargets(targets) },
     isListening: () => listening,
-    /** Each step fires one poll at most, however long the pause before it is. */
+    /** Each step triggers at most one poll, whatever the delay before it. */
     turns: async (count: number) => {
       for (let index = 0; index < count; index += 1) {
         clock.advance(HOUR_MS)
@@ -72,83 +72,83 @@
 }
 
 describe('CacheEventPoller', () => {
-  const faults: ReadonlyArray<{ name: string, answers: readonly Answer[], after: readonly number[], notedEvents: readonly number[] }> = [
-    { name: 'a page: goes on after it', answers: [pageOf([1, 2])], after: [0, 2], notedEvents: [2, 0] },
-    { name: 'an empty page: asks again from the same place', answers: [pageOf([4]), pageOf([], 4)], after: [0, 4, 4], notedEvents: [1, 0, 0] },
-    { name: 'a gap: goes on after it and passes all on', answers: [pageOf([1]), pageOf([7, 9])], after: [0, 1, 9], notedEvents: [1, 2, 0] },
-    { name: 'a failed poll: starts over', answers: [pageOf([1, 2]), FAILURE], after: [0, 2, 0], notedEvents: [2, 0] },
-    { name: 'a failed first poll: asks again', answers: [FAILURE], after: [0, 0], notedEvents: [0] }
+  const pageCases: ReadonlyArray<{ name: string, responses: readonly PageResult[], after: readonly number[], appliedEvents: readonly number[] }> = [
+    { name: 'a page: continues after it', responses: [pageOf([1, 2])], after: [0, 2], appliedEvents: [2, 0] },
+    { name: 'an empty page: polls again from the same sequence', responses: [pageOf([4]), pageOf([], 4)], after: [0, 4, 4], appliedEvents: [1, 0, 0] },
+    { name: 'a gap: continues after it and applies all events', responses: [pageOf([1]), pageOf([7, 9])], after: [0, 1, 9], appliedEvents: [1, 2, 0] },
+    { name: 'a failed poll: restarts at sequence 0', responses: [pageOf([1, 2]), FAILURE], after: [0, 2, 0], appliedEvents: [2, 0] },
+    { name: 'a failed first poll: polls again', responses: [FAILURE], after: [0, 0], appliedEvents: [0] }
   ]
-  for (const row of faults) {
+  for (const row of pageCases) {
     it(row.name, async () => {
-      const { tell, turns, polls, noted, answers, stop } = createFixture()
-      answers.push(...row.answers)
-      tell([groupOf('a')])
+      const { setTargets, turns, polls, applied, responses, stop } = createFixture()
+      responses.push(...row.responses)
+      setTargets([groupOf('a')])
       await turns(row.after.length)
       stop()
       expect(polls.map(({ after }) => after)).to.deep.equal(row.after)
-      expect(noted.map(({ events }) => events)).to.deep.equal(row.notedEvents)
+      expect(applied.map(({ events }) => events)).to.deep.equal(row.appliedEvents)
     })
   }
 
-  const changes: ReadonlyArray<{ name: string, next: readonly RouteTarget[], polled: readonly string[] }> = [
-    { name: 'a new formation starts over', next: [groupOf('a', 2)], polled: ['http://a 0'] },
-    { name: 'the same formation goes on', next: [groupOf('a')], polled: ['http://a 3'] },
-    { name: 'a leader at another address starts over', next: [{ ...groupOf('a'), address: 'http://b' }], polled: ['http://b 0'] },
-    { name: 'a group that may not be dispatched to is left alone', next: [], polled: [] },
-    { name: 'a group of another region is left alone', next: [groupOf('a', 1, 'albany')], polled: [] },
-    { name: 'a worker of a service is left alone', next: [{ kind: TargetKind.Service, id: serviceTargetId('trips', 'vm-1', 1), region: 'perth' } as RouteTarget], polled: [] }
+  const targetCases: ReadonlyArray<{ name: string, next: readonly RouteTarget[], polled: readonly string[] }> = [
+    { name: 'a new formation restarts at sequence 0', next: [groupOf('a', 2)], polled: ['http://a 0'] },
+    { name: 'the same formation continues', next: [groupOf('a')], polled: ['http://a 3'] },
+    { name: 'a leader at another address restarts at sequence 0', next: [{ ...groupOf('a'), address: 'http://b' }], polled: ['http://b 0'] },
+    { name: 'a group that may not be dispatched to is not polled', next: [], polled: [] },
+    { name: 'a group of another region is not polled', next: [groupOf('a', 1, 'albany')], polled: [] },
+    { name: 'a worker of a service is not polled', next: [{ kind: TargetKind.Service, id: serviceTargetId('trips', 'vm-1', 1), region: 'perth' } as RouteTarget], polled: [] }
   ]
-  for (const row of changes) {
+  for (const row of targetCases) {
     it(row.name, async () => {
-      const { tell, turns, polls, answers, stop } = createFixture()
-      answers.push(pageOf([3]))
-      tell([groupOf('a')])
+      const { setTargets, turns, polls, responses, stop } = createFixture()
+      responses.push(pageOf([3]))
+      setTargets([groupOf('a')])
       await turns(1)
-      tell(row.next)
+      setTargets(row.next)
       await turns(1)
       stop()
       expect(polls.slice(1, 2).map(({ address, after }) => `${address} ${after}`)).to.deep.equal(row.polled)
     })
   }
 
-  it('drops the page of a formation that ended meanwhile, and has one poll in flight', async () => {
-    const { tell, turns, polls, noted, answers, stop } = createFixture()
-    let answer: (value: Answer) => void = () => {}
-    answers.push(new Promise((resolve) => { answer = resolve }))
-    tell([groupOf('a')])
+  it('discards the page of a formation that has been replaced, and keeps one poll in flight', async () => {
+    const { setTargets, turns, polls, applied, responses, stop } = createFixture()
+    let respond: (value: PageResult) => void = () => {}
+    responses.push(new Promise((resolve) => { respond = resolve }))
+    setTargets([groupOf('a')])
     await turns(3)
     expect(polls).to.have.length(1)
-    tell([groupOf('a', 2)])
-    answer(pageOf([5]))
+    setTargets([groupOf('a', 2)])
+    respond(pageOf([5]))
     await settled()
     await turns(1)
     stop()
-    expect(noted.map(({ id }) => id)).to.deep.equal([groupTargetId('a', 2)])
+    expect(applied.map(({ id }) => id)).to.deep.equal([groupTargetId('a', 2)])
     expect(polls.map(({ after }) => after)).to.deep.equal([0, 0])
   })
 
-  it('stops for good, also with a poll in flight', async () => {
-    const { tell, turns, polls, noted, answers, stop, isListening } = createFixture()
-    let answer: (value: Answer) => void = () => {}
-    answers.push(new Promise((resolve) => { answer = resolve }))
-    tell([groupOf('a')])
+  it('stops permanently, even with a poll in flight', async () => {
+    const { setTargets, turns, polls, applied, responses, stop, isListening } = createFixture()
+    let respond: (value: PageResult) => void = () => {}
+    responses.push(new Promise((resolve) => { respond = resolve }))
+    setTargets([groupOf('a')])
     await turns(1)
     stop()
-    answer(pageOf([5]))
+    respond(pageOf([5]))
     await settled()
     await turns(2)
-    expect([polls.length, noted.length, isListening()]).to.deep.equal([1, 0, false])
+    expect([polls.length, applied.length, isListening()]).to.deep.equal([1, 0, false])
   })
 
   const loads = [{ groups: 1, events: 0 }, { groups: 19, events: 0 }, { groups: 300, events: 0 }, { groups: 19, events: 500 }]
   for (const { groups, events } of loads) {
-    it(`keeps the byte budget at ${groups} groups and ${events} events a page, and gives each its turn`, async () => {
-      const { clock, tell, polls, answers, stop } = createFixture()
+    it(`stays within the byte budget at ${groups} groups and ${events} events a page, and polls every group`, async () => {
+      const { clock, setTargets, polls, responses, stop } = createFixture()
       const names = Array.from({ length: groups }, (_, index) => `g${index}`)
-      tell(names.map((name) => groupOf(name)))
+      setTargets(names.map((name) => groupOf(name)))
       while (polls.length < groups * 2 + 1) {
-        if (answers.length === 0) answers.push(pageOf(Array.from({ length: events }, (_, index) => index + 1)))
+        if (responses.length === 0) responses.push(pageOf(Array.from({ length: events }, (_, index) => index + 1)))
         clock.advance(50)
         await settled()
       }
--- a/packages/dotterelspur-entry/src/__tests__/unit/ClaimSweeper.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/ClaimSweeper.test.ts
@@ -11,7 +11,7 @@
 const RETENTION_MS = 1_000
 
 describe('ClaimSweeper', () => {
-  it('removes each old claim once, over all nodes, and keeps the young ones', async () => {
+  it('removes each expired claim once across all nodes, and keeps the others', async () => {
     const clock = new ManualClock()
     const store = new MemoryObjectStore()
     const network = new FakeNetwork()
--- a/packages/dotterelspur-entry/src/__tests__/unit/TeamTable.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/TeamTable.test.ts
@@ -30,10 +30,10 @@
 }
 
 describe('TeamTable', () => {
-  // Symptom: a team's replicas are dissolved after a text that no node can parse was written to the store.
-  // Sequence: version 3 in force; version 4, unreadable, arrives; every node drops the team.
-  // Cause: an unreadable version was taken for a team without models.
-  it('keeps the version before an unreadable one in force', () => {
+  // Failure: a team's replicas are dissolved after settings that no node can parse were written to the store.
+  // Sequence: version 3 is in force; version 4 arrives and is unreadable; every node drops the team.
+  // Cause: an unreadable version was treated as a team without models.
+  it('keeps the previous version in force when a version is unreadable', () => {
     const fixture = createTableFixture()
     fixture.offer(3, 'abc')
     fixture.offer(4, 'bad')
@@ -41,10 +41,10 @@
     expect(fixture.changes()).to.equal(1)
   })
 
-  // Symptom: a deleted team serves again.
-  // Sequence: version 3; deletion at 5; a late copy of version 3 arrives.
-  // Cause: the deletion left nothing behind to compare the late copy with.
-  it('does not bring a deleted team back', () => {
+  // Failure: a deleted team is served again.
+  // Sequence: version 3 is in force; the team is deleted at version 5; a delayed copy of version 3 arrives.
+  // Cause: the version of the deletion was not kept, so it could not be compared with that of the delayed copy.
+  it('does not restore a deleted team', () => {
     const fixture = createTableFixture()
     fixture.offer(3, 'abc')
     fixture.offer(5, null)
@@ -55,10 +55,10 @@
     expect(fixture.changes()).to.equal(3)
   })
 
-  // Symptom: a team's caller is shown another team's models.
-  // Sequence: two operators apply at once, on different nodes, settings that list the same token.
-  // Cause: the team that came last in the table owned the token.
-  it('takes a token that two teams list for nobody\'s, until one gives it up', () => {
+  // Failure: a team's caller sees another team's models.
+  // Sequence: two operators apply settings that list the same token, at once and on different nodes.
+  // Cause: the token was attributed to the last team in the table that lists it.
+  it('rejects a token that two teams list, until one of them removes it', () => {
     const fixture = createTableFixture()
     fixture.offer(3, 'shared')
     expect(fixture.table.findByToken('shared')?.team).to.equal('tiler')
--- a/packages/dotterelspur-entry/src/__tests__/unit/createEntry.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/createEntry.test.ts
@@ -52,14 +52,14 @@
       expect(text).to.equal(WHOLE)
     })
 
-    it('lists the models of the team and no other', async () => {
+    it('lists only the models of the caller\'s team', async () => {
       const client = await connect()
       const names: string[] = []
       for await (const model of client.models.list()) names.push(model.id)
       expect(names).to.deep.equal(['summary', 'summary:short'])
     })
 
-    it('gives one whole stream when the first replica dies in mid-answer', async () => {
+    it('delivers one whole stream when the first replica dies in the middle of the answer', async () => {
       const client = await connect()
       harness.engines.next.push(breaksAfter(3))
       let text = ''
@@ -69,7 +69,7 @@
     })
   })
 
-  it('answers a plain service as the service does', async () => {
+  it('passes a plain service\'s response through', async () => {
     await start()
     const response = await callEntry(harness.nodes[0]!, '/services/desk/loans/7?x=1', { body: { title: 'Rain' } })
     expect(response.status).to.equal(201)
@@ -77,7 +77,7 @@
     expect(harness.services.calls[0]!.path).to.equal('/loans/7?x=1')
   })
 
-  it('answers a chat without streaming', async () => {
+  it('answers a chat completion without streaming', async () => {
     await start()
     const response = await callEntry(harness.nodes[0]!, '/v1/chat/completions', { body: CHAT_BODY })
     expect(response.status).to.equal(200)
--- a/packages/dotterelspur-entry/src/__tests__/unit/drain.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/drain.test.ts
@@ -3,12 +3,12 @@
 import type { ServiceBehaviour } from '../fixtures/FakeEngines.js'
 import { TOKENS, callEntry, startHarness, type Harness } from '../fixtures/harness.js'
 
-describe('a node without settings', () => {
-  // Symptom: a caller with a good token is told that the token is bad, and gives up.
-  // Sequence: a node restarts while the store is out; it listens before its peers have told it the teams' settings.
-  // Cause: a token that no settings name was taken for a bad one, although there were no settings. Seen in a soak
-  // with seed 12, eight calls.
-  it('says that it can\'t know the token, where to go, and that nothing ran', async () => {
+describe('a node without team settings', () => {
+  // Failure: a caller with a valid token receives 401 and gives up.
+  // Sequence: a node restarts during a store outage, and listens before it has received the team settings from its peers.
+  // Cause: a token that no settings list was rejected as invalid, although there were no settings yet. Eight calls failed
+  // like this in a soak test with seed 12.
+  it('refuses as isolated and not-run, with the addresses of other nodes', async () => {
     const harness = await startHarness({ nodes: ['node-a', 'node-b'] })
     for (const team of Object.keys(TOKENS)) harness.network.addDocument(`teams/${team}`, null, true)
     const response = await callEntry(harness.nodes[0]!, '/v1/models')
@@ -25,12 +25,12 @@
 
   afterEach(() => harness.stop())
 
-  // Symptom: "other side closed" in the middle of a call to a node that was stopped as planned.
-  // Sequence: the caller's id names another node as its home; this node passes the call there; it drains, finds
-  // that it runs nothing itself, and closes its listener; the home answers; nobody is left to pass the answer on.
-  // Cause: the drain waited for the requests that run here, and not for the calls that are answered here. Seen in
-  // a soak with seed 12, three calls.
-  it('waits for an answer that another home owes', async () => {
+  // Failure: "other side closed" in the middle of a call to a node that is stopped as planned.
+  // Sequence: the caller's id names another node as its home, and this node forwards the call there. This node drains, has no
+  // runs of its own, and closes its listener. The home answers, but the connection to the caller is gone.
+  // Cause: the drain waited for the requests that run on this node, and not for those that it forwarded. Three calls failed like
+  // this in a soak test with seed 12.
+  it('waits for the answer to a request that runs at another home', async () => {
     harness = await startHarness({ nodes: ['node-a', 'node-b'] })
     const [relay, home] = harness.nodes
     let arrived: () => void = () => {}
--- a/packages/dotterelspur-entry/src/__tests__/unit/poisonRequests.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/poisonRequests.test.ts
@@ -7,28 +7,28 @@
 const GROUPS = Array.from({ length: 16 }, (_unused, index) => `g${index}`)
 const WORKERS = Array.from({ length: 16 }, (_unused, index) => `w${index}`)
 const NODES = ['node-a', 'node-b', 'node-c', 'node-d']
-/** The ends by which a request shows what it does, and the sends that operators allow after them. */
-const MOST_ENDS = 6
+/** Maximum number of terminations: those that show the request to be poison, and the further sends that operators tolerate. */
+const MAX_TERMINATIONS = 6
 const ATTEMPTS = 24
 
-describe('Requests that end each endpoint that runs them, at the entries', () => {
-  // Symptom: a chat that is sent again and again ends one replica after the other, whichever node gets it. Sequence: a node sends
-  // it to a group, whose leader ends; it goes on with the next group, up to four times for each attempt. Cause: a stream that broke
-  // was held against the group alone, and nothing was remembered of the request.
+describe('entries with requests that crash every endpoint that runs them', () => {
+  // Failure: a chat that its caller retries crashes one replica after another, whichever node receives it.
+  // Sequence: a node sends it to a group, whose leader crashes; the node tries the next group, up to four times per request.
+  // Cause: a broken stream was counted against the group only, and nothing was recorded about the request.
   let harness: Harness
-  let ended: Set<string>
+  let terminated: Set<string>
 
   beforeEach(async () => {
-    ended = new Set()
-    harness = await startHarness({ nodes: NODES, groups: GROUPS, hasTerminated: async (host) => ended.has(`http://${host.replace(/:80$/, '')}`) })
-    for (const group of GROUPS) harness.engines.behaviours.set(`http://${group}`, endedBy(`http://${group}`))
+    terminated = new Set()
+    harness = await startHarness({ nodes: NODES, groups: GROUPS, hasTerminated: async (host) => terminated.has(`http://${host.replace(/:80$/, '')}`) })
+    for (const group of GROUPS) harness.engines.behaviours.set(`http://${group}`, crashOnPoison(`http://${group}`))
     const [first] = harness.network.services
     harness.network.services = WORKERS.map((vm) => ({ ...first!, vm, address: `http://${vm}` }))
     harness.setPresent(true)
     for (const worker of WORKERS) {
       harness.services.behaviours.set(`http://${worker}`, async ({ body }) => {
-        if (ended.has(`http://${worker}`)) return failed({ kind: EndpointErrorKind.NotRun, reason: 'nobody listens' })
-        if (Buffer.from(body).includes(POISON)) ended.add(`http://${worker}`)
+        if (terminated.has(`http://${worker}`)) return failed({ kind: EndpointErrorKind.NotRun, reason: 'connection refused' })
+        if (Buffer.from(body).includes(POISON)) terminated.add(`http://${worker}`)
         return failed({ kind: EndpointErrorKind.Ambiguous, reason: 'reset' })
       })
     }
@@ -36,12 +36,12 @@
 
   afterEach(async () => { await harness.stop() })
 
-  function endedBy (address: string): EngineBehaviour {
+  function crashOnPoison (address: string): EngineBehaviour {
     return async function * (request, signal) {
-      if (ended.has(address)) yield errorEvent({ kind: EndpointErrorKind.NotRun, reason: 'nobody listens' })
+      if (terminated.has(address)) yield errorEvent({ kind: EndpointErrorKind.NotRun, reason: 'connection refused' })
       else if (!request.prompt.includes(POISON)) yield * healthy(request, signal)
       else {
-        ended.add(address)
+        terminated.add(address)
         yield errorEvent({ kind: EndpointErrorKind.Broken, reason: 'reset', offset: 0 })
       }
     }
@@ -55,16 +55,16 @@
     await callEntry(harness.nodes[0]!, '/services/desk/x', { team, method: 'POST', body: { text: POISON } })
   }
 
-  it('are sent to a few groups, and are then refused without a time to come back', async () => {
+  it('send them to a few groups, and then refuse them without a retry-after', async () => {
     let last: Response | null = null
     for (let attempt = 0; attempt < ATTEMPTS; attempt++) last = await chat(attempt, POISON)
-    expect(ended.size).to.be.within(3, MOST_ENDS)
+    expect(terminated.size).to.be.within(3, MAX_TERMINATIONS)
     expect(last!.status).to.equal(503)
     expect(last!.headers.get('retry-after')).to.equal(null)
     expect((await chat(0, 'usual')).status).to.equal(200)
   })
 
-  it('do not spoil the same words of another team', async () => {
+  it('do not count them against the same content of another team', async () => {
     for (let attempt = 0; attempt < ATTEMPTS; attempt++) await callDesk('tradeline')
     const before = harness.services.calls.length
     await callDesk('tradeline')
@@ -73,8 +73,8 @@
     expect(harness.services.calls.length).to.be.greaterThan(before)
   })
 
-  it('are sent to a few workers of a plain service', async () => {
+  it('send them to a few workers of a plain service only', async () => {
     for (let attempt = 0; attempt < ATTEMPTS; attempt++) await callDesk('tradeline')
-    expect(ended.size).to.be.within(3, MOST_ENDS)
+    expect(terminated.size).to.be.within(3, MAX_TERMINATIONS)
   })
 })
--- a/packages/dotterelspur-entry/src/process/AdmissionGate.ts
+++ b/packages/dotterelspur-entry/src/process/AdmissionGate.ts
@@ -7,7 +7,7 @@
 
 type Settle = (result: Result<void, Outcome>) => void
 
-/** Runs the admission controller: turns its effects into the settling of waits, and its ticks into a timer. */
+/** Runs the admission controller: settles waiting requests by its effects, and calls its tick by a timer. */
 export class AdmissionGate {
   private readonly controller = new AdmissionController()
   private readonly waiting = new Map<RequestId, Settle>()
@@ -25,7 +25,7 @@
     }
   }
 
-  /** Resolves when the request may be dispatched, or with the outcome with which it was given up. */
+  /** Resolves when the request may be dispatched, or with the outcome with which it was refused. */
   enter (request: AdmissionRequest): Promise<Result<void, Outcome>> {
     return new Promise((resolve) => {
       this.waiting.set(request.id, resolve)
@@ -33,7 +33,7 @@
     })
   }
 
-  /** Once for each request that was let in. */
+  /** Must be called once for each admitted request. */
   leave (id: RequestId, result: AdmissionResult): void {
     this.applyEffects(this.controller.finish(id, result, this.clock.nowMs()))
   }
@@ -42,7 +42,7 @@
     if (this.waiting.has(id)) this.applyEffects(this.controller.cancel(id, this.clock.nowMs()))
   }
 
-  /** Takes in how much the targets of each lane can run. */
+  /** Sets the capacity of each lane to the sum of its targets' capacities. */
   configureLanes (targets: readonly RouteTarget[]): void {
     const capacities = new Map<string, number>()
     for (const target of targets) {
--- a/packages/dotterelspur-entry/src/process/CacheEventPoller.ts
+++ b/packages/dotterelspur-entry/src/process/CacheEventPoller.ts
@@ -1,11 +1,11 @@
 import { TargetKind, type GroupTarget, type RouteTarget, type TargetId, type Teardown } from 'dotterelspur'
 import type { EntryContext } from './EntryContext.js'
 
-/** A poll and its empty page, both ways, without TCP's own headers; 289 measured. */
+/** Estimated size of a poll with an empty page: request and response, without TCP headers. 289 bytes were measured. */
 export const POLL_BYTES = 350
-/** One event of a page; 57 measured. */
+/** Estimated size of one event in a page. 57 bytes were measured. */
 export const EVENT_BYTES = 60
-/** Each pause is longer than due by up to this share, so that nodes that started together drift apart. */
+/** Each pause is extended by up to this fraction, so that the polls of nodes that started together spread out. */
 const JITTER = 0.5
 const MS_PER_SECOND = 1_000
 
@@ -17,16 +17,16 @@
 type PollerContext = Pick<EntryContext, 'clock' | 'random' | 'mesh' | 'fleet' | 'router' | 'engines' | 'timing' | 'limits'>
 
 /**
- * Tells the router what the engines of the own region say of their prefix caches, so that affinity also sees what
- * other nodes sent there.
+ * Polls the prefix cache events of the engines in the node's own region and applies them to the router, so that prefix
+ * affinity also accounts for requests that other nodes sent to these engines.
  *
- * One poll is in flight at a time, and groups take turns. What a poll cost is paid off before the next one: pages of
- * busy groups are large, and without this their size, not the number of polls, would break the node's network
- * budget. Reading late is harmless, since the router takes events for expectations that age out. For the same
- * reason a gap clears nothing here: the events that were lost are few against those that still hold.
+ * One poll is in flight at a time, and the groups are polled in turn. The next poll waits until the byte budget covers the
+ * cost of the last one: pages of busy groups are large, and their size rather than the number of polls would exceed the node's
+ * network budget. Late events are harmless, because the router treats events as expectations that expire. For the same reason
+ * a gap in the sequence clears nothing here: the lost events are few compared with those that still apply.
  */
 export class CacheEventPoller {
-  /** In order of turns: the first is polled next. */
+  /** In polling order: the first leader is polled next. */
   private readonly leaders = new Map<TargetId, Leader>()
   private stopped = false
   private cancelTimer: Teardown = () => {}
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Targets are the groups that may be dispatched to. Their ids hold the formation, so a new one starts over. */
+  /** `targets` are the dispatchable groups and workers. A group's target id contains its formation, so a new formation starts at sequence 0. */
   private updateLeaders (targets: readonly RouteTarget[]): void {
     const groups = targets.filter((target): target is GroupTarget => target.kind === TargetKind.Group && target.region === this.context.mesh.self.region)
     const present = new Set(groups.map((group) => group.id))
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Every group has its turn once an interval, unless the last poll cost more than the budget gives in that time. */
+  /** Polls every group once per interval, or less often if the cost of the last poll exceeds the byte budget for one turn. */
   private scheduleNextPoll (costBytes: number): void {
     if (this.stopped) return
     const { clock, random, timing, limits } = this.context
--- a/packages/dotterelspur-entry/src/process/ClaimSweeper.ts
+++ b/packages/dotterelspur-entry/src/process/ClaimSweeper.ts
@@ -5,15 +5,15 @@
 const SWEEP_INTERVAL_MS = 60 * 60_000
 const HEX_DIGITS = 2
 
-/** The name of a bucket of claims. */
+/** The bucket's part of a claim's store key. */
 export function claimBucket (index: number): string {
   return index.toString(16).padStart(HEX_DIGITS, '0')
 }
 
 /**
- * Removes claims that are older than their retention. Without it the platform would keep one object for each key
- * that any caller ever chose. Each bucket is swept by one living node, one list an hour; two nodes that both think
- * a bucket theirs only see each other's removals fail.
+ * Removes claims whose retention time has passed. Without it, the store would keep an object for every key that any caller
+ * ever chose. Each bucket is swept by one alive node with one list call an hour. If two nodes both sweep a bucket, some of
+ * their removals fail without harm.
  */
 export class ClaimSweeper {
   constructor (private readonly context: EntryContext) {}
@@ -28,7 +28,7 @@
     return () => { cancel() }
   }
 
-  /** Sweeps the buckets that are this node's, one after the other. Returns how many claims were removed. */
+  /** Sweeps this node's buckets one after the other. Returns the number of removed claims. */
   async sweep (): Promise<number> {
     let removed = 0
     for (let index = 0; index < CLAIM_BUCKETS; index += 1) {
--- a/packages/dotterelspur-entry/src/process/EntryContext.ts
+++ b/packages/dotterelspur-entry/src/process/EntryContext.ts
@@ -6,7 +6,7 @@
 import type { PoisonTracker } from './PoisonTracker.js'
 import type { TeamTable } from './TeamTable.js'
 
-/** What the parts of one entry share; made once by createEntry. */
+/** Dependencies shared by the components of one entry; created once by createEntry. */
 export interface EntryContext {
   readonly clock: Clock
   readonly random: Random
--- a/packages/dotterelspur-entry/src/process/EntryObserver.ts
+++ b/packages/dotterelspur-entry/src/process/EntryObserver.ts
@@ -1,32 +1,32 @@
 import type { Outcome, OutcomeReason, RequestSafety, TeamId } from 'dotterelspur'
 import type { RunKind } from '../request/RunRequest.js'
 
-/** One request that ended at the node that ran it. */
+/** Report of a finished request, from the node that ran it. */
 export interface RequestReport {
   readonly kind: RunKind
   readonly team: TeamId
   readonly safety: RequestSafety
   readonly outcome: Outcome
-  /** From taking it in to its end. */
+  /** Time from the start of the run to its end. */
   readonly durationMs: number
-  /** From taking it in to the first token; null when none came, and for services. */
+  /** Time from the start of the run to the first token, or to a service's response; null if there was none. */
   readonly firstTokenMs: number | null
   readonly attempts: number
   readonly tokens: number
 }
 
-/** Places where the entry counts; the node turns them into metrics. */
+/** Events that the entry reports; the node counts them in metrics. */
 export interface EntryObserver {
   requestEnded (report: RequestReport): void
-  /** One more attempt at a request was made. */
+  /** A request is attempted again. */
   attemptRetried (team: TeamId): void
-  /** A choice was dropped right before its send because it no longer held. */
+  /** A chosen target was discarded right before the request was sent, because it was no longer dispatchable or the choice was too old. */
   staleDecision (): void
-  /** A non-idempotent id was refused because it can't be known whether it ran. What the safety costs. */
+  /** A non-idempotent request was refused because it can't be determined whether its id has run. This is the cost of at-most-once execution. */
   refusedAsUnknown (reason: OutcomeReason): void
-  /** A request was passed to its home on another node. */
+  /** A request was forwarded to its home on another node. */
   forwardedToHome (): void
-  /** A claim was made or read in the store. */
+  /** A call to the store was made for claims of idempotency keys. */
   claimCall (): void
   slowCallerDisconnected (): void
   /** The process was paused for this long. */
--- a/packages/dotterelspur-entry/src/process/EntryOptions.ts
+++ b/packages/dotterelspur-entry/src/process/EntryOptions.ts
@@ -9,24 +9,24 @@
   readonly maxBodyBytes: number
   readonly maxHeaderBytes: number
   readonly maxConnections: number
-  /** Requests of callers that this node works on at once; further ones are refused. */
+  /** Maximum number of requests that this node runs at once; further ones are refused. */
   readonly maxRequests: number
-  /** A caller that takes nothing for this long while there is something to take is cut off. */
+  /** A caller that reads nothing for this long while data is pending is disconnected. */
   readonly slowCallerMs: number
-  /** Time in which a caller must have sent its whole request. */
+  /** Time within which a caller must send its whole request. */
   readonly receiveTimeoutMs: number
   readonly maxDeadlineMs: number
   readonly defaultDeadlineMs: number
   readonly maxAttempts: number
-  /** Ids whose outcome is remembered, non-idempotent ones. */
+  /** Maximum number of non-idempotent request ids whose outcome is kept. */
   readonly maxRememberedOutcomes: number
-  /** Ids of idempotent requests whose outcome can be asked for. */
+  /** Maximum number of idempotent request ids whose outcome is kept for queries. */
   readonly maxRecentOutcomes: number
-  /** A longer answer is not kept for repeats of its id. */
+  /** A longer answer is not kept for later submissions of its id. */
   readonly maxRetainedAnswerBytes: number
-  /** Requests that end endpoints. */
+  /** Limits for the detection of requests that crash endpoints. */
   readonly poison: PoisonLimits
-  /** What reading the engines' cache events may cost this node, both ways, however many groups there are. */
+  /** Network budget of this node for polling the engines' cache events, both directions together, for all groups. */
   readonly cacheEventBytesPerSecond: number
 }
 
@@ -38,19 +38,19 @@
   readonly directoryTtlMs: number
   /** An id issued this far in the home's future is refused. */
   readonly maxIssuedAheadMs: number
-  /** A stream that is silent for this long while its group is not whole is given up. */
+  /** A stream that is silent for this long while its group is not dispatchable is abandoned. */
   readonly lostGroupStallMs: number
-  /** A stream that is silent for this long is given up, whatever is known of its group. */
+  /** A stream that is silent for this long is abandoned, whatever the state of its group. */
   readonly streamIdleMs: number
-  /** Between two choices while no group can go on with an answer, and between two looks at an endpoint. */
+  /** Delay between two selections while no group can continue an answer, and between two stream lookups at an endpoint. */
   readonly retryPauseMs: number
-  /** How long an answer that began waits for a group that can go on with it. */
+  /** How long a partial answer waits for a group that can continue it. */
   readonly regroupWaitMs: number
-  /** Timeout of looks at an endpoint and of cancels. */
+  /** Timeout of stream lookups, cancels and cache event polls at an endpoint. */
   readonly lookupTimeoutMs: number
-  /** How long a claim is kept in the store; the key can be used anew after that. */
+  /** How long a claim is kept in the store; after that its key can be used for a new request. */
   readonly claimRetentionMs: number
-  /** Between two polls of one group's cache events, at the least; longer where `cacheEventBytesPerSecond` asks for it. */
+  /** Minimum time between two polls of one group's cache events; `cacheEventBytesPerSecond` can lengthen it. */
   readonly cacheEventIntervalMs: number
 }
 
@@ -89,7 +89,7 @@
 
 export interface EntryOptions {
   readonly host: string
-  /** 0 takes a port that the operating system assigns. */
+  /** 0 lets the operating system assign a port. */
   readonly port: number
   readonly clock: Clock
   readonly random: Random
@@ -97,11 +97,11 @@
   readonly store: ObjectStore
   readonly engines: EngineApi
   readonly services: ServiceApi
-  /** The node's table of teams; the entry follows it and starts it. */
+  /** The node's table of teams; the entry starts it and listens for its changes. */
   readonly teams: TeamTable
   readonly limits?: Partial<EntryLimits>
   readonly timing?: Partial<EntryTiming>
   readonly observer?: EntryObserver
-  /** Whether nobody listens at an `ip:port` any more; asked where an endpoint was lost in the middle of a request. */
+  /** Whether an `ip:port` has no listener any more; called when the connection to an endpoint is lost in the middle of a request. */
   readonly hasTerminated?: (address: string) => Promise<boolean>
 }
--- a/packages/dotterelspur-entry/src/process/EntryServices.ts
+++ b/packages/dotterelspur-entry/src/process/EntryServices.ts
@@ -6,7 +6,7 @@
 import type { EntryContext } from './EntryContext.js'
 import type { NodeGate } from './NodeGate.js'
 
-/** What the routes of the callers' listener use. */
+/** Dependencies of the routes of the callers' listener. */
 export interface EntryServices {
   readonly context: EntryContext
   readonly gate: NodeGate
--- a/packages/dotterelspur-entry/src/process/FleetView.ts
+++ b/packages/dotterelspur-entry/src/process/FleetView.ts
@@ -6,8 +6,9 @@
 const REFRESH_MS = 200
 
 /**
- * What this node may dispatch to, out of assignments, drains and presence evidence. Choices are made on a table
- * that is refreshed a few times a second; right before a send the group is judged again on what is held then.
+ * The groups and workers that this node may dispatch to, derived from assignments, drains and presence evidence. Targets are
+ * chosen from a table that is refreshed a few times a second; right before a request is sent, its target is checked again
+ * against the current state.
  */
 export class FleetView {
   private assignments: readonly AssignmentObject[] = []
@@ -65,7 +66,7 @@
     return this.workers.get(vm)
   }
 
-  /** Whether the group may be dispatched to at this very moment, at the formation that was chosen. */
+  /** Whether the group may be dispatched to now, at the formation of `view`. */
   isDispatchable (view: GroupView): boolean {
     const assignment = this.assignments.find((candidate) => candidate.fabricDomain === view.fabricDomain)
     const assigned = assignment?.groups.find((candidate) => candidate.group === view.group)
@@ -74,7 +75,7 @@
     return checkDispatch(assignment, assigned, presence, this.bounds()).view !== null
   }
 
-  /** The same for a worker of a plain service. */
+  /** Whether a worker of a plain service may be dispatched to now, at the given address. */
   isWorkerDispatchable (vm: string, address: string): boolean {
     return this.presentWorkers().some((worker) => worker.vm === vm && worker.address === address)
   }
@@ -133,7 +134,7 @@
   }
 }
 
-/** Two teams may use the same model name; their groups are never mixed. */
+/** Qualifies a name by its team: two teams may use the same model name, and their groups must never be mixed. */
 export function teamScoped (team: TeamId, name: string): string {
   return `${team}/${name}`
 }
--- a/packages/dotterelspur-entry/src/process/NodeGate.ts
+++ b/packages/dotterelspur-entry/src/process/NodeGate.ts
@@ -1,6 +1,6 @@
 import { NodeState, OutcomeReason, notRun, type MeshApi, type Outcome } from 'dotterelspur'
 
-/** Whether this node takes new work at all. */
+/** Decides whether this node accepts new requests. */
 export class NodeGate {
   private draining = false
 
@@ -15,22 +15,22 @@
   }
 
   /**
-   * A node that has heard neither the store nor a peer for the in-force bound can't know that its settings and
-   * assignments are current: it would go on with what others have changed, and callers would notice it as a model
-   * version that reverts. A store outage alone is shared by the peers and stops nothing.
+   * Whether this node has had contact with neither the store nor a peer for the in-force bound. Its settings and
+   * assignments may then be outdated; if it accepted requests, callers could see a model version revert. A store outage
+   * alone affects the peers as well, and does not isolate a node.
    */
   isIsolated (): boolean {
     return this.mesh.storeContactAgeMs() > this.inForceBoundMs && this.mesh.peerContactAgeMs() > this.inForceBoundMs
   }
 
-  /** Why new work is refused here; the outcome holds of a request that was not seen anywhere else. */
+  /** The outcome with which new requests are refused, or null. It is valid only for a request that no other node has received. */
   refusal (): Outcome | null {
-    if (this.draining) return notRun(OutcomeReason.Draining, 'this node is leaving; use another entry', 0)
-    if (this.isIsolated()) return notRun(OutcomeReason.Isolated, 'this node is cut off and can\'t know that its settings are current; use another entry', 0)
+    if (this.draining) return notRun(OutcomeReason.Draining, 'this node is draining; use another entry', 0)
+    if (this.isIsolated()) return notRun(OutcomeReason.Isolated, 'this node is isolated and its settings may be outdated; use another entry', 0)
     return null
   }
 
-  /** Base URLs of the other nodes that take new work. */
+  /** Base URLs of the other nodes that accept new requests. */
   otherEntries (): readonly string[] {
     return this.mesh.members()
       .filter((member) => member.node !== this.mesh.self.node && (member.state === NodeState.Alive || member.state === NodeState.Suspect))
--- a/packages/dotterelspur-entry/src/process/OpenCalls.ts
+++ b/packages/dotterelspur-entry/src/process/OpenCalls.ts
@@ -1,11 +1,10 @@
 import type { FastifyInstance } from 'fastify'
 
 /**
- * Counts callers' requests from the first byte of their headers to the end of their answers.
+ * Counts callers' open requests, from the receipt of the headers to the end of the response.
  *
- * A node that drains must wait for more than the requests that it runs: it also passes requests on to the homes
- * of their ids and streams the answers back. Closed too early, it would cut those off although nothing of its own
- * runs any more.
+ * A draining node must wait for more than the requests that it runs: it also forwards requests to the homes of their ids and
+ * streams the answers back. If it closed as soon as its own runs had finished, it would cut those answers off.
  */
 export class OpenCalls {
   private open = 0
@@ -15,7 +14,7 @@
     return this.open
   }
 
-  /** Counts what a listener serves from now on. */
+  /** Counts the requests that a listener receives from now on. */
   watch (app: FastifyInstance): void {
     app.addHook('onRequest', (_request, reply, done) => {
       this.open += 1
@@ -24,7 +23,7 @@
     })
   }
 
-  /** Resolves once no caller waits for an answer. */
+  /** Resolves once no request is open. */
   idle (): Promise<void> {
     if (this.open === 0) return Promise.resolve()
     return new Promise((resolve) => { this.idleListeners.add(resolve) })
--- a/packages/dotterelspur-entry/src/process/PoisonTracker.ts
+++ b/packages/dotterelspur-entry/src/process/PoisonTracker.ts
@@ -7,7 +7,7 @@
 
 const debug = createDebug('dotterelspur:poison')
 const NOTE_METHOD = 'poison.note'
-/** How often decisions are written and evidence is told that did not get through. */
+/** Interval at which quarantine decisions are written to the store and unconfirmed evidence is sent again. */
 const CHECK_INTERVAL_MS = 200
 const REPORT_TIMEOUT_MS = 1_000
 const DEFAULT_PORTS: Readonly<Record<string, number>> = { 'http:': 80, 'https:': 443 }
@@ -20,27 +20,28 @@
   readonly hasTerminated: ((address: string) => Promise<boolean>) | undefined
 }
 
-/** A request whose endpoint was lost in the middle of it. */
+/** A run whose connection to the endpoint was lost before the answer was complete. */
 export interface LostRun {
   readonly content: RequestContent
-  /** Names one life of the endpoint. */
+  /** Identifies one incarnation of the endpoint. */
   readonly endpoint: string
   /** Base URL of the endpoint. */
   readonly url: string
-  /** Tokens of the answer that had come from there. */
+  /** Tokens of the answer that had been received from the endpoint. */
   readonly tokens: number
 }
 
 /**
- * Keeps requests that end endpoints away from them. All evidence on one request is told to one node, its home, which answers with
- * what is known and writes the decision down; the mesh spreads that as it spreads settings. So an end costs one call,
- * however many nodes there are.
+ * Records which requests coincide with terminations of endpoints, and keeps requests that crash endpoints away from them. All
+ * evidence on a request is sent to one node, the home of its fingerprint, which replies with the merged record and writes the
+ * quarantine decision to the store; the mesh distributes the decision like settings. So a termination costs one call between
+ * nodes, whatever the number of nodes.
  */
 export class PoisonTracker {
   readonly guard: PoisonGuard
   private readonly quarantine: QuarantineRegistry
   private readonly terminationChecks: TerminationProbe
-  /** What its home has not confirmed yet. */
+  /** Records whose home has not confirmed them yet. */
   private readonly unconfirmed = new Map<RequestFingerprint, PoisonRecord>()
   private readonly reporting = new Set<RequestFingerprint>()
   private cancelTimer: Teardown = () => {}
@@ -50,15 +51,15 @@
     this.terminationChecks = new TerminationProbe(hasTerminated)
     this.guard = new PoisonGuard({ clock, limits, isHome: (fingerprint) => this.homeOf(fingerprint) === homeOf(mesh.self), onEvidence: (record) => { this.onEvidence(record) } })
     this.quarantine = new QuarantineRegistry({
-      store, node: mesh.self.node, maxEntries: limits.mostRecords, clock, onWritten: (object) => { mesh.offerDocument(object) }, onProblem: (fingerprint, reason) => { debug('decision on %s not written: %s', fingerprint, reason) }
+      store, node: mesh.self.node, maxEntries: limits.mostRecords, clock, onWritten: (object) => { mesh.offerDocument(object) }, onProblem: (fingerprint, reason) => { debug('quarantine decision for %s could not be written: %s', fingerprint, reason) }
     })
     this.quarantine.registerListener({
       onQuarantined: (fingerprint, { outline, ends }) => {
-        debug('%s is in quarantine after %d ends', fingerprint, ends)
+        debug('%s is in quarantine after %d terminations', fingerprint, ends)
         this.guard.ledger.noteDecision(fingerprint, outline)
       },
       onReleased: (fingerprint) => {
-        debug('%s may run again', fingerprint)
+        debug('quarantine of %s was lifted', fingerprint)
         this.guard.ledger.noteQuarantineLifted(fingerprint, clock.nowMs())
       }
     })
@@ -77,10 +78,10 @@
     }
   }
 
-  /** Finds out whether the endpoint has ended; if so, that counts against the request once this resolves. */
+  /** Checks whether the endpoint has terminated; if so, this counts against the request by the time the promise resolves. */
   async noteLoss ({ content, endpoint, url, tokens }: LostRun): Promise<void> {
     const terminated = await this.terminationChecks.hasTerminated(addressOf(url))
-    debug('%s lost in the middle of a request, %s', endpoint, terminated ? 'has ended' : 'still listens or is silent')
+    debug('connection to %s was lost in the middle of a request; the endpoint %s', endpoint, terminated ? 'has terminated' : 'still listens or does not answer')
     if (!terminated) return
     this.guard.noteTermination(content, endpoint, tokens)
     await this.reportToHomes()
@@ -99,11 +100,11 @@
     ledger.expire(this.parts.clock.nowMs())
     const own = [...ledger.quarantined].filter((fingerprint) => this.homeOf(fingerprint) === homeOf(this.parts.mesh.self))
     this.quarantine.persist(own.flatMap((fingerprint) => ledger.recordOf(fingerprint) ?? []))
-    this.reportToHomes().catch((error: unknown) => { debug('evidence not told: %s', String(error)) })
+    this.reportToHomes().catch((error: unknown) => { debug('evidence could not be sent: %s', String(error)) })
   }
 
   private onEvidence (record: PoisonRecord): void {
-    debug('%s: %d ends, %d answers', record.fingerprint, record.ends.length, record.answers)
+    debug('%s: %d terminations, %d answers', record.fingerprint, record.ends.length, record.answers)
     if (this.homeOf(record.fingerprint) !== homeOf(this.parts.mesh.self)) this.unconfirmed.set(record.fingerprint, record)
   }
 
@@ -127,14 +128,14 @@
     this.guard.ledger.merge([homeRecord], this.parts.clock.nowMs())
   }
 
-  /** What the home knows of the request now; null where it could not be reached. */
+  /** Sends a record to the home. Returns the home's merged record, or null if the home could not be reached. */
   private async sendRecord (home: HomeId, record: PoisonRecord): Promise<PoisonRecord | null> {
     const abort = new AbortController()
     const cancel = this.parts.clock.registerTimer(REPORT_TIMEOUT_MS, () => { abort.abort() })
     try {
       for await (const event of this.parts.mesh.call(home, NOTE_METHOD, record, abort.signal)) {
         if (event.kind === CallEventKind.Message) return event.message as PoisonRecord
-        if (event.kind === CallEventKind.Error) debug('%s did not take evidence: %s', home, event.error.kind)
+        if (event.kind === CallEventKind.Error) debug('%s did not accept evidence: %s', home, event.error.kind)
       }
       return null
     } finally {
@@ -148,7 +149,7 @@
   }
 }
 
-/** `ip:port` of a base URL; a URL leaves its protocol's usual port out. */
+/** `ip:port` of a base URL; URL omits the default port of its protocol. */
 function addressOf (url: string): string {
   const { hostname, port, protocol } = new URL(url)
   return `${hostname}:${port === '' ? DEFAULT_PORTS[protocol] : port}`
--- a/packages/dotterelspur-entry/src/process/TeamTable.ts
+++ b/packages/dotterelspur-entry/src/process/TeamTable.ts
@@ -9,16 +9,16 @@
 export type TeamParser = (object: TeamObject) => Result<TeamSettings, unknown>
 
 /**
- * The teams' settings that are in force at this node, parsed once per version; one table for all roles of a node.
+ * The team settings that are in force at this node, parsed once per version. All roles of a node share one table.
  *
- * A version that can't be read (written past the operators' interface, or by a newer release) leaves the version
- * before it in force: a team must not lose its replicas because of a text that nobody could read.
+ * If a version can't be parsed (because it was written bypassing the operators' interface, or by a newer release), the version before
+ * it stays in force: a team must not lose its replicas because of an unreadable text.
  */
 export class TeamTable {
   private teams: ReadonlyMap<TeamId, TeamSettings> = new Map()
-  /** The highest version seen of each team, deleted ones included, so that an older text can't bring a deleted team back. */
+  /** The highest version received for each team, deleted ones included, so that an older version can't restore a deleted team. */
   private readonly highestVersions = new Map<TeamId, number>()
-  /** Hashes of tokens that were presented lately, and their teams; cleared with every change of settings. */
+  /** Teams by the hashes of recently presented tokens; cleared on every change of settings. */
   private readonly tokenCache = new Map<string, TeamId>()
   private readonly listeners = new Set<() => void>()
 
@@ -44,10 +44,10 @@
   }
 
   /**
-   * The team whose token this is. Every team's hashes are compared, in constant time each.
+   * The team that the token belongs to. The token is compared with every team's hashes, each in constant time.
    *
-   * Two teams that list the same hash (two changes applied at once on different nodes) would let one team's callers
-   * in as the other's; such a token is nobody's until one of the teams gives it up.
+   * Two teams can list the same hash, if two changes are applied at once on different nodes. One team's callers would then be
+   * authenticated as the other's, so such a token is rejected until one of the teams removes it.
    */
   findByToken (token: string): TeamSettings | undefined {
     const hash = hashToken(token)
@@ -74,7 +74,7 @@
   private parseInto (teams: Map<TeamId, TeamSettings>, team: TeamId, document: MeshDocument): boolean {
     const parsed = this.parseTeam(document.body as TeamObject)
     if (!parsed.ok) {
-      debug('settings of team %s at version %d can\'t be read: %j', team, document.version, parsed.error)
+      debug('settings of team %s at version %d can\'t be parsed: %j', team, document.version, parsed.error)
       return false
     }
     teams.set(team, parsed.value)
--- a/packages/dotterelspur-entry/src/process/createEntry.ts
+++ b/packages/dotterelspur-entry/src/process/createEntry.ts
@@ -31,22 +31,22 @@
 
 const debug = createDebug('dotterelspur:entry')
 const PAUSE_TICKS_PER_THRESHOLD = 4
-/** Time that callers have to take the last bytes of their answers when the listener closes. */
+/** Time for callers to receive the last bytes of their answers when the listener closes. */
 const FLUSH_MS = 500
-/** What was taken in this long after a pause may have waited through it. */
+/** A request that is accepted within this time after a pause may have waited through the pause. */
 const STALE_AFTER_PAUSE_MS = 250
 
-/** The callers' side of one node. */
+/** The part of a node that serves callers. */
 export interface Entry {
   /** Opens the listener; resolves with its base URL. */
   listen (): Promise<string>
-  /** Takes no new work from now on; what runs goes on. */
+  /** Refuses new requests from now on; running requests continue. */
   beginDrain (): void
-  /** Resolves when nothing runs and no caller waits for an answer any more, be it one that another node's home owes. */
+  /** Resolves when no request runs here and no caller waits for an answer, including answers that the home on another node will send. */
   idle (): Promise<void>
-  /** Requests that run here now. */
+  /** Number of requests that are running on this node. */
   runningCount (): number
-  /** Cuts off what still runs and closes the listener. */
+  /** Interrupts the requests that are still running and closes the listener. */
   close (): Promise<void>
 }
 
@@ -133,7 +133,7 @@
   return () => { cancel() }
 }
 
-/** Gives responses that are being flushed a moment; connections that callers only keep open are closed at once. */
+/** Gives responses that are being flushed `FLUSH_MS` to finish; idle keep-alive connections are closed at once. */
 async function closeListener (app: FastifyInstance, { clock }: EntryContext): Promise<void> {
   const cancel = clock.registerTimer(FLUSH_MS, () => { app.server.closeAllConnections() })
   await app.close()
