--- a/packages/dotterelspur-entry/src/__tests__/unit/DotterelspurClient.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/DotterelspurClient.test.ts
@@ -11,11 +11,11 @@
 describe('DotterelspurClient', () => {
   let harness: Harness
   let client: DotterelspurClient
-  let given: string[]
+  let deltas: string[]
 
   const start = async (options: HarnessOptions = {}): Promise<void> => {
     harness = await startHarness({ nodes: ['node-a', 'node-b'], ...options })
-    given = []
+    deltas = []
     client = new DotterelspurClient({
       addresses: harness.nodes.map((node) => node.url),
       token: TOKENS.tradeline!,
@@ -24,7 +24,7 @@
       retry: { firstDelayMs: 1, maxDelayMs: 4, budgetPercent: 100 }
     })
   }
-  const chat = (safety: RequestSafety) => client.chat({ model: 'summary', messages: [{ role: 'user', content: 'trips' }], safety }, (text) => given.push(text))
+  const chat = (safety: RequestSafety) => client.chat({ model: 'summary', messages: [{ role: 'user', content: 'trips' }], safety }, (text) => deltas.push(text))
 
   afterEach(async () => {
     await client.close()
@@ -32,13 +32,13 @@
   })
 
   for (const safety of [Idempotent, NonIdempotent]) {
-    it(`${safety}: gives the whole answer, each part once`, async () => {
+    it(`${safety}: delivers the whole answer, each part once`, async () => {
       await start()
       expect(await chat(safety)).to.deep.equal({ ok: true, value: WHOLE })
-      expect(given.join('')).to.equal(WHOLE)
+      expect(deltas.join('')).to.equal(WHOLE)
     })
 
-    it(`${safety}: goes on elsewhere when an address that it was given is gone`, async () => {
+    it(`${safety}: uses another address when one of its configured addresses is unreachable`, async () => {
       await start()
       const gone = harness.nodes[0]!
       await gone.entry.close()
@@ -47,7 +47,7 @@
       expect(harness.engines.runs).to.have.length(1)
     })
 
-    it(`${safety}: goes where a leaving node sends it`, async () => {
+    it(`${safety}: follows the addresses that a draining node returns`, async () => {
       await start()
       await chat(safety)
       const used = harness.nodes.find((node) => node.mesh.self.node === harness.engines.runs[0]!.request.requestId.split('.')[0])!
@@ -58,16 +58,16 @@
     })
   }
 
-  it('continues an idempotent stream that broke off, by the same seed', async () => {
+  it('continues a broken idempotent stream with the same seed', async () => {
     await start({ limits: { maxAttempts: 1 } })
     harness.engines.next.push(breaksAfter(3))
     expect(await chat(Idempotent)).to.deep.equal({ ok: true, value: WHOLE })
-    expect(given.join('')).to.equal(WHOLE)
+    expect(deltas.join('')).to.equal(WHOLE)
     const seeds = harness.engines.runs.map((run) => run.request.seed)
     expect(seeds[0]).to.equal(seeds[1])
   })
 
-  it('does not repeat a non-idempotent stream that broke off', async () => {
+  it('does not retry a broken non-idempotent stream', async () => {
     await start()
     harness.engines.lookupState = null
     harness.engines.next.push(breaksAfter(3))
@@ -76,7 +76,7 @@
     expect(harness.engines.runs).to.have.length(1)
   })
 
-  it('takes another id when the home of the one it made is gone, since that one did not run', async () => {
+  it('creates another id when the home of its first one is gone and the request has not run', async () => {
     await start()
     await client.callService(LOAN)
     for (const node of [...harness.nodes]) {
@@ -88,7 +88,7 @@
     expect(harness.services.calls).to.have.length(2)
   })
 
-  it('never sends a loan twice when its service breaks off', async () => {
+  it('does not retry a non-idempotent service call whose connection broke', async () => {
     await start()
     const breaks = async () => failed({ kind: EndpointErrorKind.Ambiguous, reason: 'reset' } as const)
     for (const worker of ['http://w1', 'http://w2']) harness.services.behaviours.set(worker, breaks)
--- a/packages/dotterelspur-entry/src/__tests__/unit/callers.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/callers.test.ts
@@ -9,32 +9,32 @@
 const CHAT = '/v1/chat/completions'
 
 interface Row {
-  readonly what: string
+  readonly name: string
   readonly path?: string
   readonly options: CallOptions
   /** `<status> <outcome> <type>`. */
-  readonly told: string
+  readonly expected: string
 }
 
 const rows: readonly Row[] = [
-  { what: 'no such token', options: { team: 'guess', body: CHAT_BODY }, told: '401 not-run unauthorized' },
-  { what: 'another scheme', options: { body: CHAT_BODY, headers: { authorization: `Basic ${TOKENS.tradeline}` } }, told: '401 not-run unauthorized' },
-  { what: 'an empty token', options: { body: CHAT_BODY, headers: { authorization: 'Bearer ' } }, told: '401 not-run unauthorized' },
-  { what: 'no token for the directory', path: '/v1/entries', options: { team: 'guess' }, told: '401 not-run unauthorized' },
-  { what: 'no token for an outcome', path: '/v1/requests/x', options: { team: 'guess' }, told: '401 not-run unauthorized' },
-  { what: 'a model that the team doesn\'t have', options: { body: { ...CHAT_BODY, model: 'other' } }, told: '404 not-run model_not_found' },
-  { what: 'a service that the team doesn\'t have', path: '/services/other/x', options: { body: {} }, told: '404 not-run service_not_found' },
-  { what: 'a body without messages', options: { body: { model: 'summary' } }, told: '400 not-run invalid_request' },
-  { what: 'a body of the wrong type', options: { body: { model: 'summary', messages: 'x' } }, told: '400 not-run invalid_request' },
-  { what: 'a body over the limit', options: { body: { ...CHAT_BODY, user: 'x'.repeat(20_000) } }, told: '413 not-run invalid_request' },
-  { what: 'a mark that is neither true nor false', options: { body: CHAT_BODY, headers: { 'dotterelspur-non-idempotent': 'yes' } }, told: '400 not-run invalid_request' },
-  { what: 'a key that is too long', options: { body: CHAT_BODY, headers: { 'idempotency-key': 'x'.repeat(300) } }, told: '400 not-run invalid_request' },
-  { what: 'a submission that is no number', options: { body: CHAT_BODY, headers: { 'dotterelspur-submission': 'first' } }, told: '400 not-run invalid_request' },
-  { what: 'a deadline of nothing', options: { body: CHAT_BODY, headers: { 'dotterelspur-deadline-ms': '0' } }, told: '400 not-run invalid_request' },
-  { what: 'no such path', path: '/v2/chat', options: { body: CHAT_BODY }, told: '404 not-run invalid_request' }
+  { name: 'an unknown token', options: { team: 'guess', body: CHAT_BODY }, expected: '401 not-run unauthorized' },
+  { name: 'another scheme', options: { body: CHAT_BODY, headers: { authorization: `Basic ${TOKENS.tradeline}` } }, expected: '401 not-run unauthorized' },
+  { name: 'an empty token', options: { body: CHAT_BODY, headers: { authorization: 'Bearer ' } }, expected: '401 not-run unauthorized' },
+  { name: 'an unknown token for the directory', path: '/v1/entries', options: { team: 'guess' }, expected: '401 not-run unauthorized' },
+  { name: 'an unknown token for an outcome', path: '/v1/requests/x', options: { team: 'guess' }, expected: '401 not-run unauthorized' },
+  { name: 'a model that the team doesn\'t have', options: { body: { ...CHAT_BODY, model: 'other' } }, expected: '404 not-run model_not_found' },
+  { name: 'a service that the team doesn\'t have', path: '/services/other/x', options: { body: {} }, expected: '404 not-run service_not_found' },
+  { name: 'a body without messages', options: { body: { model: 'summary' } }, expected: '400 not-run invalid_request' },
+  { name: 'a body of the wrong type', options: { body: { model: 'summary', messages: 'x' } }, expected: '400 not-run invalid_request' },
+  { name: 'a body over the limit', options: { body: { ...CHAT_BODY, user: 'x'.repeat(20_000) } }, expected: '413 not-run invalid_request' },
+  { name: 'a non-idempotent header that is neither true nor false', options: { body: CHAT_BODY, headers: { 'dotterelspur-non-idempotent': 'yes' } }, expected: '400 not-run invalid_request' },
+  { name: 'a key that is too long', options: { body: CHAT_BODY, headers: { 'idempotency-key': 'x'.repeat(300) } }, expected: '400 not-run invalid_request' },
+  { name: 'a submission that is not a number', options: { body: CHAT_BODY, headers: { 'dotterelspur-submission': 'first' } }, expected: '400 not-run invalid_request' },
+  { name: 'a deadline of 0', options: { body: CHAT_BODY, headers: { 'dotterelspur-deadline-ms': '0' } }, expected: '400 not-run invalid_request' },
+  { name: 'an unknown path', path: '/v2/chat', options: { body: CHAT_BODY }, expected: '404 not-run invalid_request' }
 ]
 
-async function tell (node: HarnessNode, path: string, options: CallOptions): Promise<string> {
+async function requestOutcome (node: HarnessNode, path: string, options: CallOptions): Promise<string> {
   const response = await callEntry(node, path, options)
   const { error } = await response.json() as ErrorBody
   return `${response.status} ${error.outcome} ${error.type}`
@@ -52,19 +52,19 @@
 
   describe('refuses', () => {
     for (const row of rows) {
-      it(row.what, async () => {
+      it(row.name, async () => {
         await start()
-        expect(await tell(node, row.path ?? CHAT, row.options)).to.equal(row.told)
+        expect(await requestOutcome(node, row.path ?? CHAT, row.options)).to.equal(row.expected)
         expect(harness.engines.runs).to.deep.equal([])
       })
     }
 
-    it('another team\'s replicas, though the model has the same name', async () => {
+    it('to use another team\'s replicas, even if its model has the same name', async () => {
       await start()
-      expect(await tell(node, CHAT, { team: 'piedmont', body: CHAT_BODY })).to.equal('503 not-run no_replica')
+      expect(await requestOutcome(node, CHAT, { team: 'piedmont', body: CHAT_BODY })).to.equal('503 not-run no_replica')
     })
 
-    it('new work while it drains, with the other addresses, and finishes what runs', async () => {
+    it('new requests while it drains, with the addresses of other nodes, and finishes running requests', async () => {
       await start({ nodes: ['node-a', 'node-b'] })
       let open = (): void => {}
       harness.engines.next.push(gated(new Promise((resolve) => { open = resolve })))
@@ -83,13 +83,13 @@
       expect(await stream.text()).to.match(/data: \[DONE\]\n\n$/)
     })
 
-    const cutOff: ReadonlyArray<readonly [string, number, number, number]> = [
-      ['neither the store nor a peer is heard', 60_000, 60_000, 503],
-      ['only the store is out', 60_000, 0, 200],
-      ['only the peers are gone', 0, 60_000, 200]
+    const contactCases: ReadonlyArray<readonly [string, number, number, number]> = [
+      ['no contact with the store or a peer', 60_000, 60_000, 503],
+      ['no contact with the store only', 60_000, 0, 200],
+      ['no contact with the peers only', 0, 60_000, 200]
     ]
-    for (const [what, storeAgeMs, peerAgeMs, status] of cutOff) {
-      it(`new work when it is cut off, not otherwise: ${what}`, async () => {
+    for (const [name, storeAgeMs, peerAgeMs, status] of contactCases) {
+      it(`new requests only when it is isolated: ${name}`, async () => {
         await start({ nodes: ['node-a', 'node-b'] })
         Object.assign(node.mesh, { storeAgeMs, peerAgeMs })
         const response = await callEntry(node, CHAT, { body: CHAT_BODY })
@@ -99,29 +99,29 @@
     }
   })
 
-  it('gives its final answer when the deadline passes, and stops the engine', async () => {
+  it('responds when the deadline passes, and cancels the engine\'s run', async () => {
     await start()
     harness.engines.next.push(gated(new Promise(() => {})))
-    expect(await tell(node, CHAT, { body: CHAT_BODY, headers: { 'dotterelspur-deadline-ms': '30' } })).to.equal('504 unknown deadline_exceeded')
+    expect(await requestOutcome(node, CHAT, { body: CHAT_BODY, headers: { 'dotterelspur-deadline-ms': '30' } })).to.equal('504 unknown deadline_exceeded')
     expect(harness.engines.cancelled).to.have.length(1)
   })
 
-  it('ends a stream that can\'t be completed with an error event, never in silence', async () => {
+  it('ends a stream that can\'t be completed with an error event', async () => {
     await start({ limits: { maxAttempts: 1 } })
-    harness.engines.next.push(gated(Promise.reject(new Error('the engine fell over'))))
+    harness.engines.next.push(gated(Promise.reject(new Error('the engine crashed'))))
     const response = await callEntry(node, CHAT, { body: { ...CHAT_BODY, stream: true } })
     const text = await response.text()
     expect(text).to.match(/event: error\ndata: \{"error":.*"outcome":"unknown".*\}\n\n$/)
     expect(text).to.not.include('[DONE]')
   })
 
-  // Symptom: groups are full of requests that make no tokens, and the node's memory grows.
-  // Sequence: a caller asks for a long stream and reads nothing of it.
-  // Cause: the node takes the engine's tokens faster than the caller takes the node's.
-  it('slows the engine to a slow caller, then cuts the caller off', async () => {
-    let cut = (): void => {}
-    const cutOff = new Promise<void>((resolve) => { cut = resolve })
-    await start({ limits: { slowCallerMs: 50 }, observer: { ...SILENT_OBSERVER, slowCallerDisconnected: () => { cut() } } })
+  // Failure: groups are full of requests that generate no tokens, and the node's memory grows.
+  // Sequence: a caller requests a long stream and reads none of it.
+  // Cause: the node reads tokens from the engine faster than the caller reads them from the node.
+  it('slows the engine down to the pace of a slow caller, then disconnects the caller', async () => {
+    let resolveDisconnected = (): void => {}
+    const disconnected = new Promise<void>((resolve) => { resolveDisconnected = resolve })
+    await start({ limits: { slowCallerMs: 50 }, observer: { ...SILENT_OBSERVER, slowCallerDisconnected: () => { resolveDisconnected() } } })
     const text = 'x'.repeat(1_000)
     let made = 0
     let stopped = false
@@ -137,7 +137,7 @@
     socket.on('error', () => {})
     socket.pause()
     socket.write(`POST ${CHAT} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${TOKENS.tradeline}\r\ncontent-type: application/json\r\ncontent-length: ${body.length}\r\n\r\n${body}`)
-    await cutOff
+    await disconnected
     await node.entry.idle()
     expect(stopped).to.equal(true)
     expect(made).to.be.lessThan(50_000)
--- a/packages/dotterelspur-entry/src/__tests__/unit/endpointRests.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/endpointBackoffs.test.ts
@@ -3,14 +3,14 @@
 import { errorEvent, healthy } from '../fixtures/FakeEngines.js'
 import { callEntry, CHAT_BODY, startHarness, type Harness } from '../fixtures/harness.js'
 
-/** Longer than any run of these tests: no rest ends meanwhile. */
-const REST_MS = 120_000
-/** What operators allow a node to send to an endpoint in one rest. */
-const MOST_IN_REST = 2
+/** Longer than the tests run, so that no back-off ends during a test. */
+const RETRY_AFTER_MS = 120_000
+/** Maximum number of requests that operators allow a node to send to an endpoint during one back-off. */
+const MAX_SENT_DURING_BACKOFF = 2
 const CALLS = 24
-const REFUSAL = { kind: EndpointErrorKind.Refused, reason: 'full', retryAfterMs: REST_MS } as const
+const REFUSAL = { kind: EndpointErrorKind.Refused, reason: 'full', retryAfterMs: RETRY_AFTER_MS } as const
 
-describe('Endpoints that refuse and say when to come back, at the entries', () => {
+describe('entries with endpoints that refuse with a retry-after', () => {
   let harness: Harness
   let refusals: Map<string, number>
 
@@ -51,26 +51,26 @@
     return (await callEntry(harness.nodes[0]!, '/services/desk/x', { method: 'POST', body: { text: `call ${attempt}` } })).status
   }
 
-  // Guards against a time to come back that ends one attempt and is forgotten with it.
-  it('get no more requests for a model before that time, and others serve', async () => {
+  // Guards against a retry-after that is applied to one attempt only and not remembered for the endpoint.
+  it('send no more model requests to them before that time, and use other endpoints', async () => {
     for (let attempt = 0; attempt < CALLS; attempt++) expect(await chat(attempt)).to.equal(200)
-    for (const group of ['g0', 'g1']) expect(refusals.get(group) ?? 0, group).to.be.at.most(MOST_IN_REST)
+    for (const group of ['g0', 'g1']) expect(refusals.get(group) ?? 0, group).to.be.at.most(MAX_SENT_DURING_BACKOFF)
   })
 
-  it('get no more calls of a plain service before that time, and others serve', async () => {
+  it('send no more calls of a plain service to them before that time, and use other endpoints', async () => {
     for (let attempt = 0; attempt < CALLS; attempt++) expect(await callDesk(attempt)).to.equal(200)
-    for (const worker of ['w0', 'w1']) expect(refusals.get(worker) ?? 0, worker).to.be.at.most(MOST_IN_REST)
+    for (const worker of ['w0', 'w1']) expect(refusals.get(worker) ?? 0, worker).to.be.at.most(MAX_SENT_DURING_BACKOFF)
   })
 
-  it('have callers refused at once, with that time, where no other is left', async () => {
+  it('refuse callers at once, with that retry-after, if no other endpoint is left', async () => {
     harness.engines.behaviours.set('http://g2', async function * () {
       noteRefusal('g2')
       yield errorEvent(REFUSAL)
     })
     for (let attempt = 0; attempt < CALLS; attempt++) await chat(attempt)
-    const answer = await callEntry(harness.nodes[0]!, '/v1/chat/completions', { body: CHAT_BODY })
-    expect(answer.status).to.equal(503)
-    expect(Number(answer.headers.get('retry-after-ms'))).to.be.within(REST_MS / 2, REST_MS)
-    for (const group of ['g0', 'g1', 'g2']) expect(refusals.get(group) ?? 0, group).to.be.at.most(MOST_IN_REST)
+    const response = await callEntry(harness.nodes[0]!, '/v1/chat/completions', { body: CHAT_BODY })
+    expect(response.status).to.equal(503)
+    expect(Number(response.headers.get('retry-after-ms'))).to.be.within(RETRY_AFTER_MS / 2, RETRY_AFTER_MS)
+    for (const group of ['g0', 'g1', 'g2']) expect(refusals.get(group) ?? 0, group).to.be.at.most(MAX_SENT_DURING_BACKOFF)
   })
 })
--- a/packages/dotterelspur-entry/src/connection/CallerWriter.ts
+++ b/packages/dotterelspur-entry/src/connection/CallerWriter.ts
@@ -2,8 +2,8 @@
 import type { Clock } from 'dotterelspur'
 
 /**
- * Writes to one caller at the caller's pace. A caller that takes nothing for too long is cut off: it would hold
- * its engine's place in the batch, which shows as groups that are full of requests that make no tokens.
+ * Writes to one caller at the caller's pace. A caller that reads nothing for `slowCallerMs` is disconnected: its request would
+ * occupy a place in the engine's batch, and groups would fill up with requests that generate no tokens.
  */
 export class CallerWriter {
   private disconnected = false
@@ -21,7 +21,7 @@
     return this.disconnected || this.response.destroyed
   }
 
-  /** False when the caller has gone or was cut off. */
+  /** Resolves with false if the caller has disconnected or was disconnected for being slow. */
   async write (text: string): Promise<boolean> {
     if (this.isDisconnected) return false
     if (this.response.write(text)) return true
--- a/packages/dotterelspur-entry/src/connection/ModelAnswer.ts
+++ b/packages/dotterelspur-entry/src/connection/ModelAnswer.ts
@@ -1,13 +1,13 @@
 import { FinishReason, type RequestId } from 'dotterelspur'
 import type { FinishedEvent } from '../request/RunRequest.js'
 
-/** The two OpenAI-compatible interfaces, which differ in a few names. */
+/** The two OpenAI-compatible interfaces. They differ in a few names. */
 export enum ModelInterface {
   Chat = 'chat',
   Completion = 'completion'
 }
 
-/** What is the same in all objects of one answer. */
+/** Values that all objects of one answer share. */
 export interface AnswerMetadata {
   readonly kind: ModelInterface
   readonly requestId: RequestId
@@ -19,7 +19,7 @@
   readonly idPrefix: string
   readonly object: string
   readonly chunkObject: string
-  /** The part of a chunk's choice before and after the JSON of its text. */
+  /** The parts of a chunk's choice before and after its text in JSON. */
   readonly textParts: readonly [string, string]
   readonly emptyDelta: Readonly<Record<string, unknown>>
   readonly whole: (text: string) => Readonly<Record<string, unknown>>
@@ -52,7 +52,7 @@
 
 export const DONE_EVENT = 'data: [DONE]\n\n'
 
-/** Writes the objects of one answer. */
+/** Formats the objects of one answer. */
 export class AnswerFormat {
   private readonly names: InterfaceNames
   private readonly chunkStart: string
@@ -66,12 +66,12 @@
     this.chunkEnd = `${after},"logprobs":null,"finish_reason":null}]}\n\n`
   }
 
-  /** One event of a stream. Everything but the text is written once per answer. */
+  /** One event of a stream. Everything except the text is serialized once per answer. */
   chunk (text: string): string {
     return this.chunkStart + JSON.stringify(text) + this.chunkEnd
   }
 
-  /** The last events of a whole stream. */
+  /** The last events of a complete stream. */
   ending (finished: FinishedEvent, includeUsage: boolean): string {
     const choices = [{ index: 0, ...this.names.emptyDelta, logprobs: null, finish_reason: finishReason(finished) }]
     const last = event({ ...this.common(this.names.chunkObject), choices })
@@ -94,7 +94,7 @@
   return `data: ${JSON.stringify(value)}\n\n`
 }
 
-/** The event with which a stream ends that can't be completed. */
+/** The last event of a stream that can't be completed. */
 export function errorEvent (value: unknown): string {
   return `event: error\n${event(value)}`
 }
--- a/packages/dotterelspur-entry/src/connection/registerDirectoryRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerDirectoryRoutes.ts
@@ -3,34 +3,34 @@
 import type { EntryServices } from '../process/EntryServices.js'
 
 interface EntriesQuery {
-  /** The caller's failure domain, where it knows it. */
+  /** The caller's failure domain, if it knows it. */
   readonly failureDomain?: string
-  /** Any text that stays the same for a caller; spreads callers. */
+  /** Any text that is stable for a caller; used to spread callers over the nodes. */
   readonly caller?: string
 }
 
-/** One address that a caller may use. */
+/** A node address that a caller may use. */
 export interface DirectoryEntry {
   readonly address: string
   readonly node: string
   readonly failureDomain: string
   readonly region: string
-  /** What request ids name that are sent to this address. */
+  /** The home to name in request ids that are sent to this address. */
   readonly home: string
 }
 
-/** The answer of GET /v1/entries. */
+/** Response body of GET /v1/entries. */
 export interface DirectoryAnswer {
   readonly ttlMs: number
-  /** The node's wall clock, for the issue stamp of request ids. */
+  /** The node's wall clock, for the issue time in request ids. */
   readonly wallMs: number
-  /** Best first. */
+  /** In order of preference, the best first. */
   readonly entries: readonly DirectoryEntry[]
 }
 
 const SPREAD_RANGE = 1_000_000_007
 
-/** GET /v1/entries: which of the system's addresses to use. */
+/** GET /v1/entries: the node addresses that a caller should use. */
 export function registerDirectoryRoutes (app: FastifyInstance, services: EntryServices): void {
   app.get<{ Querystring: EntriesQuery }>('/v1/entries', (request) => directory(services, request))
 }
--- a/packages/dotterelspur-entry/src/connection/registerModelRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerModelRoutes.ts
@@ -95,7 +95,7 @@
   return reply.header('dotterelspur-outcome', OutcomeKind.Answered).send(format.whole(text, finished))
 }
 
-/** Writes an answer as it comes. The status line waits for the first token, so that a refusal has its own. */
+/** Streams an answer. The status line is sent with the first token, so that a refusal can have its own status. */
 async function streamAnswer (context: ResponseContext, events: RunEvents): Promise<FastifyReply | undefined> {
   const { services, reply, format, call } = context
   const { clock, limits, observer } = services.context
@@ -142,7 +142,7 @@
   return finished.outcome.kind === OutcomeKind.Answered && !finished.withheld
 }
 
-/** What stands when a run's events end without the last one. */
+/** Stands in for the Finished event if a run's events end without one. */
 function missingFinishedEvent (): FinishedEvent {
-  return finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the run ended in silence'))
+  return finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the run ended without an outcome'))
 }
--- a/packages/dotterelspur-entry/src/connection/registerOutcomeRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerOutcomeRoutes.ts
@@ -10,7 +10,7 @@
   Ended = 'ended'
 }
 
-/** The answer of GET /v1/requests/<id>. */
+/** Response body of GET /v1/requests/<id>. */
 export interface RequestState {
   readonly requestId: RequestId
   readonly state: RequestStateKind
@@ -18,10 +18,10 @@
   readonly outcome: Outcome | null
 }
 
-/** How long another node's home may take to say what it knows. */
+/** How long a home on another node waits for a run to finish before it responds. At 0 it responds at once. */
 const FOLLOW_WAIT_MS = 0
 
-/** GET /v1/requests/<id>: what became of a request, for the team that sent it. The id may be the caller's own key. */
+/** GET /v1/requests/<id>: the state and outcome of a request, for the team that sent it. The id may be the caller's own key. */
 export function registerOutcomeRoutes (app: FastifyInstance, services: EntryServices): void {
   app.get<{ Params: { id: string } }>('/v1/requests/:id', (request, reply) => sendRequestState(services, request, reply))
 }
@@ -40,7 +40,7 @@
   if (decision === undefined) return sendUnknownId(reply, requestId)
   if (decision.kind === OpenKind.Ended) return send(reply, { requestId, state: RequestStateKind.Ended, outcome: decision.ended.outcome })
   if (decision.kind === OpenKind.InProgress) return send(reply, { requestId, state: RequestStateKind.Running, outcome: null })
-  return send(reply, { requestId, state: RequestStateKind.Ended, outcome: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than what its home remembers') })
+  return send(reply, { requestId, state: RequestStateKind.Ended, outcome: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than the outcomes that its home remembers') })
 }
 
 async function sendRemoteState (services: EntryServices, reply: FastifyReply, team: TeamId, requestId: RequestId, home: string): Promise<FastifyReply> {
@@ -57,8 +57,8 @@
   return reply.send(state)
 }
 
-/** Not known is not the same as not run: the id may be on its way, or may have been forgotten with its home. */
+/** An unknown id is not the same as not-run: the request may be in transit, or the home that ran it may have terminated. */
 function sendUnknownId (reply: FastifyReply, requestId: RequestId | null): FastifyReply {
-  const outcome = unknownOutcome(OutcomeReason.OutcomeForgotten, 'nothing is known of this id')
+  const outcome = unknownOutcome(OutcomeReason.OutcomeForgotten, 'no request with this id is known')
   return sendOutcome(reply, outcome, requestId, true, { status: HTTP_STATUS[OutcomeReason.ModelNotFound] })
 }
--- a/packages/dotterelspur-entry/src/connection/registerServiceRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerServiceRoutes.ts
@@ -8,7 +8,7 @@
 const METHODS = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE'] as const
 const EMPTY_BODY = new Uint8Array(0)
 
-/** ANY /services/<service>/…: calls to plain services, passed through whole. */
+/** ANY /services/<service>/…: forwards calls to plain services. Bodies are buffered, not streamed. */
 export function registerServiceRoutes (app: FastifyInstance, services: EntryServices): void {
   app.register(async (scope) => {
     scope.removeAllContentTypeParsers()
@@ -66,7 +66,7 @@
 
 async function collect (reply: FastifyReply, events: RunEvents) {
   let response: ServiceResponse | null = null
-  let finished = finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the run ended in silence'))
+  let finished = finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the run ended without an outcome'))
   const iterator = events[Symbol.asyncIterator]()
   reply.raw.once('close', () => { iterator.return?.(undefined) })
   for (let step = await iterator.next(); step.done !== true; step = await iterator.next()) {
