--- a/packages/dotterelspur-entry/src/__tests__/unit/KeyedRuns.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/KeyedRuns.test.ts
@@ -214,10 +214,9 @@
     })
   }
 
-  // Failure: a caller receives not-run and stops retrying, but the request runs after all.
-  // Sequence: a first copy is delayed between node b and its home. The caller gives up on it and sends a second copy directly to
-  // the home, which refuses it. Then the first copy arrives.
-  // Cause: the home can't distinguish a delayed copy from one that was sent after the refusal.
+  // Guards against a request that runs although its caller received not-run and stopped retrying: a first copy is delayed between
+  // node b and its home; the caller gives up on it and sends a second copy directly to the home, which refuses it; then the first
+  // copy arrives. Without a ticket, the home can't distinguish a delayed copy from one that was sent after the refusal.
   it('does not run a copy that was in transit when the home refused another as not-run', async () => {
     const id = idOf(a)
     let release = (): void => {}
--- a/packages/dotterelspur-entry/src/__tests__/unit/TeamTable.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/TeamTable.test.ts
@@ -30,9 +30,8 @@
 }
 
 describe('TeamTable', () => {
-  // Failure: a team's replicas are dissolved after settings that no node can parse were written to the store.
-  // Sequence: version 3 is in force; version 4 arrives and is unreadable; every node drops the team.
-  // Cause: an unreadable version was treated as a team without models.
+  // Guards against a team whose replicas are dissolved after settings that no node can parse were written to the store: an
+  // unreadable version was treated as a team without models, and every node dropped the team.
   it('keeps the previous version in force when a version is unreadable', () => {
     const fixture = createTableFixture()
     fixture.offer(3, 'abc')
@@ -41,9 +40,8 @@
     expect(fixture.changes()).to.equal(1)
   })
 
-  // Failure: a deleted team is served again.
-  // Sequence: version 3 is in force; the team is deleted at version 5; a delayed copy of version 3 arrives.
-  // Cause: the version of the deletion was not kept, so it could not be compared with that of the delayed copy.
+  // Guards against a deleted team that is served again: the team is deleted at version 5, then a delayed copy of version 3 arrives.
+  // If the version of the deletion were not kept, the delayed copy could not be compared with it.
   it('does not restore a deleted team', () => {
     const fixture = createTableFixture()
     fixture.offer(3, 'abc')
@@ -55,9 +53,8 @@
     expect(fixture.changes()).to.equal(3)
   })
 
-  // Failure: a team's caller sees another team's models.
-  // Sequence: two operators apply settings that list the same token, at once and on different nodes.
-  // Cause: the token was attributed to the last team in the table that lists it.
+  // Guards against a caller that sees another team's models: two operators apply settings that list the same token, at once and on
+  // different nodes, and the token was attributed to the last team in the table that lists it.
   it('rejects a token that two teams list, until one of them removes it', () => {
     const fixture = createTableFixture()
     fixture.offer(3, 'shared')
--- a/packages/dotterelspur-entry/src/__tests__/unit/callers.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/callers.test.ts
@@ -115,9 +115,8 @@
     expect(text).to.not.include('[DONE]')
   })
 
-  // Failure: groups are full of requests that generate no tokens, and the node's memory grows.
-  // Sequence: a caller requests a long stream and reads none of it.
-  // Cause: the node reads tokens from the engine faster than the caller reads them from the node.
+  // Guards against groups that are full of requests that generate no tokens, and against growth of the node's memory: a caller
+  // requests a long stream and reads none of it, so the node reads tokens from the engine faster than the caller takes them.
   it('slows the engine down to the pace of a slow caller, then disconnects the caller', async () => {
     let resolveDisconnected = (): void => {}
     const disconnected = new Promise<void>((resolve) => { resolveDisconnected = resolve })
--- a/packages/dotterelspur-entry/src/__tests__/unit/drain.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/drain.test.ts
@@ -4,10 +4,9 @@
 import { TOKENS, callEntry, startHarness, type Harness } from '../fixtures/harness.js'
 
 describe('a node without team settings', () => {
-  // Failure: a caller with a valid token receives 401 and gives up.
-  // Sequence: a node restarts during a store outage, and listens before it has received the team settings from its peers.
-  // Cause: a token that no settings list was rejected as invalid, although there were no settings yet. Eight calls failed
-  // like this in a soak test with seed 12.
+  // Guards against a caller that gives up because its valid token is rejected: a node restarts during a store outage and listens
+  // before it has received the team settings from its peers, and a token that no settings list was rejected as invalid although
+  // there were no settings yet. Eight calls failed like this in a soak test with seed 12.
   it('refuses as isolated and not-run, with the addresses of other nodes', async () => {
     const harness = await startHarness({ nodes: ['node-a', 'node-b'] })
     for (const team of Object.keys(TOKENS)) harness.network.addDocument(`teams/${team}`, null, true)
@@ -25,11 +24,10 @@
 
   afterEach(() => harness.stop())
 
-  // Failure: "other side closed" in the middle of a call to a node that is stopped as planned.
-  // Sequence: the caller's id names another node as its home, and this node forwards the call there. This node drains, has no
-  // runs of its own, and closes its listener. The home answers, but the connection to the caller is gone.
-  // Cause: the drain waited for the requests that run on this node, and not for those that it forwarded. Three calls failed like
-  // this in a soak test with seed 12.
+  // Guards against "other side closed" in the middle of a call to a node that is stopped as planned: the caller's id names another
+  // node as its home, and this node forwards the call there. It drains, has no runs of its own, and closes its listener before the
+  // home has answered, because the drain waited for the requests that run on this node and not for those that it forwarded. Three
+  // calls failed like this in a soak test with seed 12.
   it('waits for the answer to a request that runs at another home', async () => {
     harness = await startHarness({ nodes: ['node-a', 'node-b'] })
     const [relay, home] = harness.nodes
--- a/packages/dotterelspur-entry/src/__tests__/unit/poisonRequests.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/poisonRequests.test.ts
@@ -12,9 +12,9 @@
 const ATTEMPTS = 24
 
 describe('entries with requests that crash every endpoint that runs them', () => {
-  // Failure: a chat that its caller retries crashes one replica after another, whichever node receives it.
-  // Sequence: a node sends it to a group, whose leader crashes; the node tries the next group, up to four times per request.
-  // Cause: a broken stream was counted against the group only, and nothing was recorded about the request.
+  // Guards against a chat that its caller retries and that crashes one replica after another, whichever node receives it: a node
+  // sends it to a group, whose leader crashes, and then to the next group, up to four times per request. A broken stream was counted
+  // against the group only, and nothing was recorded about the request.
   let harness: Harness
   let terminated: Set<string>
 
--- a/packages/dotterelspur-entry/src/__tests__/unit/standIns.test.ts
+++ b/packages/dotterelspur-entry/src/__tests__/unit/standIns.test.ts
@@ -72,9 +72,8 @@
     expect(fleet.ledger.rows().map((row) => row.end)).to.deep.equal([RunEnd.Whole])
   })
 
-  // Failure: a caller receives half an answer, or a part of it twice, when a VM dies.
-  // Sequence: a replica streams an answer; one of its two VMs is killed; the other replica is complete.
-  // Cause: the loss of any VM breaks its replica, and with it all of the replica's streams.
+  // Guards against half an answer, or a part of it twice, when a VM dies: the loss of one of its VMs breaks the replica, and with
+  // it all of the replica's streams. The other replica is complete.
   it('delivers one whole answer when a VM of the replica is killed in the middle of it', async () => {
     let killed = false
     const text = await stream({}, () => {
