--- a/packages/dotterelspur-entry/src/connection/registerServiceRoutes.ts
+++ b/packages/dotterelspur-entry/src/connection/registerServiceRoutes.ts
@@ -8,7 +8,7 @@
 const METHODS = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE'] as const
 const EMPTY_BODY = new Uint8Array(0)
 
-/** ANY /services/<service>/…: calls to plain services, passed through whole. */
+/** ANY /services/<service>/…: forwards calls to plain services. Bodies are buffered, not streamed. */
 export function registerServiceRoutes (app: FastifyInstance, services: EntryServices): void {
   app.register(async (scope) => {
     scope.removeAllContentTypeParsers()
@@ -29,12 +29,12 @@
   if (intent === undefined) return sendOutcome(reply, notRun(OutcomeReason.ServiceNotFound, `team ${team.team} has no service ${name}`, null), null, true)
   const run = toRun(services, team, intent, headers.value, request)
   const started = await services.intake.start(run, headers.value, request.raw)
-  if (!started.ok) return sendOutcome(reply, started.error.outcome, run.requestId, started.error.repeatable, { entries: started.error.entries })
+  if (!started.ok) return sendOutcome(reply, started.error.outcome, run.requestId, started.error.retryable, { entries: started.error.entries })
   const { requestId, events } = started.value
   reply.header('x-request-id', requestId)
   const { response, finished } = await collect(reply, events)
-  const repeatable = run.safety === RequestSafety.Idempotent || headers.value.idempotencyKey !== null
-  if (response === null) return sendOutcome(reply, finished.outcome, requestId, repeatable, { entries: services.intake.entriesFor(finished.outcome) })
+  const retryable = run.safety === RequestSafety.Idempotent || headers.value.idempotencyKey !== null
+  if (response === null) return sendOutcome(reply, finished.outcome, requestId, retryable, { entries: services.intake.entriesFor(finished.outcome) })
   if (response.contentType !== null) reply.header('content-type', response.contentType)
   return reply.code(response.status).header('dotterelspur-outcome', OutcomeKind.Answered).send(Buffer.from(response.body))
 }
@@ -66,7 +66,7 @@
 
 async function collect (reply: FastifyReply, events: RunEvents) {
   let response: ServiceResponse | null = null
-  let finished = finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the run ended in silence'))
+  let finished = finishedWith(unknownOutcome(OutcomeReason.StreamBroken, 'the run ended without an outcome'))
   const iterator = events[Symbol.asyncIterator]()
   reply.raw.once('close', () => { iterator.return?.(undefined) })
   for (let step = await iterator.next(); step.done !== true; step = await iterator.next()) {
--- a/packages/dotterelspur-entry/src/process/ClaimSweeper.ts
+++ b/packages/dotterelspur-entry/src/process/ClaimSweeper.ts
@@ -5,15 +5,15 @@
 const SWEEP_INTERVAL_MS = 60 * 60_000
 const HEX_DIGITS = 2
 
-/** The name of a bucket of claims. */
+/** The bucket's part of a claim's store key. */
 export function claimBucket (index: number): string {
   return index.toString(16).padStart(HEX_DIGITS, '0')
 }
 
 /**
- * Removes claims that are older than their retention. Without it the platform would keep one object for each key
- * that any caller ever chose. Each bucket is swept by one living node, one list an hour; two nodes that both think
- * a bucket theirs only see each other's removals fail.
+ * Removes claims whose retention time has passed. Without it, the store would keep an object for every key that any caller
+ * ever chose. Each bucket is swept by one alive node with one list call an hour. If two nodes both sweep a bucket, some of
+ * their removals fail without harm.
  */
 export class ClaimSweeper {
   constructor (private readonly context: EntryContext) {}
@@ -28,20 +28,20 @@
     return () => { cancel() }
   }
 
-  /** Sweeps the buckets that are this node's, one after the other. Returns how many claims were removed. */
+  /** Sweeps this node's buckets one after the other. Returns the number of removed claims. */
   async sweep (): Promise<number> {
     let removed = 0
     for (let index = 0; index < CLAIM_BUCKETS; index += 1) {
       const bucket = claimBucket(index)
-      if (this.isOurs(bucket)) removed += await this.sweepBucket(bucket)
+      if (this.isOwnBucket(bucket)) removed += await this.sweepBucket(bucket)
     }
     return removed
   }
 
-  private isOurs (bucket: string): boolean {
+  private isOwnBucket (bucket: string): boolean {
     const { mesh } = this.context
-    const living = mesh.members().filter((member) => member.state === NodeState.Alive).map(homeOf)
-    return rendezvousOrder(`${CLAIM_PREFIX}${bucket}`, living)[0] === homeOf(mesh.self)
+    const aliveHomes = mesh.members().filter((member) => member.state === NodeState.Alive).map(homeOf)
+    return rendezvousOrder(`${CLAIM_PREFIX}${bucket}`, aliveHomes)[0] === homeOf(mesh.self)
   }
 
   private async sweepBucket (bucket: string): Promise<number> {
@@ -53,8 +53,8 @@
     for (const claim of listing.value.objects) {
       if (claim.deleted || clock.wallMs() - claim.body.claimedAtWallMs < timing.claimRetentionMs) continue
       observer.claimCall()
-      const gone = await store.remove(claim.key, claim.version)
-      if (gone.ok) removed += 1
+      const removal = await store.remove(claim.key, claim.version)
+      if (removal.ok) removed += 1
     }
     return removed
   }
--- a/packages/dotterelspur-entry/src/process/EntryContext.ts
+++ b/packages/dotterelspur-entry/src/process/EntryContext.ts
@@ -3,10 +3,10 @@
 import type { EntryLimits, EntryTiming } from './EntryOptions.js'
 import type { EntryObserver } from './EntryObserver.js'
 import type { FleetView } from './FleetView.js'
-import type { PoisonKeeper } from './PoisonKeeper.js'
+import type { PoisonTracker } from './PoisonTracker.js'
 import type { TeamTable } from './TeamTable.js'
 
-/** What the parts of one entry share; made once by createEntry. */
+/** Dependencies shared by the components of one entry; created once by createEntry. */
 export interface EntryContext {
   readonly clock: Clock
   readonly random: Random
@@ -23,5 +23,5 @@
   readonly router: Router
   readonly retries: RetryBudget
   readonly pauses: PauseDetector
-  readonly poison: PoisonKeeper
+  readonly poison: PoisonTracker
 }
--- a/packages/dotterelspur-entry/src/process/createEntry.ts
+++ b/packages/dotterelspur-entry/src/process/createEntry.ts
@@ -27,26 +27,26 @@
 import { FleetView } from './FleetView.js'
 import { NodeGate } from './NodeGate.js'
 import { OpenCalls } from './OpenCalls.js'
-import { PoisonKeeper } from './PoisonKeeper.js'
+import { PoisonTracker } from './PoisonTracker.js'
 
 const debug = createDebug('dotterelspur:entry')
 const PAUSE_TICKS_PER_THRESHOLD = 4
-/** Time that callers have to take the last bytes of their answers when the listener closes. */
+/** Time for callers to receive the last bytes of their answers when the listener closes. */
 const FLUSH_MS = 500
-/** What was taken in this long after a pause may have waited through it. */
+/** A request that is accepted within this time after a pause may have waited through the pause. */
 const STALE_AFTER_PAUSE_MS = 250
 
-/** The callers' side of one node. */
+/** The part of a node that serves callers. */
 export interface Entry {
   /** Opens the listener; resolves with its base URL. */
   listen (): Promise<string>
-  /** Takes no new work from now on; what runs goes on. */
+  /** Refuses new requests from now on; running requests continue. */
   beginDrain (): void
-  /** Resolves when nothing runs and no caller waits for an answer any more, be it one that another node's home owes. */
+  /** Resolves when no request runs here and no caller waits for an answer, including answers that the home on another node will send. */
   idle (): Promise<void>
-  /** Requests that run here now. */
+  /** Number of requests that are running on this node. */
   runningCount (): number
-  /** Cuts off what still runs and closes the listener. */
+  /** Interrupts the requests that are still running and closes the listener. */
   close (): Promise<void>
 }
 
@@ -61,7 +61,7 @@
   const services: EntryServices = { context, gate, headers: new HeaderReader(context.limits), intake, keyed, homeRuns, link }
   const calls = new OpenCalls()
   const app = createListener(services, calls)
-  const teardown = startParts(context, link)
+  const teardown = startComponents(context, link)
   return {
     listen: () => app.listen({ host: options.host, port: options.port }),
     beginDrain: () => {
@@ -86,7 +86,7 @@
 }
 
 function createContext (options: EntryOptions): EntryContext {
-  const { clock, random, mesh, store, engines, services, teams, observer = SILENT_OBSERVER, hasEnded } = options
+  const { clock, random, mesh, store, engines, services, teams, observer = SILENT_OBSERVER, hasTerminated } = options
   const timing = { ...DEFAULT_ENTRY_TIMING, ...options.timing }
   const limits = { ...DEFAULT_ENTRY_LIMITS, ...options.limits }
   const { region, failureDomain } = mesh.self
@@ -106,11 +106,11 @@
     router: new Router(createRoutingOptions({ region, failureDomain }, { prefixBlockTokens: PREFIX_BLOCK_TOKENS })),
     retries: new RetryBudget(),
     pauses: new PauseDetector(timing.pauseThresholdMs, STALE_AFTER_PAUSE_MS, clock.nowMs()),
-    poison: new PoisonKeeper({ clock, mesh, store, limits: limits.poison, hasEnded })
+    poison: new PoisonTracker({ clock, mesh, store, limits: limits.poison, hasTerminated })
   }
 }
 
-function startParts (context: EntryContext, link: HomeLink): Teardown {
+function startComponents (context: EntryContext, link: HomeLink): Teardown {
   const { fleet, router, gate, teams, clock, poison } = context
   const unregister = fleet.registerListener((targets) => {
     router.replaceTargets(targets, clock.nowMs())
@@ -133,7 +133,7 @@
   return () => { cancel() }
 }
 
-/** Gives responses that are being flushed a moment; connections that callers only keep open are closed at once. */
+/** Gives responses that are being flushed `FLUSH_MS` to finish; idle keep-alive connections are closed at once. */
 async function closeListener (app: FastifyInstance, { clock }: EntryContext): Promise<void> {
   const cancel = clock.registerTimer(FLUSH_MS, () => { app.server.closeAllConnections() })
   await app.close()
--- a/packages/dotterelspur-entry/src/request/HomeRuns.ts
+++ b/packages/dotterelspur-entry/src/request/HomeRuns.ts
@@ -7,30 +7,30 @@
 import type { LocalRuns } from './LocalRuns.js'
 import { RunEventKind, finishedWith, type FinishedEvent, type RunEvent, type RunEvents, type RunRequest } from './RunRequest.js'
 
-/** What is kept of an ended run for repeats of its id. */
-export interface KeptRun {
+/** The part of a finished run that is kept to answer later submissions of its id. */
+export interface RetainedRun {
   /** Null when the answer was too long to keep. */
   readonly answer: readonly RunEvent[] | null
   readonly finished: FinishedEvent
 }
 
-type Decision = OpenDecision<KeptRun>
+type Decision = OpenDecision<RetainedRun>
 
 const REFUSAL_OF: { readonly [Kind in Exclude<OpenKind, OpenKind.Run | OpenKind.InProgress | OpenKind.Ended>]: Outcome } = {
-  [OpenKind.Forgotten]: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than what its home remembers; it is not run again'),
-  [OpenKind.Mismatch]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id or key stands for another request'),
+  [OpenKind.Forgotten]: unknownOutcome(OutcomeReason.OutcomeForgotten, 'the id is older than the outcomes that its home remembers; it is not run again'),
+  [OpenKind.Mismatch]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id or key refers to another request'),
   [OpenKind.IssuedInFuture]: unknownOutcome(OutcomeReason.InvalidRequest, 'the id was issued in the future'),
   [OpenKind.Full]: unknownOutcome(OutcomeReason.Overloaded, 'the home can\'t remember more ids now', 1_000)
 }
 
 /**
- * The home's part of at-most-once: this process alone decides whether an id that names it may run, and
- * remembers what became of it.
+ * The home's part of at-most-once execution: only this process decides whether an id that names it as the home may run, and
+ * it stores the outcome.
  */
 export class HomeRuns {
-  private readonly memory: OutcomeMemory<KeptRun>
-  /** Idempotent requests, remembered only so that their outcome can be asked for. */
-  private readonly recent: OutcomeMemory<KeptRun>
+  private readonly memory: OutcomeMemory<RetainedRun>
+  /** Idempotent requests, remembered only so that callers can query their outcomes. */
+  private readonly recent: OutcomeMemory<RetainedRun>
   private readonly waiters = new Map<RequestId, Set<() => void>>()
   private readonly clock: Clock
 
@@ -42,22 +42,22 @@
     this.recent = new OutcomeMemory({ ...common, maxEntries: limits.maxRecentOutcomes })
   }
 
-  /** What a relaying node asks for while its caller waits; see OutcomeMemory. */
+  /** Ticket that a relaying node fetches while its caller waits; see OutcomeMemory. */
   get ticket (): number {
     return this.memory.ticket
   }
 
-  /** Runs an id whose home is this process, or answers what became of it. */
+  /** Runs an id whose home is this process, or returns the outcome of its earlier run. */
   run (request: RunRequest): RunEvents {
     const decision = this.open(this.memory, request)
     if (decision.kind === OpenKind.Run) return this.start(request)
     if (decision.kind === OpenKind.InProgress || decision.kind === OpenKind.Ended) return this.follow(request.requestId, request.team, request.deadlineMs)
     const outcome = REFUSAL_OF[decision.kind]
     this.context.observer.refusedAsUnknown(outcome.reason)
-    return once(finishedWith(outcome))
+    return singleBatch(finishedWith(outcome))
   }
 
-  /** Runs an idempotent request; its id is this process's own and new. */
+  /** Runs an idempotent request under a new id that this process created. */
   runIdempotent (request: RunRequest): RunEvents {
     const { requestId } = request
     if (this.open(this.recent, request).kind !== OpenKind.Run) return this.runs.start(request)
@@ -66,7 +66,7 @@
     })
   }
 
-  /** Waits for the end of a run and gives its answer again. */
+  /** Waits for a run to finish, then replays its answer. */
   async * follow (requestId: RequestId, team: TeamId, waitMs: number): RunEvents {
     const deadlineAtMs = this.clock.nowMs() + waitMs
     for (;;) {
@@ -76,19 +76,19 @@
         return
       }
       if (decision?.kind !== OpenKind.InProgress) {
-        yield [finishedWith(decision === undefined ? notSeen() : REFUSAL_OF[OpenKind.Forgotten])]
+        yield [finishedWith(decision === undefined ? unknownIdOutcome() : REFUSAL_OF[OpenKind.Forgotten])]
         return
       }
       const leftMs = deadlineAtMs - this.clock.nowMs()
       if (leftMs <= 0) {
-        yield [finishedWith(unknownOutcome(OutcomeReason.DuplicateInProgress, 'the same id still runs; ask again', 1_000))]
+        yield [finishedWith(unknownOutcome(OutcomeReason.DuplicateInProgress, 'a request with this id is still running; try again later', 1_000))]
         return
       }
       await this.waitForEnd(requestId, leftMs)
     }
   }
 
-  /** What is known of an id whose home is this process; undefined when it was never seen by this team. */
+  /** State of an id whose home is this process; undefined if the home has no request of this team with the id. */
   lookup (requestId: RequestId, team: TeamId): Decision | undefined {
     const identity = parseRequestId(requestId)
     if (identity === undefined) return undefined
@@ -97,7 +97,7 @@
     return recent ?? this.memory.lookup(requestId, identity.issuedWallMs, team, nowMs)
   }
 
-  private open (memory: OutcomeMemory<KeptRun>, request: RunRequest): Decision {
+  private open (memory: OutcomeMemory<RetainedRun>, request: RunRequest): Decision {
     const identity = parseRequestId(request.requestId)!
     const { requestId, team, fingerprint, submission, stale, ticket } = request
     const opened = { requestId, issuedWallMs: identity.issuedWallMs, team, fingerprint, submissionNumber: submission, stale, ticket: ticket ?? memory.ticket }
@@ -108,16 +108,16 @@
     const refusal = this.gate.refusal()
     if (refusal !== null) {
       this.close(request.requestId, { outcome: refusal, answer: { answer: [], finished: finishedWith(refusal) } })
-      return once(finishedWith(refusal))
+      return singleBatch(finishedWith(refusal))
     }
-    const keeper = new AnswerKeeper(this.context.limits.maxKeptAnswerBytes)
+    const recorder = new AnswerRecorder(this.context.limits.maxRetainedAnswerBytes)
     return this.runs.start(request, (event) => {
-      if (event.kind !== RunEventKind.Finished) return keeper.add(event)
-      this.close(request.requestId, { outcome: event.outcome, answer: { answer: keeper.kept(), finished: event } })
+      if (event.kind !== RunEventKind.Finished) return recorder.add(event)
+      this.close(request.requestId, { outcome: event.outcome, answer: { answer: recorder.recordedEvents(), finished: event } })
     })
   }
 
-  private close (requestId: RequestId, ended: EndedRequest<KeptRun>): void {
+  private close (requestId: RequestId, ended: EndedRequest<RetainedRun>): void {
     this.memory.close(requestId, ended, this.clock.nowMs())
     const waiting = this.waiters.get(requestId)
     this.waiters.delete(requestId)
@@ -138,8 +138,8 @@
   }
 }
 
-/** Collects an answer up to a size. */
-class AnswerKeeper {
+/** Records an answer up to a maximum size. */
+class AnswerRecorder {
   private readonly texts: string[] = []
   private tokens = 0
   private response: RunEvent | null = null
@@ -159,7 +159,7 @@
     if (this.sizeBytes <= this.maxBytes) this.texts.push(event.text)
   }
 
-  kept (): readonly RunEvent[] | null {
+  recordedEvents (): readonly RunEvent[] | null {
     if (this.sizeBytes > this.maxBytes) return null
     if (this.response !== null) return [this.response]
     return this.tokens === 0 ? [] : [{ kind: RunEventKind.Text, offset: 0, tokens: this.tokens, text: this.texts.join('') }]
@@ -173,17 +173,17 @@
 }
 
 /** The events of an ended run; partial text of one that didn't end whole is not given again. */
-function replay (ended: EndedRequest<KeptRun>): readonly RunEvent[] {
-  const kept = ended.answer
-  if (kept === null) return [{ ...finishedWith(ended.outcome), withheld: true }]
-  if (kept.answer === null) return [{ ...kept.finished, withheld: true }]
-  return [...kept.answer, kept.finished]
+function replay (ended: EndedRequest<RetainedRun>): readonly RunEvent[] {
+  const retained = ended.answer
+  if (retained === null) return [{ ...finishedWith(ended.outcome), withheld: true }]
+  if (retained.answer === null) return [{ ...retained.finished, withheld: true }]
+  return [...retained.answer, retained.finished]
 }
 
-function notSeen (): Outcome {
-  return unknownOutcome(OutcomeReason.HomeGone, 'the home has not seen this id')
+function unknownIdOutcome (): Outcome {
+  return unknownOutcome(OutcomeReason.HomeGone, 'the home has no request with this id')
 }
 
-export async function * once (...events: readonly RunEvent[]): RunEvents {
+export async function * singleBatch (...events: readonly RunEvent[]): RunEvents {
   yield events
 }
--- a/packages/dotterelspur-entry/src/request/KeyedRuns.ts
+++ b/packages/dotterelspur-entry/src/request/KeyedRuns.ts
@@ -6,80 +6,80 @@
 import { CLAIM_BUCKETS, claimBucket } from '../process/ClaimSweeper.js'
 import type { EntryContext } from '../process/EntryContext.js'
 import type { NodeGate } from '../process/NodeGate.js'
-import { unsent, type HomeLink } from './HomeLink.js'
+import { unsentOutcome, type HomeLink } from './HomeLink.js'
 import type { HomeRuns } from './HomeRuns.js'
 import { finishedWith, type RunEvents, type RunRequest } from './RunRequest.js'
 
 const RANDOM_BYTES = 12
 const CLAIM_RETRY_MS = 100
 
-/** Makes a request id whose home is this process. */
+/** Creates a request id whose home is this process. */
 export function mintRequestId (context: EntryContext): RequestId {
   return formatRequestId(homeOf(context.mesh.self), context.clock.wallMs(), randomBytes(RANDOM_BYTES).toString('base64url'))
 }
 
-/** Where the claim of a team's own key is kept. */
+/** Store key of the claim for a team's own idempotency key. */
 export function claimKey (team: TeamId, key: string): string {
   const scoped = `${team}\u0000${key}`
   const bucket = claimBucket(hashText(scoped) % CLAIM_BUCKETS)
   return `${CLAIM_PREFIX}${bucket}/${createHash('sha256').update(scoped).digest('hex')}`
 }
 
-/** Runs non-idempotent requests: each at the home of its id, whichever node took it in. */
+/** Runs each non-idempotent request at the home of its id, whichever node accepted it. */
 export class KeyedRuns {
   constructor (private readonly context: EntryContext, private readonly homeRuns: HomeRuns, private readonly link: HomeLink, private readonly gate: NodeGate) {}
 
   /**
-   * @param key what the caller sent as its idempotency key: an id that names its home, a key of its own, or null.
-   *   `request.requestId` is a new id of this process, used where the key doesn't bring one.
+   * @param key the caller's idempotency key: a request id that names its home, a key of the caller's own, or null.
+   *   `request.requestId` is a new id of this process, used if the key does not resolve to an id.
    */
   async run (request: RunRequest, key: string | null): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
-    if (key === null) return this.atHome(request)
-    if (parseRequestId(key) !== undefined) return this.atHome({ ...request, requestId: key })
+    if (key === null) return this.runAtHome(request)
+    if (parseRequestId(key) !== undefined) return this.runAtHome({ ...request, requestId: key })
     return this.runClaimed(request, key)
   }
 
-  /** The request id for which a key stands, if that is known. */
+  /** The request id that a key refers to; undefined if the key has no claim, an outcome if the store can't be read. */
   async resolve (team: TeamId, key: string): Promise<RequestId | Outcome | undefined> {
     if (parseRequestId(key) !== undefined) return key
     this.context.observer.claimCall()
     const claim = await this.context.store.get<ClaimObject>(claimKey(team, key))
     if (claim.ok) return claim.value.deleted ? undefined : claim.value.body.requestId
     if (claim.error.kind === StoreErrorKind.NotFound) return undefined
-    return unknownOutcome(OutcomeReason.StoreUnavailable, 'the platform\'s store can\'t be asked for this key now', 1_000)
+    return unknownOutcome(OutcomeReason.StoreUnavailable, 'the platform\'s store can\'t be read for this key now', 1_000)
   }
 
-  isSelf (home: HomeId): boolean {
+  isLocalHome (home: HomeId): boolean {
     return home === homeOf(this.context.mesh.self)
   }
 
-  private atHome (request: RunRequest): { readonly requestId: RequestId, readonly events: RunEvents } {
+  private runAtHome (request: RunRequest): { readonly requestId: RequestId, readonly events: RunEvents } {
     const { home } = parseRequestId(request.requestId)!
-    const events = this.isSelf(home) ? this.homeRuns.run(request) : this.link.run(home, request)
+    const events = this.isLocalHome(home) ? this.homeRuns.run(request) : this.link.run(home, request)
     return { requestId: request.requestId, events }
   }
 
   private async runClaimed (request: RunRequest, key: string): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
     const refusal = this.gate.refusal()
-    if (refusal !== null) return this.refuseOrPass(request, key, refusal)
-    const stand = await this.claim(request, key)
-    if (stand.kind === ClaimStateKind.Settled) return this.atHome({ ...request, requestId: stand.requestId })
-    const outcome = stand.kind === ClaimStateKind.NotWritten
-      ? unsent(request, `the key could not be claimed: ${stand.reason}`, OutcomeReason.StoreUnavailable)
-      : unknownOutcome(OutcomeReason.ClaimUnsettled, `it is not settled which request the key stands for: ${stand.reason}`, 1_000)
+    if (refusal !== null) return this.refuseOrForward(request, key, refusal)
+    const claim = await this.claim(request, key)
+    if (claim.kind === ClaimStateKind.Settled) return this.runAtHome({ ...request, requestId: claim.requestId })
+    const outcome = claim.kind === ClaimStateKind.NotWritten
+      ? unsentOutcome(request, `the key could not be claimed: ${claim.reason}`, OutcomeReason.StoreUnavailable)
+      : unknownOutcome(OutcomeReason.ClaimUnsettled, `it is undecided which request the key refers to: ${claim.reason}`, 1_000)
     return this.refuse(request, outcome)
   }
 
-  /** This node takes no new work, but a key that stands for an id already can still be passed to its home. */
-  private async refuseOrPass (request: RunRequest, key: string, refusal: Outcome): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
-    const known = this.gate.isIsolated() ? undefined : await this.resolve(request.team, key)
-    if (typeof known === 'string') return this.atHome({ ...request, requestId: known })
-    return this.refuse(request, unsent(request, refusal.message, refusal.reason, refusal.retryAfterMs ?? undefined))
+  /** Used while this node accepts no new requests: a key that already refers to an id is still forwarded to the id's home. */
+  private async refuseOrForward (request: RunRequest, key: string, refusal: Outcome): Promise<{ readonly requestId: RequestId, readonly events: RunEvents }> {
+    const resolved = this.gate.isIsolated() ? undefined : await this.resolve(request.team, key)
+    if (typeof resolved === 'string') return this.runAtHome({ ...request, requestId: resolved })
+    return this.refuse(request, unsentOutcome(request, refusal.message, refusal.reason, refusal.retryAfterMs ?? undefined))
   }
 
   private refuse (request: RunRequest, outcome: Outcome): { readonly requestId: RequestId, readonly events: RunEvents } {
     if (outcome.kind === OutcomeKind.Unknown) this.context.observer.refusedAsUnknown(outcome.reason)
-    return { requestId: request.requestId, events: onlyFinished(outcome) }
+    return { requestId: request.requestId, events: finishedEvents(outcome) }
   }
 
   private claim (request: RunRequest, key: string): Promise<ClaimState> {
@@ -101,6 +101,6 @@
   }
 }
 
-async function * onlyFinished (outcome: Outcome): RunEvents {
+async function * finishedEvents (outcome: Outcome): RunEvents {
   yield [finishedWith(outcome)]
 }
