--- a/packages/dotterelspur-fleet/src/process/FabricController.ts
+++ b/packages/dotterelspur-fleet/src/process/FabricController.ts
@@ -5,8 +5,8 @@
 import {
   adoptAssignment, AssignmentEffectKind, writeAssignment, WriteFault, type AssignmentEffect, type AssignmentPlace, type WriteFailure
 } from '../version/AssignmentProcedures.js'
-import { placedElsewhere } from '../version/FleetDocuments.js'
-import { isWhole, viewHealth } from '../version/VmHealthView.js'
+import { vmsAssignedElsewhere } from '../version/FleetDocuments.js'
+import { isGroupComplete, deriveHealth } from '../version/VmHealthView.js'
 import type { FleetContext } from './FleetContext.js'
 import { LeavingWords } from './LeavingWords.js'
 import type { OrderAuthority } from './OrderSender.js'
@@ -153,19 +153,19 @@
   private viewHealth (): readonly VmHealth[] {
     const { prober, options, timing, vmList } = this.context
     this.leavingWords.note(this.adopted!.body, prober.observations)
-    return viewHealth({
+    return deriveHealth({
       nowMs: options.clock.nowMs(),
       evidenceTtlMs: Math.max(timing.evidenceTtlMs, timing.idleProbeIntervalMs + timing.probeTimeoutMs),
       fabricDomain: this.place.fabricDomain,
       assignment: this.adopted!.body,
       records: vmList.fabricDomain(this.place.fabricDomain),
       observations: prober.observations,
-      firstAskedAtMs: (vm) => prober.firstAskedAtMs(vm),
+      firstProbedAtMs: (vm) => prober.firstAskedAtMs(vm),
       presence: this.context.presence(),
       drained: this.context.drained(),
-      saidLeaving: (vm, incarnation) => this.leavingWords.isLeaving(vm, incarnation),
+      hasReportedLeaving: (vm, incarnation) => this.leavingWords.isLeaving(vm, incarnation),
       straggling: (vm) => prober.isStraggling(vm),
-      placedElsewhere: placedElsewhere(options.mesh, this.place.fabricDomain),
+      assignedElsewhere: vmsAssignedElsewhere(options.mesh, this.place.fabricDomain),
       isListedElsewhere: (vm) => (vmList.record(vm)?.fabricDomain ?? this.place.fabricDomain) !== this.place.fabricDomain
     })
   }
@@ -189,7 +189,7 @@
 
   private wholeGroups (assignment: AssignmentObject): ReadonlySet<GroupId> {
     const presence = this.context.presence()
-    return new Set(assignment.groups.filter((group) => isWhole(group, presence, this.context.timing.evidenceTtlMs)).map((group) => group.group))
+    return new Set(assignment.groups.filter((group) => isGroupComplete(group, presence, this.context.timing.evidenceTtlMs)).map((group) => group.group))
   }
 
   private handlers (): EffectHandlers<AssignmentEffect> {
--- a/packages/dotterelspur-fleet/src/process/IntentShares.ts
+++ b/packages/dotterelspur-fleet/src/process/IntentShares.ts
@@ -2,14 +2,14 @@
   shareLoadBudget, type FabricDomainId, type GroupId, type GroupPresence, type LoadBudget, type PlannedIntent, type UnmetIntent, type VmRecord, type WeightStoreRate
 } from 'dotterelspur'
 import { assignmentDocuments } from '../version/FleetDocuments.js'
-import { loadDemands, planIntents, plannedIntents, type IntentPlan, type SharedFacts } from '../version/FabricIntents.js'
+import { loadDemands, planIntents, plannedIntents, type IntentPlan, type SharedState } from '../version/FabricIntents.js'
 import type { FleetOptions } from './FleetOptions.js'
 import type { FleetTiming } from './FleetTiming.js'
 import { GroupAges } from './GroupAges.js'
 
 interface Computed {
   readonly atMs: number
-  readonly facts: SharedFacts
+  readonly facts: SharedState
   readonly plan: IntentPlan
 }
 
@@ -53,12 +53,12 @@
     const assignments = assignmentDocuments(mesh).map(({ body }) => body)
     this.ages.note(assignments, this.sources.presence())
     const { planning } = this.timing
-    const facts: SharedFacts = {
+    const facts: SharedState = {
       wallMs: clock.wallMs(),
       teams: settings(),
       records: this.sources.records(),
       assignments,
-      readings: {
+      measurements: {
         isLost: (group) => this.ages.isLost(group),
         formingForMs: (group) => this.ages.formingForMs(group),
         healthyForMs: (group) => this.ages.healthyForMs(group),
--- a/packages/dotterelspur-fleet/src/process/StepInKeeper.ts
+++ b/packages/dotterelspur-fleet/src/process/StepInKeeper.ts
@@ -2,7 +2,7 @@
   deriveOrders, deriveStepIn, groupAtStepIn, OrderKind, readStepIn, takesNewWork, type AssignedGroup, type AssignedMember, type AssignmentObject, type FailureDomainId,
   type LeaseTerm, type ObservedVm, type VmId
 } from 'dotterelspur'
-import { isWhole } from '../version/VmHealthView.js'
+import { isGroupComplete } from '../version/VmHealthView.js'
 import type { FleetContext } from './FleetContext.js'
 import type { OrderAuthority } from './OrderSender.js'
 import type { ProbeTarget } from './Prober.js'
@@ -76,7 +76,7 @@
 
   private targetsOf (group: AssignedGroup): readonly ProbeTarget[] {
     const { timing } = this.context
-    const whole = isWhole(group, this.context.presence(), timing.evidenceTtlMs)
+    const whole = isGroupComplete(group, this.context.presence(), timing.evidenceTtlMs)
     const target = (intervalMs: number) => ({ vm, address }: AssignedMember): ProbeTarget => ({ vm, address, intervalMs })
     const members = group.members.map(target(whole ? timing.quietProbeIntervalMs : timing.probeIntervalMs))
     return [...members, ...group.standbys.map(target(timing.idleProbeIntervalMs))]
--- a/packages/dotterelspur-fleet/src/version/FabricIntents.ts
+++ b/packages/dotterelspur-fleet/src/version/FabricIntents.ts
@@ -5,7 +5,7 @@
 } from 'dotterelspur'
 
 /** What one observer's clock and counters say of a group. */
-export interface GroupReadings {
+export interface GroupMeasurements {
   /** Broken for so long that its repair is no longer likely. */
   isLost (group: AssignedGroup): boolean
   formingForMs (group: AssignedGroup): number
@@ -15,12 +15,12 @@
 }
 
 /** What every controller knows alike, so that all come to the same shares without talking. */
-export interface SharedFacts {
+export interface SharedState {
   readonly wallMs: number
   readonly teams: readonly TeamSettings[]
   readonly records: readonly VmRecord[]
   readonly assignments: readonly AssignmentObject[]
-  readonly readings: GroupReadings
+  readonly measurements: GroupMeasurements
   /** A group that takes longer than this to become ready at a new version counts as failed. */
   readonly formTimeoutMs: number
 }
@@ -31,14 +31,14 @@
   readonly rollouts: ReadonlyMap<string, RolloutPlan>
 }
 
-export function planIntents (facts: SharedFacts): IntentPlan {
+export function planIntents (facts: SharedState): IntentPlan {
   const ranked = rankedIntents(facts.teams)
   const rollouts = ranked.map(({ team, intent }) => [intentKey(team, intent), rolloutOf(facts, team, intent)] as const)
   return { allocation: allocateReplicas(ranked, capacities(facts)), rollouts: new Map(rollouts) }
 }
 
 /** What one fabric domain should hold. */
-export function plannedIntents (facts: SharedFacts, plan: IntentPlan, fabricDomain: FabricDomainId): readonly PlannedIntent[] {
+export function plannedIntents (facts: SharedState, plan: IntentPlan, fabricDomain: FabricDomainId): readonly PlannedIntent[] {
   return facts.teams.flatMap(({ team, priority, weights, models }) => models.map((intent): PlannedIntent => {
     const share = plan.allocation.shares.find((other) => other.team === team && other.model === intent.model && other.fabricDomain === fabricDomain)
     const { revision, changing, surgeOnly, rollout } = plan.rollouts.get(intentKey(team, intent))!
@@ -60,7 +60,7 @@
 }
 
 /** How much of the weight store's rate each fabric domain may need. */
-export function loadDemands (facts: SharedFacts): readonly LoadDemand[] {
+export function loadDemands (facts: SharedState): readonly LoadDemand[] {
   return capacities(facts).map(({ fabricDomain, vms }) => {
     const groups = facts.assignments.find((assignment) => assignment.fabricDomain === fabricDomain)?.groups ?? []
     const waiting = groups.filter((group) => group.state !== GroupState.Serving).reduce((sum, group) => sum + group.members.length, 0)
@@ -76,7 +76,7 @@
   return teams.flatMap((team) => team.models.map((intent) => ({ team: team.team, priority: team.priority, intent })))
 }
 
-function rolloutOf (facts: SharedFacts, team: TeamId, intent: ModelIntent): RolloutPlan {
+function rolloutOf (facts: SharedState, team: TeamId, intent: ModelIntent): RolloutPlan {
   const isOwn = (other: { readonly team: TeamId, readonly model: string }): boolean => other.team === team && other.model === intent.model
   return planRollout({
     wallMs: facts.wallMs,
@@ -85,23 +85,23 @@
     wanted: { version: intent.version, adapters: intent.adapters },
     settings: intent.rollout,
     formTimeoutMs: facts.formTimeoutMs,
-    groups: facts.assignments.flatMap((assignment) => assignment.groups).filter(isOwn).map((group) => rolloutGroup(group, facts.readings)),
+    groups: facts.assignments.flatMap((assignment) => assignment.groups).filter(isOwn).map((group) => rolloutGroup(group, facts.measurements)),
     records: facts.assignments.flatMap((assignment) => assignment.rollouts ?? []).filter(isOwn)
   })
 }
 
-function rolloutGroup (group: AssignedGroup, readings: GroupReadings): RolloutGroup {
+function rolloutGroup (group: AssignedGroup, measurements: GroupMeasurements): RolloutGroup {
   return {
     group: group.group,
     state: group.state,
     revision: { version: group.version, adapters: group.adapters },
-    healthyForMs: readings.healthyForMs(group),
-    formingForMs: readings.formingForMs(group),
-    errorPercent: readings.errorPercent(group.group, group.formation)
+    healthyForMs: measurements.healthyForMs(group),
+    formingForMs: measurements.formingForMs(group),
+    errorPercent: measurements.errorPercent(group.group, group.formation)
   }
 }
 
-function capacities ({ records, assignments, readings }: SharedFacts): readonly FabricDomainCapacity[] {
+function capacities ({ records, assignments, measurements }: SharedState): readonly FabricDomainCapacity[] {
   const places = new Map<FabricDomainId, Omit<FabricDomainCapacity, 'held'>>()
   for (const { region, failureDomain, fabricDomain } of assignments) places.set(fabricDomain, { region, failureDomain, fabricDomain, vms: 0 })
   for (const { region, failureDomain, fabricDomain, role, state } of records) {
@@ -110,17 +110,17 @@
     places.set(fabricDomain, { ...known, vms: known.vms + (state === VmListState.Live ? 1 : 0) })
   }
   const groupsOf = new Map(assignments.map((assignment) => [assignment.fabricDomain, assignment.groups]))
-  return [...places.values()].map((place) => ({ ...place, held: heldGroups(groupsOf.get(place.fabricDomain) ?? [], readings) }))
+  return [...places.values()].map((place) => ({ ...place, held: heldGroups(groupsOf.get(place.fabricDomain) ?? [], measurements) }))
 }
 
-function heldGroups (groups: readonly AssignedGroup[], readings: GroupReadings): readonly HeldGroups[] {
+function heldGroups (groups: readonly AssignedGroup[], measurements: GroupMeasurements): readonly HeldGroups[] {
   const held = new Map<string, HeldGroups>()
   for (const group of groups) {
     if (group.state === GroupState.Draining) continue
     const key = `${group.team}/${group.model}`
-    const known = held.get(key) ?? { team: group.team, model: group.model, serving: 0, forming: 0, lost: 0 }
-    const part = group.state === GroupState.Serving ? 'serving' : readings.isLost(group) ? 'lost' : 'forming'
-    held.set(key, { ...known, [part]: known[part] + 1 })
+    const counts = held.get(key) ?? { team: group.team, model: group.model, serving: 0, forming: 0, lost: 0 }
+    const category = group.state === GroupState.Serving ? 'serving' : measurements.isLost(group) ? 'lost' : 'forming'
+    held.set(key, { ...counts, [category]: counts[category] + 1 })
   }
   return [...held.values()]
 }
--- a/packages/dotterelspur-fleet/src/version/FleetDocuments.ts
+++ b/packages/dotterelspur-fleet/src/version/FleetDocuments.ts
@@ -25,7 +25,7 @@
 }
 
 /** The VMs that have a place in another fabric domain's assignment: they get none here until that one gives them up. */
-export function placedElsewhere (mesh: MeshApi, fabricDomain: FabricDomainId): ReadonlySet<VmId> {
+export function vmsAssignedElsewhere (mesh: MeshApi, fabricDomain: FabricDomainId): ReadonlySet<VmId> {
   const others = assignmentDocuments(mesh).filter(({ body }) => body.fabricDomain !== fabricDomain)
   return new Set(others.flatMap(({ body }) => body.groups).flatMap((group) => [...group.members, ...group.standbys]).map(({ vm }) => vm))
 }
--- a/packages/dotterelspur-fleet/src/version/VmHealthView.ts
+++ b/packages/dotterelspur-fleet/src/version/VmHealthView.ts
@@ -12,23 +12,23 @@
   /** The list's records of this fabric domain, each VM once. */
   readonly records: readonly VmRecord[]
   readonly observations: Observations
-  readonly firstAskedAtMs: (vm: VmId) => number | null
+  readonly firstProbedAtMs: (vm: VmId) => number | null
   /** Evidence of complete groups that other nodes gathered, by group. */
   readonly presence: ReadonlyMap<GroupId, GroupPresence>
   readonly drained: ReadonlySet<string>
   /** Whether the VM said itself, and not by an order to drain, that it leaves. */
-  readonly saidLeaving: (vm: VmId, incarnation: number) => boolean
+  readonly hasReportedLeaving: (vm: VmId, incarnation: number) => boolean
   readonly straggling: (vm: VmId) => boolean
   /** VMs that have a place in another fabric domain's assignment, whatever the list says. */
-  readonly placedElsewhere: ReadonlySet<VmId>
+  readonly assignedElsewhere: ReadonlySet<VmId>
   /** Whether the list has a VM in another fabric domain: it moved, and what answers there is not this domain's. */
   readonly isListedElsewhere: (vm: VmId) => boolean
 }
 
 /** One refusal may fall into a restart of the listener; two in a row are a process that has ended. */
-const REFUSALS_WHEN_GONE = 2
+const REFUSALS_UNTIL_GONE = 2
 
-interface KnownVm {
+interface TrackedVm {
   readonly vm: VmId
   readonly incarnation: number
   readonly address: string
@@ -40,62 +40,62 @@
  * the list lags. One that the list has elsewhere is gone from here, and one that has a place elsewhere is left out
  * until that place is given up.
  */
-export function viewHealth (input: HealthInput): readonly VmHealth[] {
+export function deriveHealth (input: HealthInput): readonly VmHealth[] {
   const groupOf = new Map(input.assignment.groups.flatMap((group) => group.members.map((member) => [member.vm, group] as const)))
-  return [...knownVms(input).values()]
-    .filter((known) => !input.placedElsewhere.has(known.vm) && !input.isListedElsewhere(known.vm))
+  return [...trackedVms(input).values()]
+    .filter((known) => !input.assignedElsewhere.has(known.vm) && !input.isListedElsewhere(known.vm))
     .map((known) => healthOf(known, groupOf.get(known.vm), input))
 }
 
-function knownVms (input: HealthInput): ReadonlyMap<VmId, KnownVm> {
-  const known = new Map<VmId, KnownVm>()
+function trackedVms (input: HealthInput): ReadonlyMap<VmId, TrackedVm> {
+  const tracked = new Map<VmId, TrackedVm>()
   for (const group of input.assignment.groups) {
-    for (const { vm, incarnation, address } of [...group.members, ...group.standbys]) known.set(vm, { vm, incarnation, address, leaving: false })
+    for (const { vm, incarnation, address } of [...group.members, ...group.standbys]) tracked.set(vm, { vm, incarnation, address, leaving: false })
   }
   for (const record of input.records) {
-    const placed = known.get(record.vm)
-    if (placed !== undefined && placed.incarnation > record.incarnation) continue
-    known.set(record.vm, { vm: record.vm, incarnation: record.incarnation, address: record.address, leaving: record.state === VmListState.Leaving })
+    const assigned = tracked.get(record.vm)
+    if (assigned !== undefined && assigned.incarnation > record.incarnation) continue
+    tracked.set(record.vm, { vm: record.vm, incarnation: record.incarnation, address: record.address, leaving: record.state === VmListState.Leaving })
   }
-  return known
+  return tracked
 }
 
-function healthOf (known: KnownVm, group: AssignedGroup | undefined, input: HealthInput): VmHealth {
-  const observation = input.observations.get(known.vm)
-  const status = freshStatus(known, observation, input) ?? statusByGroup(known, group, input)
-  const presence = presenceOf(known.vm, status, observation, input)
-  const incarnation = Math.max(known.incarnation, status?.incarnation ?? 0)
+function healthOf (tracked: TrackedVm, group: AssignedGroup | undefined, input: HealthInput): VmHealth {
+  const observation = input.observations.get(tracked.vm)
+  const status = freshStatus(tracked, observation, input) ?? statusFromGroup(tracked, group, input)
+  const presence = presenceOf(tracked.vm, status, observation, input)
+  const incarnation = Math.max(tracked.incarnation, status?.incarnation ?? 0)
   return {
-    vm: known.vm,
+    vm: tracked.vm,
     incarnation,
-    address: known.address,
+    address: tracked.address,
     fabricDomain: input.fabricDomain,
     presence,
-    absentSinceMs: presence === VmPresence.Absent ? absentSince(known.vm, observation, input) : null,
-    gone: presence === VmPresence.Absent && (observation?.refusals ?? 0) >= REFUSALS_WHEN_GONE,
+    absentSinceMs: presence === VmPresence.Absent ? absentSince(tracked.vm, observation, input) : null,
+    gone: presence === VmPresence.Absent && (observation?.refusals ?? 0) >= REFUSALS_UNTIL_GONE,
     status,
-    leaving: known.leaving || input.saidLeaving(known.vm, incarnation),
-    drained: input.drained.has(known.vm),
-    straggling: input.straggling(known.vm)
+    leaving: tracked.leaving || input.hasReportedLeaving(tracked.vm, incarnation),
+    drained: input.drained.has(tracked.vm),
+    straggling: input.straggling(tracked.vm)
   }
 }
 
 /** The VM's own unexpired word. An answer by another VM at its address, or by an earlier start of it, is none. */
-function freshStatus (known: KnownVm, observation: VmObservation | undefined, input: HealthInput): VmStatus | null {
+function freshStatus (tracked: TrackedVm, observation: VmObservation | undefined, input: HealthInput): VmStatus | null {
   if (observation === undefined || observation.absentSinceMs !== null || observation.evidence === null) return null
   const { status, askedAtMs } = observation.evidence
   if (input.nowMs - askedAtMs >= input.evidenceTtlMs) return null
-  return status.vm === known.vm && status.incarnation >= known.incarnation ? status : null
+  return status.vm === tracked.vm && status.incarnation >= tracked.incarnation ? status : null
 }
 
 /** What follows for a member from fresh evidence that its whole group is ready. */
-function statusByGroup (known: KnownVm, group: AssignedGroup | undefined, input: HealthInput): VmStatus | null {
-  if (group === undefined || input.observations.get(known.vm)?.absentSinceMs != null) return null
-  const member = group.members.find((candidate) => candidate.vm === known.vm)
-  if (member?.incarnation !== known.incarnation || !isWhole(group, input.presence, input.evidenceTtlMs)) return null
+function statusFromGroup (tracked: TrackedVm, group: AssignedGroup | undefined, input: HealthInput): VmStatus | null {
+  if (group === undefined || input.observations.get(tracked.vm)?.absentSinceMs != null) return null
+  const member = group.members.find((candidate) => candidate.vm === tracked.vm)
+  if (member?.incarnation !== tracked.incarnation || !isGroupComplete(group, input.presence, input.evidenceTtlMs)) return null
   return {
-    vm: known.vm,
-    incarnation: known.incarnation,
+    vm: tracked.vm,
+    incarnation: tracked.incarnation,
     state: EngineState.Ready,
     group: group.group,
     formation: group.formation,
@@ -108,7 +108,7 @@
 }
 
 /** Whether fresh evidence says that every member is ready at the group's formation. */
-export function isWhole (group: AssignedGroup, presence: ReadonlyMap<GroupId, GroupPresence>, evidenceTtlMs: number): boolean {
+export function isGroupComplete (group: AssignedGroup, presence: ReadonlyMap<GroupId, GroupPresence>, evidenceTtlMs: number): boolean {
   const evidence = presence.get(group.group)
   return evidence !== undefined && evidence.complete && evidence.formation === group.formation && evidence.ageMs < evidenceTtlMs
 }
@@ -116,11 +116,11 @@
 function presenceOf (vm: VmId, status: VmStatus | null, observation: VmObservation | undefined, input: HealthInput): VmPresence {
   if (status !== null) return VmPresence.Present
   if (observation?.absentSinceMs != null) return VmPresence.Absent
-  const askedAtMs = input.firstAskedAtMs(vm)
-  const askedForLong = askedAtMs !== null && input.nowMs - askedAtMs >= input.evidenceTtlMs
-  return askedForLong ? VmPresence.Absent : VmPresence.Unknown
+  const firstProbedAtMs = input.firstProbedAtMs(vm)
+  const isEvidenceOverdue = firstProbedAtMs !== null && input.nowMs - firstProbedAtMs >= input.evidenceTtlMs
+  return isEvidenceOverdue ? VmPresence.Absent : VmPresence.Unknown
 }
 
 function absentSince (vm: VmId, observation: VmObservation | undefined, input: HealthInput): number {
-  return observation?.absentSinceMs ?? observation?.evidence?.askedAtMs ?? input.firstAskedAtMs(vm) ?? input.nowMs
+  return observation?.absentSinceMs ?? observation?.evidence?.askedAtMs ?? input.firstProbedAtMs(vm) ?? input.nowMs
 }
--- a/packages/dotterelspur-fleet/src/version/WatchPlan.ts
+++ b/packages/dotterelspur-fleet/src/version/WatchPlan.ts
@@ -31,17 +31,17 @@
  */
 export function planWatches (input: WatchPlanInput): WatchPlan {
   const watchersByRegion = new Map<RegionId, readonly NodeId[]>()
-  const isMine = (key: string, region: RegionId): boolean => {
-    const nodes = watchersByRegion.get(region) ?? watchersOf(input, region)
+  const isWatchedBySelf = (key: string, region: RegionId): boolean => {
+    const nodes = watchersByRegion.get(region) ?? eligibleWatchers(input, region)
     watchersByRegion.set(region, nodes)
     return rendezvousOrder(key, nodes).slice(0, WATCHERS_PER_SUBJECT).includes(input.self.node)
   }
   const groups = input.assignments.flatMap((assignment) => assignment.groups
-    .filter((group) => isMine(`group/${group.group}`, assignment.region))
+    .filter((group) => isWatchedBySelf(`group/${group.group}`, assignment.region))
     .map((group) => ({ assignment, group })))
   const services = input.vmLists
     .flatMap((list) => list.vms)
-    .filter((record) => record.role === VmRole.Service && isMine(`vm/${record.vm}`, record.region))
+    .filter((record) => record.role === VmRole.Service && isWatchedBySelf(`vm/${record.vm}`, record.region))
   return { groups, services }
 }
 
@@ -50,13 +50,13 @@
  * already leave it out: for that time there is one watcher more, never one less. A region without nodes is
  * watched from outside.
  */
-function watchersOf (input: WatchPlanInput, region: RegionId): readonly NodeId[] {
-  const able = input.members.filter((member) => isAble(member) || member.node === input.self.node)
-  const inside = able.filter((member) => member.region === region)
-  return (inside.length > 0 ? inside : able).map((member) => member.node)
+function eligibleWatchers (input: WatchPlanInput, region: RegionId): readonly NodeId[] {
+  const eligible = input.members.filter((member) => isEligible(member) || member.node === input.self.node)
+  const inside = eligible.filter((member) => member.region === region)
+  return (inside.length > 0 ? inside : eligible).map((member) => member.node)
 }
 
-function isAble (member: NodeMember): boolean {
+function isEligible (member: NodeMember): boolean {
   return member.state === NodeState.Alive || member.state === NodeState.Suspect
 }
 
