--- a/packages/dotterelspur-fleet/src/version/AssignmentProcedures.ts
+++ b/packages/dotterelspur-fleet/src/version/AssignmentProcedures.ts
@@ -4,7 +4,7 @@
 } from 'dotterelspur'
 
 export enum AssignmentEffectKind {
-  /** Whether the lease still allows a write, asked right before each. */
+  /** Whether the lease still allows a write; checked immediately before each write. */
   MayWrite = 'may-write',
   Read = 'read',
   Write = 'write'
@@ -15,7 +15,7 @@
 export interface ReadEffect extends Effect<AssignmentEffectKind.Read, StoredAssignment> {
   readonly key: string
 }
-/** `expectedVersion` 0 creates. */
+/** An `expectedVersion` of 0 creates the object. */
 export interface WriteEffect extends Effect<AssignmentEffectKind.Write, StoredAssignment> {
   readonly key: string
   readonly body: AssignmentObject
@@ -24,21 +24,21 @@
 export type AssignmentEffect = MayWriteEffect | ReadEffect | WriteEffect
 
 export enum WriteFault {
-  /** The lease doesn't allow it any more: nothing was sent. */
+  /** The lease no longer allows the write, so nothing was sent. */
   LeaseLost = 'lease-lost',
-  /** The stored object carries a higher fencing number: another node holds the lease, or held it later. */
+  /** The stored object carries a higher fencing number: it was written under a later term of the lease. */
   Fenced = 'fenced',
-  /** Someone else has written; what was planned on is out of date. */
+  /** Another writer has changed the object, so the version that the plan was based on is out of date. */
   Outdated = 'outdated',
-  /** It may have been written; nothing may be built on the old state before it is read again. */
+  /** The write may or may not have taken effect; the object has to be read again before the next plan. */
   Unknown = 'unknown',
-  /** Not written; the store can't be reached or refuses. */
+  /** Not written: the store is unreachable or refused the write. */
   Unavailable = 'unavailable'
 }
 
 export interface WriteFailure {
   readonly fault: WriteFault
-  /** For Fenced: the number found. */
+  /** For Fenced: the fencing number found in the stored object. */
   readonly fencing: number
 }
 
@@ -50,13 +50,13 @@
   readonly fabricDomain: FabricDomainId
 }
 
-/** Reads from the past, each followed by a refused write, before the next tick tries again. */
+/** Attempts per tick, each a stale read followed by a write that fails with a version conflict. */
 const ADOPTION_ATTEMPTS = 3
 
 /**
- * Makes a fabric domain's assignment this term's own, before anything is planned or ordered from it: reads it
- * and writes it back with this term's fencing number. The write proves that the reading was not from the past,
- * and it moves the version on, so that a write of an earlier holder which is still under way is refused.
+ * Adopts a fabric domain's assignment for this lease term before anything is planned or ordered from it: reads it
+ * and writes it back with this term's fencing number. The conditional write proves that the read was not stale, and
+ * it increments the version, so that a write by an earlier lease holder that is still in flight is refused.
  */
 export function * adoptAssignment (place: AssignmentPlace, fencing: number): Procedure<AssignmentEffect, WriteResult> {
   const key = assignmentKey(place.fabricDomain)
@@ -76,8 +76,8 @@
 }
 
 /**
- * Writes an assignment under the term's fencing number, and reads back when the answer was lost. The same content
- * under this fencing number can only be this process's own: no other term has the number.
+ * Writes an assignment under the term's fencing number, and reads it back when the store's response was lost. If the
+ * stored object has the same content and this fencing number, the write took effect: no other term has the number.
  */
 export function * writeAssignment (next: AssignmentObject, expectedVersion: number, fencing: number): Procedure<AssignmentEffect, WriteResult> {
   const key = assignmentKey(next.fabricDomain)
--- a/packages/dotterelspur-fleet/src/version/FabricIntents.ts
+++ b/packages/dotterelspur-fleet/src/version/FabricIntents.ts
@@ -4,17 +4,17 @@
   type TeamId, type TeamSettings, type VmRecord
 } from 'dotterelspur'
 
-/** What one observer's clock and counters say of a group. */
+/** Durations and error rates of groups, measured by this node's own clock and counters. */
 export interface GroupMeasurements {
-  /** Broken for so long that its repair is no longer likely. */
+  /** Whether the group has been broken for so long that its repair is no longer likely. */
   isLost (group: AssignedGroup): boolean
   formingForMs (group: AssignedGroup): number
   healthyForMs (group: AssignedGroup): number
-  /** Failed requests of 100 at this formation, null when too few ran to tell. */
+  /** Percentage of failed requests at this formation; null when too few requests ran for an estimate. */
   errorPercent (group: GroupId, formation: number): number | null
 }
 
-/** What every controller knows alike, so that all come to the same shares without talking. */
+/** State that all controllers have in common, so that all compute the same shares without exchanging messages. */
 export interface SharedState {
   readonly wallMs: number
   readonly teams: readonly TeamSettings[]
@@ -25,7 +25,7 @@
   readonly formTimeoutMs: number
 }
 
-/** Everything that follows from the shared facts, for all fabric domains. */
+/** The replica allocation and the rollouts of all fabric domains, computed from the shared state. */
 export interface IntentPlan {
   readonly allocation: ReplicaAllocation
   readonly rollouts: ReadonlyMap<string, RolloutPlan>
@@ -37,7 +37,7 @@
   return { allocation: allocateReplicas(ranked, capacities(facts)), rollouts: new Map(rollouts) }
 }
 
-/** What one fabric domain should hold. */
+/** The intents of one fabric domain: each model's replicas, standbys and rollout there. */
 export function plannedIntents (facts: SharedState, plan: IntentPlan, fabricDomain: FabricDomainId): readonly PlannedIntent[] {
   return facts.teams.flatMap(({ team, priority, weights, models }) => models.map((intent): PlannedIntent => {
     const share = plan.allocation.shares.find((other) => other.team === team && other.model === intent.model && other.fabricDomain === fabricDomain)
@@ -59,7 +59,7 @@
   }))
 }
 
-/** How much of the weight store's rate each fabric domain may need. */
+/** Each fabric domain's demand on the weight store: its live VMs, and the members of its groups that aren't serving yet. */
 export function loadDemands (facts: SharedState): readonly LoadDemand[] {
   return capacities(facts).map(({ fabricDomain, vms }) => {
     const groups = facts.assignments.find((assignment) => assignment.fabricDomain === fabricDomain)?.groups ?? []
--- a/packages/dotterelspur-fleet/src/version/FleetDocuments.ts
+++ b/packages/dotterelspur-fleet/src/version/FleetDocuments.ts
@@ -2,7 +2,7 @@
   ASSIGNMENT_PREFIX, DRAIN_PREFIX, VM_LIST_PREFIX, type AssignmentObject, type FabricDomainId, type MeshApi, type VmId, type VmListDocument
 } from 'dotterelspur'
 
-/** An assignment as the mesh holds it, with the platform's version. */
+/** An assignment from the mesh, with its version in the platform's store. */
 export interface AssignmentDocument {
   readonly version: number
   readonly body: AssignmentObject
@@ -18,13 +18,13 @@
   return mesh.documents(VM_LIST_PREFIX).filter((document) => !document.deleted).map((document) => document.body as VmListDocument)
 }
 
-/** The VMs and groups that operators drain. */
+/** The VMs and groups that operators are draining. */
 export function drainTargets (mesh: MeshApi): ReadonlySet<string> {
   const drains = mesh.documents(DRAIN_PREFIX).filter((document) => !document.deleted)
   return new Set(drains.map((document) => document.key.slice(DRAIN_PREFIX.length)))
 }
 
-/** The VMs that have a place in another fabric domain's assignment: they get none here until that one gives them up. */
+/** The VMs in other fabric domains' assignments. They must not be assigned here until they are removed from there. */
 export function vmsAssignedElsewhere (mesh: MeshApi, fabricDomain: FabricDomainId): ReadonlySet<VmId> {
   const others = assignmentDocuments(mesh).filter(({ body }) => body.fabricDomain !== fabricDomain)
   return new Set(others.flatMap(({ body }) => body.groups).flatMap((group) => [...group.members, ...group.standbys]).map(({ vm }) => vm))
--- a/packages/dotterelspur-fleet/src/version/VmHealthView.ts
+++ b/packages/dotterelspur-fleet/src/version/VmHealthView.ts
@@ -3,29 +3,29 @@
   type VmId, type VmObservation, type VmRecord, type VmStatus
 } from 'dotterelspur'
 
-/** What one controller knows when it looks at the VMs of a fabric domain. */
+/** Input for assessing the VMs of one fabric domain. */
 export interface HealthInput {
   readonly nowMs: number
   readonly evidenceTtlMs: number
   readonly fabricDomain: FabricDomainId
   readonly assignment: AssignmentObject
-  /** The list's records of this fabric domain, each VM once. */
+  /** The VM list's records of this fabric domain, one per VM. */
   readonly records: readonly VmRecord[]
   readonly observations: Observations
   readonly firstProbedAtMs: (vm: VmId) => number | null
-  /** Evidence of complete groups that other nodes gathered, by group. */
+  /** Presence of each group as published by its watchers. */
   readonly presence: ReadonlyMap<GroupId, GroupPresence>
   readonly drained: ReadonlySet<string>
-  /** Whether the VM said itself, and not by an order to drain, that it leaves. */
+  /** Whether the VM reported on its own, and not because of a drain order, that it is leaving. */
   readonly hasReportedLeaving: (vm: VmId, incarnation: number) => boolean
   readonly straggling: (vm: VmId) => boolean
-  /** VMs that have a place in another fabric domain's assignment, whatever the list says. */
+  /** VMs in another fabric domain's assignment, whatever the VM list says. */
   readonly assignedElsewhere: ReadonlySet<VmId>
-  /** Whether the list has a VM in another fabric domain: it moved, and what answers there is not this domain's. */
+  /** Whether the VM list has a VM in another fabric domain: it has moved, and its responses don't count for this one. */
   readonly isListedElsewhere: (vm: VmId) => boolean
 }
 
-/** One refusal may fall into a restart of the listener; two in a row are a process that has ended. */
+/** One refused connection may fall into a restart of the listener; two in a row mean that the process has terminated. */
 const REFUSALS_UNTIL_GONE = 2
 
 interface TrackedVm {
@@ -36,9 +36,9 @@
 }
 
 /**
- * The health of each VM that is listed or has a place here. A VM that the list lacks and that has a place stays:
- * the list lags. One that the list has elsewhere is gone from here, and one that has a place elsewhere is left out
- * until that place is given up.
+ * Derives the health of each VM that is listed in this fabric domain or assigned in it. An assigned VM that is missing
+ * from the list is included, since the list lags behind. A VM that is listed in another fabric domain is left out, and
+ * so is one that is assigned in another, until it is removed from that assignment.
  */
 export function deriveHealth (input: HealthInput): readonly VmHealth[] {
   const groupOf = new Map(input.assignment.groups.flatMap((group) => group.members.map((member) => [member.vm, group] as const)))
@@ -80,7 +80,7 @@
   }
 }
 
-/** The VM's own unexpired word. An answer by another VM at its address, or by an earlier start of it, is none. */
+/** The VM's own unexpired status. A response of another VM at its address, or of an earlier incarnation, doesn't count. */
 function freshStatus (tracked: TrackedVm, observation: VmObservation | undefined, input: HealthInput): VmStatus | null {
   if (observation === undefined || observation.absentSinceMs !== null || observation.evidence === null) return null
   const { status, askedAtMs } = observation.evidence
@@ -88,7 +88,7 @@
   return status.vm === tracked.vm && status.incarnation >= tracked.incarnation ? status : null
 }
 
-/** What follows for a member from fresh evidence that its whole group is ready. */
+/** A member's status, inferred from fresh evidence that its group is complete. */
 function statusFromGroup (tracked: TrackedVm, group: AssignedGroup | undefined, input: HealthInput): VmStatus | null {
   if (group === undefined || input.observations.get(tracked.vm)?.absentSinceMs != null) return null
   const member = group.members.find((candidate) => candidate.vm === tracked.vm)
@@ -107,7 +107,7 @@
   }
 }
 
-/** Whether fresh evidence says that every member is ready at the group's formation. */
+/** Whether fresh evidence shows that every member is ready at the group's formation. */
 export function isGroupComplete (group: AssignedGroup, presence: ReadonlyMap<GroupId, GroupPresence>, evidenceTtlMs: number): boolean {
   const evidence = presence.get(group.group)
   return evidence !== undefined && evidence.complete && evidence.formation === group.formation && evidence.ageMs < evidenceTtlMs
--- a/packages/dotterelspur-fleet/src/version/WatchPlan.ts
+++ b/packages/dotterelspur-fleet/src/version/WatchPlan.ts
@@ -3,7 +3,7 @@
   type VmListDocument, type VmRecord
 } from 'dotterelspur'
 
-/** Watchers of each group and of each service worker. One may be slow, cut off or replaced without a gap in the evidence. */
+/** Watchers of each group and of each service worker: one may be slow, cut off or replaced without a gap in the evidence. */
 export const WATCHERS_PER_SUBJECT = 2
 
 export interface WatchedGroup {
@@ -11,7 +11,7 @@
   readonly group: AssignedGroup
 }
 
-/** What one node watches. */
+/** The groups and service workers that one node watches. */
 export interface WatchPlan {
   readonly groups: readonly WatchedGroup[]
   readonly services: readonly VmRecord[]
@@ -25,9 +25,9 @@
 }
 
 /**
- * Chooses what this node watches: rendezvous hashing over the living nodes of the subject's region, so that all
- * nodes agree without talking. The VMs of one group have the same watchers, since only who sees all members can
- * say that the group is complete.
+ * Chooses the groups and service workers that this node watches, by rendezvous hashing over the living nodes of their
+ * region, so that all nodes agree without exchanging messages. The VMs of one group have the same watchers, since only
+ * a watcher of all members can tell that the group is complete.
  */
 export function planWatches (input: WatchPlanInput): WatchPlan {
   const watchersByRegion = new Map<RegionId, readonly NodeId[]>()
@@ -46,9 +46,9 @@
 }
 
 /**
- * The nodes that may watch a region's VMs. A node that drains counts itself until it stops, while the others
- * already leave it out: for that time there is one watcher more, never one less. A region without nodes is
- * watched from outside.
+ * The nodes that may watch a region's VMs. A draining node includes itself until it stops, while the other nodes already
+ * leave it out, so that a draining node causes an extra watcher for a while and never a missing one. A region without
+ * nodes of its own is watched by the nodes of all other regions.
  */
 function eligibleWatchers (input: WatchPlanInput, region: RegionId): readonly NodeId[] {
   const eligible = input.members.filter((member) => isEligible(member) || member.node === input.self.node)
@@ -60,7 +60,7 @@
   return member.state === NodeState.Alive || member.state === NodeState.Suspect
 }
 
-/** The VMs that the platform's list says will be taken away. */
+/** The VMs that the platform's list marks as leaving. */
 export function leavingVms (vmLists: readonly VmListDocument[]): ReadonlySet<VmId> {
   const leaving = vmLists.flatMap((list) => list.vms).filter((record) => record.state === VmListState.Leaving)
   return new Set(leaving.map((record) => record.vm))
