--- a/packages/dotterelspur-fleet/src/__tests__/unit/CleanListing.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/CleanListing.test.ts
@@ -13,8 +13,8 @@
     { title: 'the same line twice', second: {}, kept: {}, faults: [] },
     { title: 'an older incarnation', second: { incarnation: 1, fabricDomain: 'fd-1.b' }, kept: {}, faults: [RecordFault.OlderIncarnation] },
     { title: 'a newer incarnation elsewhere', second: { incarnation: 3, fabricDomain: 'fd-1.b' }, kept: { incarnation: 3, fabricDomain: 'fd-1.b' }, faults: [RecordFault.OlderIncarnation] },
-    { title: 'the same incarnation in another fabric domain', second: { fabricDomain: 'fd-1.b' }, kept: null, faults: [RecordFault.TwoPlaces] },
-    { title: 'the same incarnation in another failure domain', second: { failureDomain: 'fd-2' }, kept: null, faults: [RecordFault.TwoPlaces] },
+    { title: 'the same incarnation in another fabric domain', second: { fabricDomain: 'fd-1.b' }, kept: null, faults: [RecordFault.ConflictingLocations] },
+    { title: 'the same incarnation in another failure domain', second: { failureDomain: 'fd-2' }, kept: null, faults: [RecordFault.ConflictingLocations] },
     { title: 'the same incarnation, leaving', second: { state: VmListState.Leaving }, kept: { state: VmListState.Leaving }, faults: [] }
   ]
   for (const { title, second, kept, faults } of cases) {
--- a/packages/dotterelspur-fleet/src/process/CleanListing.ts
+++ b/packages/dotterelspur-fleet/src/process/CleanListing.ts
@@ -5,7 +5,7 @@
   /** An older line of a VM that is listed more than once. */
   OlderIncarnation = 'older-incarnation',
   /** The same incarnation is listed in two places: at most one can be true, so it is placed in neither. */
-  TwoPlaces = 'two-places'
+  ConflictingLocations = 'two-places'
 }
 
 export interface UnusedRecord {
@@ -27,30 +27,30 @@
 export function cleanListing (listing: VmListing): CleanListing {
   const vms = new Map<VmId, VmRecord>()
   const unused: UnusedRecord[] = []
-  const contested = new Set<VmId>()
+  const conflicting = new Set<VmId>()
   for (const record of listing.vms) {
     const known = vms.get(record.vm)
     if (known === undefined || record.incarnation > known.incarnation) {
       if (known !== undefined) unused.push({ record: known, fault: RecordFault.OlderIncarnation })
       vms.set(record.vm, record)
-      contested.delete(record.vm)
+      conflicting.delete(record.vm)
       continue
     }
     if (record.incarnation < known.incarnation) {
       unused.push({ record, fault: RecordFault.OlderIncarnation })
       continue
     }
-    if (!samePlace(record, known)) contested.add(record.vm)
+    if (!isSameLocation(record, known)) conflicting.add(record.vm)
     if (record.state === VmListState.Leaving) vms.set(record.vm, { ...known, state: VmListState.Leaving })
   }
-  for (const vm of contested) {
-    unused.push({ record: vms.get(vm)!, fault: RecordFault.TwoPlaces })
+  for (const vm of conflicting) {
+    unused.push({ record: vms.get(vm)!, fault: RecordFault.ConflictingLocations })
     vms.delete(vm)
   }
   return { vms, unused }
 }
 
-function samePlace (left: VmRecord, right: VmRecord): boolean {
+function isSameLocation (left: VmRecord, right: VmRecord): boolean {
   return left.fabricDomain === right.fabricDomain && left.failureDomain === right.failureDomain && left.role === right.role
 }
 
--- a/packages/dotterelspur-fleet/src/process/LeavingWords.ts
+++ b/packages/dotterelspur-fleet/src/process/DepartureTracker.ts
@@ -6,13 +6,13 @@
  * all of them, and would be formed of the same members again. So the word counts only where no drain was
  * ordered, and is kept through the drain that follows from it.
  */
-export class LeavingWords {
+export class DepartureTracker {
   private readonly incarnations = new Map<VmId, number>()
 
-  note (assignment: AssignmentObject, observations: Observations): void {
+  update (assignment: AssignmentObject, observations: Observations): void {
     const undrained = new Set(assignment.groups.filter((group) => takesNewWork(group.state)).map((group) => `${group.group}/${group.formation}`))
     for (const [vm, { evidence }] of observations) {
-      if (evidence !== null && evidence.status.vm === vm) this.noteStatus(evidence.status, undrained)
+      if (evidence !== null && evidence.status.vm === vm) this.updateStatus(evidence.status, undrained)
     }
   }
 
@@ -20,10 +20,10 @@
     return this.incarnations.get(vm) === incarnation
   }
 
-  private noteStatus (status: VmStatus, undrained: ReadonlySet<string>): void {
+  private updateStatus (status: VmStatus, undrained: ReadonlySet<string>): void {
     if (status.state === EngineState.Ready) this.incarnations.delete(status.vm)
     if (status.state !== EngineState.Leaving) return
-    const ownWord = status.group === null || undrained.has(`${status.group}/${status.formation}`)
-    if (ownWord) this.incarnations.set(status.vm, status.incarnation)
+    const isSelfInitiated = status.group === null || undrained.has(`${status.group}/${status.formation}`)
+    if (isSelfInitiated) this.incarnations.set(status.vm, status.incarnation)
   }
 }
--- a/packages/dotterelspur-fleet/src/process/DomainController.ts
+++ b/packages/dotterelspur-fleet/src/process/DomainController.ts
@@ -5,11 +5,11 @@
 import { isEngine } from './CleanListing.js'
 import { FabricController, type FabricAuthority } from './FabricController.js'
 import type { FleetContext } from './FleetContext.js'
-import type { LeaseKeeper } from './LeaseKeeper.js'
+import type { LeaseController } from './LeaseController.js'
 import type { PauseDetector } from './PauseDetector.js'
 import { Ticker } from './Ticker.js'
 
-interface RunningFabric {
+interface RunningController {
   readonly controller: FabricController
   readonly ticker: Ticker
 }
@@ -17,13 +17,13 @@
 /** Decides for one failure domain for one term of its lease: one loop for each fabric domain in it. */
 export class DomainController {
   readonly failureDomain: FailureDomainId
-  private readonly fabrics = new Map<FabricDomainId, RunningFabric>()
+  private readonly fabrics = new Map<FabricDomainId, RunningController>()
   private readonly authority: FabricAuthority
   private readonly takenAtMs: number
   private stopped = false
 
   constructor (
-    readonly term: LeaseTerm, private readonly keeper: LeaseKeeper, private readonly pauses: PauseDetector, private readonly context: FleetContext,
+    readonly term: LeaseTerm, private readonly lease: LeaseController, private readonly pauses: PauseDetector, private readonly context: FleetContext,
     private readonly onError: (error: unknown) => void
   ) {
     this.failureDomain = term.failureDomain
@@ -32,8 +32,8 @@
     this.authority = {
       fencing: term.fencing,
       mayDecide,
-      mayOrder: (vm) => mayDecide() && this.isWaitedOut(vm),
-      noteFencing: (fencing) => { keeper.noteFencing(fencing) }
+      mayOrder: (vm) => mayDecide() && this.haveEarlierOrdersExpired(vm),
+      observeFencing: (fencing) => { lease.observeFencing(fencing) }
     }
   }
 
@@ -50,11 +50,11 @@
   /** Starts loops for fabric domains that the list or the mesh knows here; ends none, since the list lags. */
   refresh (): void {
     if (this.stopped) return
-    for (const [fabricDomain, region] of this.knownFabrics()) this.begin(fabricDomain, region)
+    for (const [fabricDomain, region] of this.knownFabricDomains()) this.startController(fabricDomain, region)
   }
 
-  nudge (): void {
-    for (const { ticker } of this.fabrics.values()) ticker.nudge()
+  trigger (): void {
+    for (const { ticker } of this.fabrics.values()) ticker.trigger()
   }
 
   stop (): void {
@@ -67,7 +67,7 @@
 
   private mayDecide (term: LeaseTerm): boolean {
     this.pauses.sample()
-    return !this.stopped && this.keeper.term?.fencing === term.fencing && this.keeper.mayOrder()
+    return !this.stopped && this.lease.term?.fencing === term.fencing && this.lease.mayOrder()
   }
 
   /**
@@ -75,14 +75,14 @@
    * way. Such an order ends at the latest one order timeout after its sender had to stop, so this term's first
    * order to it waits for as long.
    */
-  private isWaitedOut (vm: VmId): boolean {
+  private haveEarlierOrdersExpired (vm: VmId): boolean {
     const { options, timing, vmList } = this.context
     const fabricDomain = vmList.record(vm)?.fabricDomain ?? ''
     const checks = options.checksFencing?.({ vm, fabricDomain, failureDomain: this.failureDomain }) ?? true
     return checks || options.clock.nowMs() - this.takenAtMs >= timing.orderTimeoutMs
   }
 
-  private begin (fabricDomain: FabricDomainId, region: RegionId): void {
+  private startController (fabricDomain: FabricDomainId, region: RegionId): void {
     if (this.fabrics.has(fabricDomain)) return
     const { clock, random } = this.context.options
     const controller = new FabricController({ region, failureDomain: this.failureDomain, fabricDomain }, this.context, this.authority)
@@ -91,7 +91,7 @@
     ticker.start(0)
   }
 
-  private knownFabrics (): ReadonlyMap<FabricDomainId, RegionId> {
+  private knownFabricDomains (): ReadonlyMap<FabricDomainId, RegionId> {
     const listed = this.context.vmList.allVms()
       .filter((record) => isEngine(record) && record.failureDomain === this.failureDomain)
       .map((record) => [record.fabricDomain, record.region] as const)
--- a/packages/dotterelspur-fleet/src/process/FabricController.ts
+++ b/packages/dotterelspur-fleet/src/process/FabricController.ts
@@ -8,10 +8,10 @@
 import { vmsAssignedElsewhere } from '../version/FleetDocuments.js'
 import { isGroupComplete, deriveHealth } from '../version/VmHealthView.js'
 import type { FleetContext } from './FleetContext.js'
-import { LeavingWords } from './LeavingWords.js'
+import { DepartureTracker } from './DepartureTracker.js'
 import type { OrderAuthority } from './OrderSender.js'
 import type { ProbeTarget } from './Prober.js'
-import { StrayWatch } from './StrayWatch.js'
+import { StrayDetector } from './StrayDetector.js'
 
 /** What the failure domain's controller gives to that of one fabric domain. */
 export interface FabricAuthority extends OrderAuthority {
@@ -26,8 +26,8 @@
 export class FabricController {
   private adopted: StoredObject<AssignmentObject> | null = null
   private memory: PlanningMemory = emptyPlanningMemory
-  private readonly strays = new StrayWatch()
-  private readonly leavingWords = new LeavingWords()
+  private readonly strayDetector = new StrayDetector()
+  private readonly departures = new DepartureTracker()
   private lastFailure: WriteFailure | null = null
   private latestHealth: readonly VmHealth[] = []
 
@@ -48,32 +48,32 @@
   }
 
   stop (): void {
-    this.context.prober.setTargets(this.asker, [])
+    this.context.prober.setTargets(this.requester, [])
   }
 
   async tick (): Promise<void> {
     if (!this.authority.mayDecide()) return
-    this.dropOutdated()
+    this.discardOutdated()
     if (this.adopted === null && !await this.adopt()) return
-    const health = this.latestHealth = this.viewHealth()
+    const health = this.latestHealth = this.deriveHealth()
     this.setTargets(health)
     await this.decide(health)
-    if (this.adopted !== null) this.order(this.adopted.body, health)
+    if (this.adopted !== null) this.sendOrders(this.adopted.body, health)
   }
 
-  private get asker (): string {
+  private get requester (): string {
     return `controller/${this.place.fabricDomain}`
   }
 
   /** The mesh knows a later version than this term's own last write: someone else has written, so it is read again. */
-  private dropOutdated (): void {
+  private discardOutdated (): void {
     const document = this.context.options.mesh.document(assignmentKey(this.place.fabricDomain))
     if (this.adopted !== null && document !== undefined && document.version > this.adopted.version) this.adopted = null
   }
 
   private async adopt (): Promise<boolean> {
     const result = await runProcedure(adoptAssignment(this.place, this.authority.fencing), this.handlers())
-    this.settle(result)
+    this.applyWriteResult(result)
     return result.ok
   }
 
@@ -93,7 +93,7 @@
       memory: this.memory
     })
     if (plan.changed) await this.write(adopted, plan)
-    else this.keep(plan.memory, plan.decisions)
+    else this.acceptPlan(plan.memory, plan.decisions)
   }
 
   private async write (before: StoredObject<AssignmentObject>, plan: FabricDomainPlan): Promise<void> {
@@ -102,18 +102,18 @@
     const problems = checkAssignmentChange(before.body, next)
     invariant(problems.length === 0, `assignment of ${this.place.fabricDomain}: ${JSON.stringify(problems)}`)
     const result = await runProcedure(writeAssignment(next, before.version, this.authority.fencing), this.handlers())
-    this.settle(result)
+    this.applyWriteResult(result)
     if (!result.ok) return
-    this.keep(plan.memory, plan.decisions)
+    this.acceptPlan(plan.memory, plan.decisions)
   }
 
-  private keep (memory: PlanningMemory, decisions: readonly Decision[]): void {
+  private acceptPlan (memory: PlanningMemory, decisions: readonly Decision[]): void {
     this.memory = memory
     this.context.record(decisions)
   }
 
   /** After a lost or refused write nothing is built on the old reading; after one that certainly failed it stands. */
-  private settle (result: Result<StoredObject<AssignmentObject>, WriteFailure>): void {
+  private applyWriteResult (result: Result<StoredObject<AssignmentObject>, WriteFailure>): void {
     this.lastFailure = result.ok ? null : result.error
     if (result.ok) {
       this.adopted = result.value
@@ -123,14 +123,14 @@
       return
     }
     const { fault, fencing } = result.error
-    if (fault === WriteFault.Fenced) this.authority.noteFencing(fencing)
+    if (fault === WriteFault.Fenced) this.authority.observeFencing(fencing)
     if (fault === WriteFault.Outdated || fault === WriteFault.Unknown || fault === WriteFault.Fenced) this.adopted = null
   }
 
-  private order (assignment: AssignmentObject, health: readonly VmHealth[]): void {
-    const seen = this.seenVms()
-    this.context.record(this.strays.check(assignment, seen, this.context.options.clock.wallMs()))
-    const due = deriveOrders(assignment, seen)
+  private sendOrders (assignment: AssignmentObject, health: readonly VmHealth[]): void {
+    const observed = this.observedVms()
+    this.context.record(this.strayDetector.check(assignment, observed, this.context.options.clock.wallMs()))
+    const due = deriveOrders(assignment, observed)
     const known = new Set(health.map((vm) => vm.vm))
     for (const order of due) {
       if (known.has(order.vm)) this.context.orders.send(order, this.authority)
@@ -138,21 +138,21 @@
   }
 
   /** What the VMs here said themselves, unexpired and as the VMs that they are listed as. */
-  private seenVms (): ReadonlyMap<VmId, ObservedVm> {
+  private observedVms (): ReadonlyMap<VmId, ObservedVm> {
     const { prober, options: { clock }, timing } = this.context
-    const seen = new Map<VmId, ObservedVm>()
-    for (const { vm, address } of prober.targetsOf(this.asker)) {
+    const observed = new Map<VmId, ObservedVm>()
+    for (const { vm, address } of prober.targetsOf(this.requester)) {
       const observation = prober.observations.get(vm)
       if (observation === undefined || observation.absentSinceMs !== null || observation.evidence === null) continue
       const { status, askedAtMs } = observation.evidence
-      if (status.vm === vm && clock.nowMs() - askedAtMs < Math.max(timing.evidenceTtlMs, 2 * timing.idleProbeIntervalMs)) seen.set(vm, { address, status })
+      if (status.vm === vm && clock.nowMs() - askedAtMs < Math.max(timing.evidenceTtlMs, 2 * timing.idleProbeIntervalMs)) observed.set(vm, { address, status })
     }
-    return seen
+    return observed
   }
 
-  private viewHealth (): readonly VmHealth[] {
+  private deriveHealth (): readonly VmHealth[] {
     const { prober, options, timing, vmList } = this.context
-    this.leavingWords.note(this.adopted!.body, prober.observations)
+    this.departures.update(this.adopted!.body, prober.observations)
     return deriveHealth({
       nowMs: options.clock.nowMs(),
       evidenceTtlMs: Math.max(timing.evidenceTtlMs, timing.idleProbeIntervalMs + timing.probeTimeoutMs),
@@ -160,10 +160,10 @@
       assignment: this.adopted!.body,
       records: vmList.fabricDomain(this.place.fabricDomain),
       observations: prober.observations,
-      firstProbedAtMs: (vm) => prober.firstAskedAtMs(vm),
+      firstProbedAtMs: (vm) => prober.firstProbedAtMs(vm),
       presence: this.context.presence(),
       drained: this.context.drained(),
-      hasReportedLeaving: (vm, incarnation) => this.leavingWords.isLeaving(vm, incarnation),
+      hasReportedLeaving: (vm, incarnation) => this.departures.isLeaving(vm, incarnation),
       straggling: (vm) => prober.isStraggling(vm),
       assignedElsewhere: vmsAssignedElsewhere(options.mesh, this.place.fabricDomain),
       isListedElsewhere: (vm) => (vmList.record(vm)?.fabricDomain ?? this.place.fabricDomain) !== this.place.fabricDomain
@@ -173,21 +173,21 @@
   /** Members of groups that evidence shows whole are left to their watchers, but for a slow look of its own. */
   private setTargets (health: readonly VmHealth[]): void {
     const { prober, timing } = this.context
-    const whole = this.wholeGroups(this.adopted!.body)
+    const complete = this.completeGroups(this.adopted!.body)
     const quiet = new Set<VmId>()
     const members = new Set<VmId>()
     for (const group of this.adopted!.body.groups) {
-      const isSteady = whole.has(group.group) && takesNewWork(group.state) && group.preload === undefined
+      const isSteady = complete.has(group.group) && takesNewWork(group.state) && group.preload === undefined
       for (const member of group.members) (isSteady ? quiet : members).add(member.vm)
     }
     const targets = health.map(({ vm, address }): ProbeTarget => {
       if (quiet.has(vm)) return { vm, address, intervalMs: timing.quietProbeIntervalMs }
       return { vm, address, intervalMs: members.has(vm) ? timing.probeIntervalMs : timing.idleProbeIntervalMs }
     })
-    prober.setTargets(this.asker, targets)
+    prober.setTargets(this.requester, targets)
   }
 
-  private wholeGroups (assignment: AssignmentObject): ReadonlySet<GroupId> {
+  private completeGroups (assignment: AssignmentObject): ReadonlySet<GroupId> {
     const presence = this.context.presence()
     return new Set(assignment.groups.filter((group) => isGroupComplete(group, presence, this.context.timing.evidenceTtlMs)).map((group) => group.group))
   }
--- a/packages/dotterelspur-fleet/src/process/Fleet.ts
+++ b/packages/dotterelspur-fleet/src/process/Fleet.ts
@@ -10,11 +10,11 @@
 import type { FleetOptions } from './FleetOptions.js'
 import { DEFAULT_FLEET_TIMING, type FleetTiming } from './FleetTiming.js'
 import { IntentShares } from './IntentShares.js'
-import { LeaseBoard } from './LeaseBoard.js'
+import { LeaseRegistry } from './LeaseRegistry.js'
 import { OrderSender, type OrderCounts } from './OrderSender.js'
 import { PauseDetector } from './PauseDetector.js'
 import { Prober } from './Prober.js'
-import { StepInKeeper } from './StepInKeeper.js'
+import { StepInController } from './StepInController.js'
 import { VmListPoller } from './VmListPoller.js'
 import { Watcher, type GroupEvidence } from './Watcher.js'
 
@@ -35,11 +35,11 @@
   private readonly orders: OrderSender
   private readonly watcher: Watcher
   private readonly pauses: PauseDetector
-  private readonly board: LeaseBoard
+  private readonly leaseRegistry: LeaseRegistry
   private readonly vmList: VmListPoller
   private readonly log = new DecisionLog()
   private readonly controllers = new Map<FailureDomainId, DomainController>()
-  private readonly stepIns = new Map<FailureDomainId, StepInKeeper>()
+  private readonly stepIns = new Map<FailureDomainId, StepInController>()
   private readonly context: FleetContext
   private teardown: Teardown = () => {}
   private leasesTaken = 0
@@ -48,13 +48,13 @@
   constructor (private readonly options: FleetOptions) {
     const { clock, random, mesh } = options
     const timing: FleetTiming = { ...DEFAULT_FLEET_TIMING, ...options.timing }
-    const onError = (error: unknown): void => { this.fail(error) }
-    this.prober = new Prober(clock, random, options.engines, timing, (vm, isNews) => { this.noteObservation(vm, isNews) }, onError)
-    this.orders = new OrderSender(clock, options.engines, timing, (status, askedAtMs) => { this.prober.note(status, askedAtMs) })
+    const onError = (error: unknown): void => { this.logError(error) }
+    this.prober = new Prober(clock, random, options.engines, timing, (vm, hasChanged) => { this.handleObservation(vm, hasChanged) }, onError)
+    this.orders = new OrderSender(clock, options.engines, timing, (status, askedAtMs) => { this.prober.recordStatus(status, askedAtMs) })
     this.watcher = new Watcher(options, timing, this.prober, onError)
-    this.pauses = new PauseDetector(clock, timing.pauseThresholdMs, (durationMs) => { this.notePause(durationMs) })
-    this.board = new LeaseBoard(options, timing, { taken: (term) => { this.noteTaken(term) }, lost: (failureDomain, loss) => { this.noteLost(failureDomain, loss) } }, onError)
-    this.vmList = new VmListPoller(options, timing, () => [...this.controllers.keys()], () => { this.noteListing() }, onError)
+    this.pauses = new PauseDetector(clock, timing.pauseThresholdMs, (durationMs) => { this.handlePause(durationMs) })
+    this.leaseRegistry = new LeaseRegistry(options, timing, { taken: (term) => { this.handleLeaseTaken(term) }, lost: (failureDomain, loss) => { this.handleLeaseLost(failureDomain, loss) } }, onError)
+    this.vmList = new VmListPoller(options, timing, () => [...this.controllers.keys()], () => { this.handleListingChange() }, onError)
     this.context = {
       options,
       timing,
@@ -70,15 +70,15 @@
 
   start (): void {
     const { mesh, failureDomains } = this.options
-    for (const failureDomain of failureDomains ?? []) this.board.addFailureDomain(failureDomain, null)
+    for (const failureDomain of failureDomains ?? []) this.leaseRegistry.addFailureDomain(failureDomain, null)
     this.pauses.start()
     this.prober.start()
     this.watcher.start()
-    this.board.start()
+    this.leaseRegistry.start()
     this.vmList.start()
     this.teardown = mergeTeardowns(
-      mesh.registerDocumentListener(DRAIN_PREFIX, () => { this.nudge() }),
-      mesh.registerDocumentListener(LEASE_PREFIX, (document) => { this.noteLease(document) })
+      mesh.registerDocumentListener(DRAIN_PREFIX, () => { this.triggerControllers() }),
+      mesh.registerDocumentListener(LEASE_PREFIX, (document) => { this.handleLeaseDocument(document) })
     )
   }
 
@@ -88,17 +88,17 @@
    */
   async handOver (): Promise<void> {
     for (const controller of this.controllers.values()) controller.stop()
-    for (const failureDomain of [...this.stepIns.keys()]) this.endStepIn(failureDomain)
+    for (const failureDomain of [...this.stepIns.keys()]) this.stopStepIn(failureDomain)
     await this.orders.settled()
-    await this.board.releaseAll()
+    await this.leaseRegistry.releaseAll()
   }
 
   stop (): void {
     this.teardown()
     for (const controller of this.controllers.values()) controller.stop()
     this.controllers.clear()
-    for (const failureDomain of [...this.stepIns.keys()]) this.endStepIn(failureDomain)
-    this.board.stop()
+    for (const failureDomain of [...this.stepIns.keys()]) this.stopStepIn(failureDomain)
+    this.leaseRegistry.stop()
     this.vmList.stop()
     this.watcher.stop()
     this.prober.stop()
@@ -107,7 +107,7 @@
 
   /** The leases that this node holds. */
   leases (): readonly LeaseTerm[] {
-    return this.board.held()
+    return this.leaseRegistry.held()
   }
 
   /** What this node's controllers decided lately, newest last. */
@@ -148,74 +148,74 @@
   }
 
   /** Brings the controllers' next look forward, as after a change of settings. */
-  nudge (): void {
-    for (const controller of this.controllers.values()) controller.nudge()
+  triggerControllers (): void {
+    for (const controller of this.controllers.values()) controller.trigger()
   }
 
-  private noteObservation (vm: VmId, isNews: boolean): void {
-    this.watcher.noteObservation(vm)
-    if (isNews) this.nudge()
+  private handleObservation (vm: VmId, hasChanged: boolean): void {
+    this.watcher.handleObservation(vm)
+    if (hasChanged) this.triggerControllers()
   }
 
   private presence (): ReadonlyMap<GroupId, GroupPresence> {
     return new Map(this.options.mesh.groupPresence().map((presence) => [presence.group, presence]))
   }
 
-  private noteTaken (term: LeaseTerm): void {
+  private handleLeaseTaken (term: LeaseTerm): void {
     this.leasesTaken += 1
     log('lease of %s taken, fencing %d', term.failureDomain, term.fencing)
     this.auditLease(AuditKind.LeaseTaken, term.failureDomain, `fencing ${term.fencing}`, 'the lease was free or its holder silent for its whole TTL')
-    this.endStepIn(term.failureDomain)
-    const keeper = this.board.keeper(term.failureDomain)!
-    const controller = new DomainController(term, keeper, this.pauses, this.context, (error) => { this.fail(error) })
+    this.stopStepIn(term.failureDomain)
+    const lease = this.leaseRegistry.controller(term.failureDomain)!
+    const controller = new DomainController(term, lease, this.pauses, this.context, (error) => { this.logError(error) })
     this.controllers.get(term.failureDomain)?.stop()
     this.controllers.set(term.failureDomain, controller)
     controller.refresh()
-    this.vmList.nudge()
+    this.vmList.trigger()
   }
 
-  private noteLost (failureDomain: FailureDomainId, loss: LeaseLoss): void {
+  private handleLeaseLost (failureDomain: FailureDomainId, loss: LeaseLoss): void {
     this.leasesLost += 1
     log('lease of %s ended: %s', failureDomain, loss)
     this.auditLease(AuditKind.LeaseReleased, failureDomain, null, loss)
     const controller = this.controllers.get(failureDomain)
     controller?.stop()
     this.controllers.delete(failureDomain)
-    if (controller !== undefined && loss === LeaseLoss.Expired) this.beginStepIn(controller)
+    if (controller !== undefined && loss === LeaseLoss.Expired) this.startStepIn(controller)
   }
 
-  private beginStepIn (controller: DomainController): void {
+  private startStepIn (controller: DomainController): void {
     const { failureDomain, term } = controller
-    const keeper = new StepInKeeper(failureDomain, { term, assignments: controller.assignments() }, this.context, (error) => { this.fail(error) })
-    this.stepIns.set(failureDomain, keeper)
-    keeper.start()
+    const stepIn = new StepInController(failureDomain, { term, assignments: controller.assignments() }, this.context, (error) => { this.logError(error) })
+    this.stepIns.set(failureDomain, stepIn)
+    stepIn.start()
   }
 
-  private endStepIn (failureDomain: FailureDomainId): void {
+  private stopStepIn (failureDomain: FailureDomainId): void {
     this.stepIns.get(failureDomain)?.stop()
     this.stepIns.delete(failureDomain)
   }
 
   /** Someone holds the lease under a higher number than the one under which this node agreed: it decides. */
-  private noteLease (document: MeshDocument): void {
+  private handleLeaseDocument (document: MeshDocument): void {
     const lease = document.body as LeaseObject | null
     if (lease === null) return
     const { failureDomain, fencing } = lease
-    if (fencing > (this.stepIns.get(failureDomain)?.fencing ?? Infinity)) this.endStepIn(failureDomain)
+    if (fencing > (this.stepIns.get(failureDomain)?.fencing ?? Infinity)) this.stopStepIn(failureDomain)
   }
 
-  private noteListing (): void {
-    for (const [failureDomain, region] of this.vmList.failureDomains()) this.board.addFailureDomain(failureDomain, region)
+  private handleListingChange (): void {
+    for (const [failureDomain, region] of this.vmList.failureDomains()) this.leaseRegistry.addFailureDomain(failureDomain, region)
     for (const controller of this.controllers.values()) {
       controller.refresh()
-      controller.nudge()
+      controller.trigger()
     }
   }
 
-  private notePause (durationMs: number): void {
+  private handlePause (durationMs: number): void {
     log('did not run for %d ms; leases are presumed lost', Math.round(durationMs))
-    this.board.notePause()
-    for (const failureDomain of [...this.stepIns.keys()]) this.endStepIn(failureDomain)
+    this.leaseRegistry.handlePause()
+    for (const failureDomain of [...this.stepIns.keys()]) this.stopStepIn(failureDomain)
   }
 
   private record (decisions: readonly Decision[]): void {
@@ -231,7 +231,7 @@
     audit({ kind, atWallMs: clock.wallMs(), actor: `node:${mesh.self.node}`, subject: leaseKey(failureDomain), before: null, after, reason, rejected: [] })
   }
 
-  private fail (error: unknown): void {
+  private logError (error: unknown): void {
     log('a step failed: %o', error)
   }
 }
--- a/packages/dotterelspur-fleet/src/process/FleetTiming.ts
+++ b/packages/dotterelspur-fleet/src/process/FleetTiming.ts
@@ -24,7 +24,7 @@
   readonly vmListIntervalMs: number
   readonly orderTimeoutMs: number
   /** An order whose effect doesn't show is made again after this. */
-  readonly orderRepeatMs: number
+  readonly orderRetryMs: number
   readonly pauseThresholdMs: number
   readonly planning: PlanningSettings
 }
@@ -43,7 +43,7 @@
   controllerIntervalMs: 500,
   vmListIntervalMs: 1_500,
   orderTimeoutMs: DEFAULT_ORDER_TIMEOUT_MS,
-  orderRepeatMs: 2_000,
+  orderRetryMs: 2_000,
   pauseThresholdMs: DEFAULT_PAUSE_THRESHOLD_MS,
   planning: DEFAULT_PLANNING_SETTINGS
 }
--- a/packages/dotterelspur-fleet/src/process/GroupAges.ts
+++ b/packages/dotterelspur-fleet/src/process/GroupAges.ts
@@ -6,7 +6,7 @@
   /** When this node first saw the group in this state. */
   readonly stateSinceMs: number
   /** Since when its evidence has been complete at this formation without a break; null when it isn't. */
-  readonly wholeSinceMs: number | null
+  readonly completeSinceMs: number | null
 }
 
 /** For how long each group has been as it is, on this node's own clock: the wall times in an assignment decide nothing. */
@@ -15,7 +15,7 @@
 
   constructor (private readonly clock: Clock, private readonly lostAfterMs: number, private readonly evidenceTtlMs: number) {}
 
-  note (assignments: readonly AssignmentObject[], presence: ReadonlyMap<GroupId, GroupPresence>): void {
+  update (assignments: readonly AssignmentObject[], presence: ReadonlyMap<GroupId, GroupPresence>): void {
     const next = new Map<GroupId, Ages>()
     for (const group of assignments.flatMap((assignment) => assignment.groups)) next.set(group.group, this.age(group, presence.get(group.group)))
     this.ages = next
@@ -31,7 +31,7 @@
   }
 
   healthyForMs (group: AssignedGroup): number {
-    const sinceMs = this.ages.get(group.group)?.wholeSinceMs ?? null
+    const sinceMs = this.ages.get(group.group)?.completeSinceMs ?? null
     return sinceMs === null ? 0 : this.clock.nowMs() - sinceMs
   }
 
@@ -44,12 +44,12 @@
     const nowMs = this.clock.nowMs()
     const before = this.ages.get(group.group)
     const sameFormation = before?.formation === group.formation
-    const whole = evidence !== undefined && evidence.complete && evidence.formation === group.formation && evidence.ageMs < this.evidenceTtlMs
+    const isComplete = evidence !== undefined && evidence.complete && evidence.formation === group.formation && evidence.ageMs < this.evidenceTtlMs
     return {
       formation: group.formation,
       state: group.state,
       stateSinceMs: sameFormation && before.state === group.state ? before.stateSinceMs : nowMs,
-      wholeSinceMs: whole ? (sameFormation ? before.wholeSinceMs : null) ?? nowMs : null
+      completeSinceMs: isComplete ? (sameFormation ? before.completeSinceMs : null) ?? nowMs : null
     }
   }
 }
--- a/packages/dotterelspur-fleet/src/process/IntentShares.ts
+++ b/packages/dotterelspur-fleet/src/process/IntentShares.ts
@@ -9,7 +9,7 @@
 
 interface Computed {
   readonly atMs: number
-  readonly facts: SharedState
+  readonly state: SharedState
   readonly plan: IntentPlan
 }
 
@@ -33,12 +33,12 @@
   }
 
   intents (fabricDomain: FabricDomainId): readonly PlannedIntent[] {
-    const { facts, plan } = this.current()
-    return plannedIntents(facts, plan, fabricDomain)
+    const { state, plan } = this.current()
+    return plannedIntents(state, plan, fabricDomain)
   }
 
   loadBudget (fabricDomain: FabricDomainId): LoadBudget {
-    return shareLoadBudget(this.options.weightStoreRate ?? DEFAULT_WEIGHT_RATE, loadDemands(this.current().facts), fabricDomain)
+    return shareLoadBudget(this.options.weightStoreRate ?? DEFAULT_WEIGHT_RATE, loadDemands(this.current().state), fabricDomain)
   }
 
   /** Intents that no fabric domain has room for, with whom they lost to. */
@@ -51,9 +51,9 @@
     const nowMs = clock.nowMs()
     if (this.computed !== null && nowMs - this.computed.atMs < this.timing.controllerIntervalMs / 2) return this.computed
     const assignments = assignmentDocuments(mesh).map(({ body }) => body)
-    this.ages.note(assignments, this.sources.presence())
+    this.ages.update(assignments, this.sources.presence())
     const { planning } = this.timing
-    const facts: SharedState = {
+    const state: SharedState = {
       wallMs: clock.wallMs(),
       teams: settings(),
       records: this.sources.records(),
@@ -66,7 +66,7 @@
       },
       formTimeoutMs: FORM_TIMEOUT_LOADS * (planning.loadMs + planning.joinMs)
     }
-    this.computed = { atMs: nowMs, facts, plan: planIntents(facts) }
+    this.computed = { atMs: nowMs, state, plan: planIntents(state) }
     return this.computed
   }
 }
--- a/packages/dotterelspur-fleet/src/process/LeaseKeeper.ts
+++ b/packages/dotterelspur-fleet/src/process/LeaseController.ts
@@ -10,7 +10,7 @@
 export const CANDIDATES_PER_LEASE = 3
 
 /** After giving a lease up to a better placed node, this node leaves it alone for so long. */
-const YIELD_HOLD_MS = 10_000
+const YIELD_COOLDOWN_MS = 10_000
 
 export interface LeaseListener {
   taken (term: LeaseTerm): void
@@ -18,20 +18,20 @@
 }
 
 /** Runs one failure domain's lease on one node: watches it, takes it, renews it, gives it up. */
-export class LeaseKeeper {
+export class LeaseController {
   private sighting: LeaseSighting = NO_SIGHTING
   private held: LeaseTerm | null = null
-  private running: Promise<void> | null = null
-  private readAtMs = -Infinity
-  private notBeforeMs = 0
-  private worseSinceMs: number | null = null
+  private runningStep: Promise<void> | null = null
+  private lastReadAtMs = -Infinity
+  private nextAttemptAtMs = 0
+  private outrankedSinceMs: number | null = null
 
   constructor (
     readonly failureDomain: FailureDomainId, private readonly options: FleetOptions, private readonly timing: FleetTiming,
     private readonly nextRenewal: () => number, private readonly listener: LeaseListener
   ) {
     const document = options.mesh.document(leaseKey(failureDomain))
-    if (document !== undefined) this.noteDocument(document)
+    if (document !== undefined) this.observeDocument(document)
   }
 
   private get store (): ObjectStore {
@@ -48,95 +48,95 @@
   }
 
   /** A copy of the lease came through the mesh. */
-  noteDocument (document: MeshDocument): void {
+  observeDocument (document: MeshDocument): void {
     if (!document.key.startsWith(LEASE_PREFIX) || document.deleted) return
     this.sighting = observeLease(this.sighting, document.version, document.body as LeaseObject, this.options.clock.nowMs())
   }
 
   /** This process did not run for a while: nothing is ordered until a renewal gets through. */
-  notePause (): void {
+  handlePause (): void {
     if (this.held !== null) this.held = suspendTerm(this.held, this.options.clock.nowMs())
   }
 
   /** An assignment or an endpoint knows a higher fencing number than this term's: someone else holds or held the lease. */
-  noteFencing (fencing: number): void {
+  observeFencing (fencing: number): void {
     this.sighting = raiseFencingFloor(this.sighting, fencing)
-    if (this.held !== null && fencing > this.held.fencing) this.end(LeaseLoss.FencingTooLow)
+    if (this.held !== null && fencing > this.held.fencing) this.endTerm(LeaseLoss.FencingTooLow)
   }
 
   /** Does what is due now. `rank` is this node's place among the living candidates. */
   async step (rank: number): Promise<void> {
-    if (this.running !== null) return
-    this.running = this.act(rank)
+    if (this.runningStep !== null) return
+    this.runningStep = this.runStep(rank)
     try {
-      await this.running
+      await this.runningStep
     } finally {
-      this.running = null
+      this.runningStep = null
     }
   }
 
   /** Gives the lease up, so that another node may take it at once. Returns whether the store took it. */
   async release (): Promise<boolean> {
-    await this.running
-    return await this.giveUp()
+    await this.runningStep
+    return await this.releaseHeld()
   }
 
-  private async act (rank: number): Promise<void> {
-    if (this.held !== null) await this.hold(this.held, rank)
+  private async runStep (rank: number): Promise<void> {
+    if (this.held !== null) await this.maintain(this.held, rank)
     else if (rank < CANDIDATES_PER_LEASE) await this.challenge(rank)
   }
 
-  private async giveUp (): Promise<boolean> {
+  private async releaseHeld (): Promise<boolean> {
     if (this.held === null) return false
     const { node, incarnation } = this.options.mesh.self
     const result = await runProcedure(renewLease(this.held, { node, incarnation }, this.timing.lease, true), this.handlers())
     const released = result.kind === LeaseResultKind.Lost && result.loss === LeaseLoss.Released
     if (result.kind === LeaseResultKind.Lost && result.observed !== null) this.observe(result.observed)
-    if (released) this.offer(result.observed!)
-    this.notBeforeMs = this.options.clock.nowMs() + YIELD_HOLD_MS
-    if (this.held !== null) this.end(LeaseLoss.Released)
+    if (released) this.broadcast(result.observed!)
+    this.nextAttemptAtMs = this.options.clock.nowMs() + YIELD_COOLDOWN_MS
+    if (this.held !== null) this.endTerm(LeaseLoss.Released)
     return released
   }
 
-  private async hold (term: LeaseTerm, rank: number): Promise<void> {
+  private async maintain (term: LeaseTerm, rank: number): Promise<void> {
     const nowMs = this.options.clock.nowMs()
-    if (isExpired(term, this.timing.lease, nowMs)) return this.end(LeaseLoss.Expired)
+    if (isExpired(term, this.timing.lease, nowMs)) return this.endTerm(LeaseLoss.Expired)
     if (this.shouldYield(rank, nowMs)) {
-      await this.giveUp()
+      await this.releaseHeld()
       return
     }
-    if (nowMs < renewalDueAtMs(term, this.timing.lease) || nowMs < this.notBeforeMs) return
-    const pausedAtMs = term.suspendedAtMs
+    if (nowMs < renewalDueAtMs(term, this.timing.lease) || nowMs < this.nextAttemptAtMs) return
+    const pausedBeforeAtMs = term.suspendedAtMs
     const { node, incarnation } = this.options.mesh.self
     const result = await runProcedure(renewLease(term, { node, incarnation }, this.timing.lease), this.handlers())
     if (this.held === null) return
     if (result.kind === LeaseResultKind.Lost) {
       if (result.observed !== null) this.observe(result.observed)
-      return this.end(result.loss)
+      return this.endTerm(result.loss)
     }
-    const pausedMeanwhile = this.held.suspendedAtMs !== pausedAtMs ? this.held.suspendedAtMs : null
-    this.held = pausedMeanwhile === null ? result.term : suspendTerm(result.term, pausedMeanwhile)
+    const pausedDuringRenewalAtMs = this.held.suspendedAtMs !== pausedBeforeAtMs ? this.held.suspendedAtMs : null
+    this.held = pausedDuringRenewalAtMs === null ? result.term : suspendTerm(result.term, pausedDuringRenewalAtMs)
     if (result.error !== null) this.backOff()
   }
 
   private async challenge (rank: number): Promise<void> {
     const nowMs = this.options.clock.nowMs()
-    if (nowMs < this.notBeforeMs) return
+    if (nowMs < this.nextAttemptAtMs) return
     const { node, incarnation } = this.options.mesh.self
     const decision = decideChallenge(this.sighting, { node, incarnation, rank }, this.timing.lease, nowMs)
     if (decision.kind === ChallengeKind.Wait) return await this.readIfDue(nowMs)
     const take = takeLease(this.failureDomain, { node, incarnation }, decision.expectedVersion, decision.fencing, this.timing.lease)
     const result = await runProcedure(take, this.handlers())
-    if (result.kind === LeaseResultKind.Held) return this.begin(result.term)
+    if (result.kind === LeaseResultKind.Held) return this.startTerm(result.term)
     if (result.observed !== null) this.observe(result.observed)
     if (result.error.kind === StoreErrorKind.Conflict && result.error.currentVersion === null) this.sighting = { ...this.sighting, version: 0, firstSeenAtMs: nowMs }
     this.backOff()
   }
 
   private async readIfDue (nowMs: number): Promise<void> {
-    const newestMs = Math.max(this.readAtMs, this.sighting.firstSeenAtMs ?? -Infinity)
-    if (nowMs - newestMs < this.timing.leaseReadIntervalMs) return
-    this.readAtMs = nowMs
+    const lastObservedAtMs = Math.max(this.lastReadAtMs, this.sighting.firstSeenAtMs ?? -Infinity)
+    if (nowMs - lastObservedAtMs < this.timing.leaseReadIntervalMs) return
+    this.lastReadAtMs = nowMs
     const read = await this.store.get<LeaseObject>(leaseKey(this.failureDomain))
     if (read.ok) this.observe(read.value)
     else if (read.error.kind === StoreErrorKind.NotFound) this.sighting = observeAbsence(this.sighting, this.options.clock.nowMs())
@@ -144,19 +144,19 @@
   }
 
   private shouldYield (rank: number, nowMs: number): boolean {
-    if (rank === 0) this.worseSinceMs = null
-    else this.worseSinceMs ??= nowMs
-    return this.worseSinceMs !== null && nowMs - this.worseSinceMs >= this.timing.leaseYieldMs
+    if (rank === 0) this.outrankedSinceMs = null
+    else this.outrankedSinceMs ??= nowMs
+    return this.outrankedSinceMs !== null && nowMs - this.outrankedSinceMs >= this.timing.leaseYieldMs
   }
 
-  private begin (term: LeaseTerm): void {
+  private startTerm (term: LeaseTerm): void {
     this.held = term
-    this.worseSinceMs = null
-    this.offer({ key: leaseKey(this.failureDomain), version: term.version, body: this.ownLease(term), deleted: false })
+    this.outrankedSinceMs = null
+    this.broadcast({ key: leaseKey(this.failureDomain), version: term.version, body: this.ownLease(term), deleted: false })
     this.listener.taken(term)
   }
 
-  private end (loss: LeaseLoss): void {
+  private endTerm (loss: LeaseLoss): void {
     const term = this.held
     this.held = null
     if (term === null) return
@@ -179,13 +179,13 @@
   }
 
   /** Spreads a takeover or a release, which others should know of at once; renewals are read by the candidates alone. */
-  private offer (stored: StoredObject<LeaseObject>): void {
+  private broadcast (stored: StoredObject<LeaseObject>): void {
     this.options.mesh.offerDocument({ key: stored.key, version: stored.version, body: stored.body, deleted: false })
   }
 
   private backOff (): void {
     const { retryMs } = this.timing.lease
-    this.notBeforeMs = this.options.clock.nowMs() + retryMs * (0.5 + this.options.random.next())
+    this.nextAttemptAtMs = this.options.clock.nowMs() + retryMs * (0.5 + this.options.random.next())
   }
 
   private handlers (): EffectHandlers<LeaseEffect> {
--- a/packages/dotterelspur-fleet/src/process/LeaseBoard.ts
+++ b/packages/dotterelspur-fleet/src/process/LeaseRegistry.ts
@@ -3,18 +3,18 @@
 } from 'dotterelspur'
 import type { FleetOptions } from './FleetOptions.js'
 import type { FleetTiming } from './FleetTiming.js'
-import { LeaseKeeper, type LeaseListener } from './LeaseKeeper.js'
+import { LeaseController, type LeaseListener } from './LeaseController.js'
 import { Ticker } from './Ticker.js'
 
 const STEP_INTERVAL_MS = 100
 
 /** All leases as one node sees them: one keeper for each known failure domain. */
-export class LeaseBoard {
-  private readonly keepers = new Map<FailureDomainId, LeaseKeeper>()
+export class LeaseRegistry {
+  private readonly controllers = new Map<FailureDomainId, LeaseController>()
   private readonly regions = new Map<FailureDomainId, RegionId>()
   private readonly ranks = new Map<FailureDomainId, number>()
   private readonly ticker: Ticker
-  private ranksStale = true
+  private areRanksStale = true
   private renewals = 0
   private teardowns: readonly Teardown[] = []
 
@@ -27,8 +27,8 @@
   start (): void {
     const { mesh } = this.options
     this.teardowns = [
-      mesh.registerMembersListener(() => { this.ranksStale = true }),
-      mesh.registerDocumentListener(LEASE_PREFIX, (document) => { this.noteLease(document) })
+      mesh.registerMembersListener(() => { this.areRanksStale = true }),
+      mesh.registerDocumentListener(LEASE_PREFIX, (document) => { this.handleLeaseDocument(document) })
     ]
     this.ticker.start(0)
   }
@@ -42,56 +42,56 @@
   addFailureDomain (failureDomain: FailureDomainId, region: RegionId | null): void {
     if (region !== null && this.regions.get(failureDomain) !== region) {
       this.regions.set(failureDomain, region)
-      this.ranksStale = true
+      this.areRanksStale = true
     }
-    if (this.keepers.has(failureDomain)) return
-    this.keepers.set(failureDomain, new LeaseKeeper(failureDomain, this.options, this.timing, () => ++this.renewals, this.listener))
-    this.ranksStale = true
+    if (this.controllers.has(failureDomain)) return
+    this.controllers.set(failureDomain, new LeaseController(failureDomain, this.options, this.timing, () => ++this.renewals, this.listener))
+    this.areRanksStale = true
   }
 
-  keeper (failureDomain: FailureDomainId): LeaseKeeper | undefined {
-    return this.keepers.get(failureDomain)
+  controller (failureDomain: FailureDomainId): LeaseController | undefined {
+    return this.controllers.get(failureDomain)
   }
 
   failureDomains (): readonly FailureDomainId[] {
-    return [...this.keepers.keys()]
+    return [...this.controllers.keys()]
   }
 
   held (): readonly LeaseTerm[] {
-    return [...this.keepers.values()].flatMap((keeper) => keeper.term ?? [])
+    return [...this.controllers.values()].flatMap((controller) => controller.term ?? [])
   }
 
-  notePause (): void {
-    for (const keeper of this.keepers.values()) keeper.notePause()
+  handlePause (): void {
+    for (const controller of this.controllers.values()) controller.handlePause()
   }
 
   async releaseAll (): Promise<void> {
     this.ticker.stop()
-    await Promise.all([...this.keepers.values()].map(async (keeper) => await keeper.release()))
+    await Promise.all([...this.controllers.values()].map(async (controller) => await controller.release()))
   }
 
-  private noteLease (document: Parameters<LeaseKeeper['noteDocument']>[0]): void {
+  private handleLeaseDocument (document: Parameters<LeaseController['observeDocument']>[0]): void {
     const failureDomain = document.key.slice(LEASE_PREFIX.length)
     this.addFailureDomain(failureDomain, null)
-    this.keepers.get(failureDomain)!.noteDocument(document)
+    this.controllers.get(failureDomain)!.observeDocument(document)
   }
 
   private step (): void {
-    if (this.ranksStale) this.rerank()
-    for (const [failureDomain, keeper] of this.keepers) {
-      keeper.step(this.ranks.get(failureDomain) ?? Infinity).catch(this.onError)
+    if (this.areRanksStale) this.updateRanks()
+    for (const [failureDomain, controller] of this.controllers) {
+      controller.step(this.ranks.get(failureDomain) ?? Infinity).catch(this.onError)
     }
   }
 
-  private rerank (): void {
-    this.ranksStale = false
+  private updateRanks (): void {
+    this.areRanksStale = false
     const living = this.options.mesh.members().filter(isCandidate)
     for (const member of living) this.addFailureDomain(member.failureDomain, member.region)
-    this.ranksStale = false
-    for (const failureDomain of this.keepers.keys()) {
+    this.areRanksStale = false
+    for (const failureDomain of this.controllers.keys()) {
       const order = rankCandidates(failureDomain, this.regions.get(failureDomain) ?? null, living)
-      const place = order.indexOf(this.options.mesh.self.node)
-      this.ranks.set(failureDomain, place < 0 ? Infinity : place)
+      const rank = order.indexOf(this.options.mesh.self.node)
+      this.ranks.set(failureDomain, rank < 0 ? Infinity : rank)
     }
   }
 }
--- a/packages/dotterelspur-fleet/src/process/OrderSender.ts
+++ b/packages/dotterelspur-fleet/src/process/OrderSender.ts
@@ -8,7 +8,7 @@
   readonly fencing: number
   /** Whether an order may be sent to this VM at this instant. */
   mayOrder (vm: VmId): boolean
-  noteFencing (fencing: number): void
+  observeFencing (fencing: number): void
 }
 
 export interface OrderCounts {
@@ -31,7 +31,7 @@
  */
 export class OrderSender {
   readonly counts: OrderCounts = { sent: 0, done: 0, failed: 0, fenced: 0, withheld: 0 }
-  private readonly underWay = new Map<VmId, Promise<void>>()
+  private readonly inProgress = new Map<VmId, Promise<void>>()
   private readonly lastSent = new Map<VmId, SentOrder>()
 
   constructor (
@@ -41,19 +41,19 @@
 
   send (due: DueOrder, authority: OrderAuthority): void {
     const text = JSON.stringify([authority.fencing, due.order])
-    if (this.underWay.has(due.vm) || this.wasJustSent(due.vm, text)) return
+    if (this.inProgress.has(due.vm) || this.wasSentRecently(due.vm, text)) return
     if (!authority.mayOrder(due.vm)) {
       this.counts.withheld += 1
       return
     }
     this.lastSent.set(due.vm, { text, sentAtMs: this.clock.nowMs() })
-    const done = this.deliver(due, authority).finally(() => { this.underWay.delete(due.vm) })
-    this.underWay.set(due.vm, done)
+    const done = this.deliver(due, authority).finally(() => { this.inProgress.delete(due.vm) })
+    this.inProgress.set(due.vm, done)
   }
 
   /** Resolves when no order is under way; each ends by its timeout. */
   async settled (): Promise<void> {
-    while (this.underWay.size > 0) await Promise.allSettled([...this.underWay.values()])
+    while (this.inProgress.size > 0) await Promise.allSettled([...this.inProgress.values()])
   }
 
   /** Forgets VMs that are no longer in any fabric domain of this node. */
@@ -63,9 +63,9 @@
     }
   }
 
-  private wasJustSent (vm: VmId, text: string): boolean {
+  private wasSentRecently (vm: VmId, text: string): boolean {
     const last = this.lastSent.get(vm)
-    return last !== undefined && last.text === text && this.clock.nowMs() - last.sentAtMs < this.timing.orderRepeatMs
+    return last !== undefined && last.text === text && this.clock.nowMs() - last.sentAtMs < this.timing.orderRetryMs
   }
 
   private async deliver (due: DueOrder, authority: OrderAuthority): Promise<void> {
@@ -75,13 +75,13 @@
     if (result.ok) {
       this.counts.done += 1
       this.onStatus(result.value, askedAtMs)
-    } else this.noteFailure(result.error, authority)
+    } else this.recordFailure(result.error, authority)
   }
 
-  private noteFailure (error: EndpointError, authority: OrderAuthority): void {
+  private recordFailure (error: EndpointError, authority: OrderAuthority): void {
     this.counts.failed += 1
     if (error.kind !== EndpointErrorKind.Fenced) return
     this.counts.fenced += 1
-    authority.noteFencing(error.highestFencing)
+    authority.observeFencing(error.highestFencing)
   }
 }
--- a/packages/dotterelspur-fleet/src/process/PauseDetector.ts
+++ b/packages/dotterelspur-fleet/src/process/PauseDetector.ts
@@ -1,6 +1,6 @@
 import type { Clock, Teardown } from 'dotterelspur'
 
-const BEAT_INTERVAL_MS = 200
+const SAMPLE_INTERVAL_MS = 200
 
 /**
  * Notices that this process did not run for a while. A paused holder goes on with what it was doing as if no
@@ -29,7 +29,7 @@
 
   start (): void {
     this.sample()
-    this.cancelTimer = this.clock.registerTimer(BEAT_INTERVAL_MS, () => { this.start() })
+    this.cancelTimer = this.clock.registerTimer(SAMPLE_INTERVAL_MS, () => { this.start() })
   }
 
   stop (): void {
@@ -40,7 +40,7 @@
   sample (): void {
     const nowMs = this.clock.nowMs()
     const wallMs = this.clock.wallMs()
-    const gapMs = Math.max(nowMs - this.lastNowMs, wallMs - this.lastWallMs) - BEAT_INTERVAL_MS
+    const gapMs = Math.max(nowMs - this.lastNowMs, wallMs - this.lastWallMs) - SAMPLE_INTERVAL_MS
     this.lastNowMs = nowMs
     this.lastWallMs = wallMs
     if (gapMs < this.thresholdMs) return
--- a/packages/dotterelspur-fleet/src/process/Prober.ts
+++ b/packages/dotterelspur-fleet/src/process/Prober.ts
@@ -14,18 +14,18 @@
 
 interface Probe {
   target: ProbeTarget
-  asking: boolean
+  inFlight: boolean
   /** From when on the next beat asks. */
   dueAtMs: number
-  firstAskedAtMs: number | null
+  firstSentAtMs: number | null
 }
 
 /** Told of each observation; `isNews` when it differs from the one before in more than its time. */
-export type ObservationListener = (vm: VmId, isNews: boolean) => void
+export type ObservationListener = (vm: VmId, hasChanged: boolean) => void
 
 /** Weight of the newest reading in a VM's smoothed latency. */
 const LATENCY_SMOOTHING = 0.2
-const ASK_AGAIN_MS = 100
+const REFUSAL_RECHECK_MS = 100
 /** A straggler's smoothed latency is at least this, and this many times the median. */
 const STRAGGLER_FLOOR_MS = 100
 const STRAGGLER_FACTOR = 4
@@ -39,9 +39,9 @@
  * evidence grows old and expires.
  */
 export class Prober {
-  private readonly wanted = new Map<string, readonly ProbeTarget[]>()
+  private readonly targetsByRequester = new Map<string, readonly ProbeTarget[]>()
   private readonly probes = new Map<VmId, Probe>()
-  private readonly seen = new Map<VmId, VmObservation>()
+  private readonly latest = new Map<VmId, VmObservation>()
   private readonly latencies = new Map<VmId, number>()
   private probeCount = 0
   private readonly ticker: Ticker
@@ -51,7 +51,7 @@
     private readonly timing: Pick<FleetTiming, 'probeTimeoutMs' | 'probeIntervalMs'>, private readonly onObservation: ObservationListener,
     private readonly onError: (error: unknown) => void
   ) {
-    this.ticker = new Ticker(clock, random, timing.probeIntervalMs, () => { this.beat() }, onError)
+    this.ticker = new Ticker(clock, random, timing.probeIntervalMs, () => { this.sendDueProbes() }, onError)
   }
 
   start (): void {
@@ -59,7 +59,7 @@
   }
 
   get observations (): Observations {
-    return this.seen
+    return this.latest
   }
 
   /** Probes sent since the start, for the count of what control costs. */
@@ -68,12 +68,12 @@
   }
 
   /** When the VM was first asked under the present wish to probe it; null when it isn't probed. */
-  firstAskedAtMs (vm: VmId): number | null {
-    return this.probes.get(vm)?.firstAskedAtMs ?? null
+  firstProbedAtMs (vm: VmId): number | null {
+    return this.probes.get(vm)?.firstSentAtMs ?? null
   }
 
-  targetsOf (asker: string): readonly ProbeTarget[] {
-    return this.wanted.get(asker) ?? []
+  targetsOf (requester: string): readonly ProbeTarget[] {
+    return this.targetsByRequester.get(requester) ?? []
   }
 
   /** Whether a VM answers much later than the others that this node probes. */
@@ -85,15 +85,15 @@
   }
 
   /** Replaces what one asker wants probed. */
-  setTargets (asker: string, targets: readonly ProbeTarget[]): void {
-    if (targets.length === 0) this.wanted.delete(asker)
-    else this.wanted.set(asker, targets)
+  setTargets (requester: string, targets: readonly ProbeTarget[]): void {
+    if (targets.length === 0) this.targetsByRequester.delete(requester)
+    else this.targetsByRequester.set(requester, targets)
     this.reconcile()
   }
 
   /** Takes in a status that came with another answer, such as that to an order asked at `askedAtMs`. */
-  note (status: VmStatus, askedAtMs: number): void {
-    if (this.probes.has(status.vm)) this.accept(status.vm, status, askedAtMs)
+  recordStatus (status: VmStatus, askedAtMs: number): void {
+    if (this.probes.has(status.vm)) this.recordResponse(status.vm, status, askedAtMs)
   }
 
   stop (): void {
@@ -104,104 +104,104 @@
   private reconcile (): void {
     const merged = this.mergeTargets()
     for (const vm of this.probes.keys()) {
-      if (!merged.has(vm)) this.forget(vm)
+      if (!merged.has(vm)) this.removeProbe(vm)
     }
     for (const target of merged.values()) {
       const probe = this.probes.get(target.vm)
-      if (probe === undefined) this.begin(target)
+      if (probe === undefined) this.addProbe(target)
       else this.retarget(probe, target)
     }
   }
 
   private mergeTargets (): Map<VmId, ProbeTarget> {
     const merged = new Map<VmId, ProbeTarget>()
-    for (const target of [...this.wanted.values()].flat()) {
+    for (const target of [...this.targetsByRequester.values()].flat()) {
       const known = merged.get(target.vm)
       if (known === undefined || target.intervalMs < known.intervalMs) merged.set(target.vm, target)
     }
     return merged
   }
 
-  private forget (vm: VmId): void {
+  private removeProbe (vm: VmId): void {
     this.probes.delete(vm)
-    this.seen.delete(vm)
+    this.latest.delete(vm)
     this.latencies.delete(vm)
   }
 
   /** A VM that is new is asked at once, so that a controller that begins to look learns soon what there is. */
-  private begin (target: ProbeTarget): void {
-    this.probes.set(target.vm, { target, asking: false, dueAtMs: this.clock.nowMs(), firstAskedAtMs: null })
-    this.ticker.nudge()
+  private addProbe (target: ProbeTarget): void {
+    this.probes.set(target.vm, { target, inFlight: false, dueAtMs: this.clock.nowMs(), firstSentAtMs: null })
+    this.ticker.trigger()
   }
 
   private retarget (probe: Probe, target: ProbeTarget): void {
-    const moved = target.address !== probe.target.address
-    const soonestMs = this.clock.nowMs() + (moved ? 0 : target.intervalMs)
+    const hasMoved = target.address !== probe.target.address
+    const nextDueAtMs = this.clock.nowMs() + (hasMoved ? 0 : target.intervalMs)
     probe.target = target
-    probe.dueAtMs = Math.min(probe.dueAtMs, soonestMs)
+    probe.dueAtMs = Math.min(probe.dueAtMs, nextDueAtMs)
   }
 
-  private beat (): void {
+  private sendDueProbes (): void {
     const toleranceMs = this.timing.probeIntervalMs / 2
     const nowMs = this.clock.nowMs()
     for (const probe of this.probes.values()) {
-      if (!probe.asking && probe.dueAtMs <= nowMs + toleranceMs) this.ask(probe).catch(this.onError)
+      if (!probe.inFlight && probe.dueAtMs <= nowMs + toleranceMs) this.sendProbe(probe).catch(this.onError)
     }
   }
 
-  private async ask (probe: Probe): Promise<void> {
+  private async sendProbe (probe: Probe): Promise<void> {
     const { vm, address } = probe.target
     const askedAtMs = this.clock.nowMs()
-    probe.asking = true
+    probe.inFlight = true
     probe.dueAtMs = askedAtMs + probe.target.intervalMs
-    probe.firstAskedAtMs ??= askedAtMs
+    probe.firstSentAtMs ??= askedAtMs
     this.probeCount += 1
     const result = await this.engines.probe(address, this.timing.probeTimeoutMs)
-    probe.asking = false
+    probe.inFlight = false
     if (this.probes.get(vm) !== probe) return
     if (probe.target.address === address) {
-      if (result.ok) this.accept(vm, result.value, askedAtMs)
-      else this.reject(vm, result.error, askedAtMs)
+      if (result.ok) this.recordResponse(vm, result.value, askedAtMs)
+      else this.recordError(vm, result.error, askedAtMs)
     }
-    if (result.ok) this.noteLatency(vm, this.clock.nowMs() - askedAtMs)
+    if (result.ok) this.recordLatency(vm, this.clock.nowMs() - askedAtMs)
   }
 
-  private accept (vm: VmId, status: VmStatus, askedAtMs: number): void {
-    const before = this.seen.get(vm) ?? NO_OBSERVATION
+  private recordResponse (vm: VmId, status: VmStatus, askedAtMs: number): void {
+    const before = this.latest.get(vm) ?? NO_OBSERVATION
     if (before.evidence !== null && before.evidence.askedAtMs > askedAtMs) return
     const refusedLater = before.absentSinceMs !== null && before.absentSinceMs > askedAtMs
-    this.commit(vm, { evidence: { status, askedAtMs }, absentSinceMs: refusedLater ? before.absentSinceMs : null })
+    this.storeObservation(vm, { evidence: { status, askedAtMs }, absentSinceMs: refusedLater ? before.absentSinceMs : null })
   }
 
   /**
    * A connection that is refused comes back well before the timeout. One that can't be made in time proves nothing:
    * the packets may be lost, or the VM may stand still.
    */
-  private reject (vm: VmId, error: EndpointError, askedAtMs: number): void {
+  private recordError (vm: VmId, error: EndpointError, askedAtMs: number): void {
     const timedOut = this.clock.nowMs() - askedAtMs >= this.timing.probeTimeoutMs
     if (error.kind !== EndpointErrorKind.NotRun || timedOut) return
-    const before = this.seen.get(vm) ?? NO_OBSERVATION
+    const before = this.latest.get(vm) ?? NO_OBSERVATION
     const refusals = before.absentSinceMs === null ? 1 : (before.refusals ?? 0) + 1
-    this.commit(vm, { ...before, absentSinceMs: before.absentSinceMs ?? askedAtMs, refusals })
-    if (refusals === 1) this.askAgainSoon(vm)
+    this.storeObservation(vm, { ...before, absentSinceMs: before.absentSinceMs ?? askedAtMs, refusals })
+    if (refusals === 1) this.scheduleRecheck(vm)
   }
 
   /** A second refusal says that the process has ended; waiting a whole beat for it would only make the repair later. */
-  private askAgainSoon (vm: VmId): void {
-    this.clock.registerTimer(ASK_AGAIN_MS, () => {
+  private scheduleRecheck (vm: VmId): void {
+    this.clock.registerTimer(REFUSAL_RECHECK_MS, () => {
       const probe = this.probes.get(vm)
-      if (probe !== undefined && !probe.asking) this.ask(probe).catch(this.onError)
+      if (probe !== undefined && !probe.inFlight) this.sendProbe(probe).catch(this.onError)
     })
   }
 
-  private noteLatency (vm: VmId, latencyMs: number): void {
+  private recordLatency (vm: VmId, latencyMs: number): void {
     const before = this.latencies.get(vm)
     this.latencies.set(vm, before === undefined ? latencyMs : before + LATENCY_SMOOTHING * (latencyMs - before))
   }
 
-  private commit (vm: VmId, observation: VmObservation): void {
-    const before = this.seen.get(vm)
-    this.seen.set(vm, observation)
+  private storeObservation (vm: VmId, observation: VmObservation): void {
+    const before = this.latest.get(vm)
+    this.latest.set(vm, observation)
     this.onObservation(vm, before === undefined || contentOf(before) !== contentOf(observation))
   }
 }
--- a/packages/dotterelspur-fleet/src/process/ServiceWatch.ts
+++ b/packages/dotterelspur-fleet/src/process/ServiceWatcher.ts
@@ -15,12 +15,12 @@
 }
 
 /** Probes the workers of plain services that this node watches. */
-export class ServiceWatch {
+export class ServiceWatcher {
   private readonly workers = new Map<VmId, WatchedWorker>()
   private leaving: ReadonlySet<string> = new Set()
 
   constructor (
-    private readonly options: FleetOptions, private readonly timing: FleetTiming, private readonly onWorse: () => void, private readonly onError: (error: unknown) => void
+    private readonly options: FleetOptions, private readonly timing: FleetTiming, private readonly onDegraded: () => void, private readonly onError: (error: unknown) => void
   ) {}
 
   setWorkers (records: readonly VmRecord[], leaving: ReadonlySet<string>): void {
@@ -34,43 +34,43 @@
     for (const record of wanted.values()) {
       const known = this.workers.get(record.vm)
       if (known !== undefined) known.record = record
-      else this.begin(record)
+      else this.addWorker(record)
     }
   }
 
   presence (): readonly ServicePresence[] {
-    return [...this.workers.values()].map((worker) => this.judge(worker))
+    return [...this.workers.values()].map((worker) => this.assess(worker))
   }
 
   stop (): void {
     this.setWorkers([], this.leaving)
   }
 
-  private begin (record: VmRecord): void {
+  private addWorker (record: VmRecord): void {
     const worker: WatchedWorker = { record, cancelTimer: () => {}, status: null, askedAtMs: 0, refused: false }
     this.workers.set(record.vm, worker)
     this.schedule(worker, this.options.random.next() * this.timing.probeIntervalMs)
   }
 
   private schedule (worker: WatchedWorker, delayMs: number): void {
-    worker.cancelTimer = this.options.clock.registerTimer(delayMs, () => { this.ask(worker).catch(this.onError) })
+    worker.cancelTimer = this.options.clock.registerTimer(delayMs, () => { this.probe(worker).catch(this.onError) })
   }
 
-  private async ask (worker: WatchedWorker): Promise<void> {
+  private async probe (worker: WatchedWorker): Promise<void> {
     const { clock, services } = this.options
     const askedAtMs = clock.nowMs()
-    const before = this.judge(worker)
+    const before = this.assess(worker)
     const result = await services.probe(worker.record.address, this.timing.probeTimeoutMs)
     if (this.workers.get(worker.record.vm) !== worker) return
     if (result.ok) Object.assign(worker, { status: result.value, askedAtMs, refused: false })
     else if (result.error.kind === EndpointErrorKind.NotRun) worker.refused = true
-    const after = this.judge(worker)
-    if ((before.present && !after.present) || (!before.leaving && after.leaving)) this.onWorse()
+    const after = this.assess(worker)
+    if ((before.present && !after.present) || (!before.leaving && after.leaving)) this.onDegraded()
     const intervalMs = after.present ? this.timing.steadyProbeIntervalMs : this.timing.probeIntervalMs
     this.schedule(worker, Math.max(0, intervalMs - (clock.nowMs() - askedAtMs)))
   }
 
-  private judge ({ record, status, askedAtMs, refused }: WatchedWorker): ServicePresence {
+  private assess ({ record, status, askedAtMs, refused }: WatchedWorker): ServicePresence {
     const nowMs = this.options.clock.nowMs()
     const fresh = status !== null && !refused && nowMs - askedAtMs < this.timing.evidenceTtlMs
     const present = fresh && status.vm === record.vm && status.incarnation >= record.incarnation
--- a/packages/dotterelspur-fleet/src/process/StepInKeeper.ts
+++ b/packages/dotterelspur-fleet/src/process/StepInController.ts
@@ -8,7 +8,7 @@
 import type { ProbeTarget } from './Prober.js'
 import { Ticker } from './Ticker.js'
 
-const REFUSALS_WHEN_GONE = 2
+const REFUSALS_UNTIL_GONE = 2
 
 export interface StepInSource {
   readonly term: LeaseTerm
@@ -27,17 +27,17 @@
  * this one hears has had an answer from the store for a whole TTL. Which formation a number stands for follows from
  * the assignment, so no two nodes can mean different members by it (`StepIn`).
  */
-export class StepInKeeper {
+export class StepInController {
   private readonly ticker: Ticker
   private readonly authority: OrderAuthority
-  private ended = false
+  private stopped = false
 
   constructor (
     readonly failureDomain: FailureDomainId, private readonly source: StepInSource, private readonly context: FleetContext, onError: (error: unknown) => void
   ) {
     const { clock, random } = context.options
     this.ticker = new Ticker(clock, random, context.timing.controllerIntervalMs, () => { this.tick() }, onError)
-    this.authority = { fencing: source.term.fencing, mayOrder: (vm) => this.mayAct() && this.checksFencing(vm), noteFencing: () => { this.stop() } }
+    this.authority = { fencing: source.term.fencing, mayOrder: (vm) => this.mayAct() && this.checksFencing(vm), observeFencing: () => { this.stop() } }
   }
 
   get fencing (): number {
@@ -49,25 +49,25 @@
   }
 
   stop (): void {
-    this.ended = true
+    this.stopped = true
     this.ticker.stop()
-    this.context.prober.setTargets(this.asker, [])
+    this.context.prober.setTargets(this.requester, [])
   }
 
-  private get asker (): string {
+  private get requester (): string {
     return `step-in/${this.failureDomain}`
   }
 
   private mayAct (): boolean {
     const { options: { mesh }, timing } = this.context
-    return !this.ended && mesh.storeContactAgeMs() >= timing.lease.ttlMs
+    return !this.stopped && mesh.storeContactAgeMs() >= timing.lease.ttlMs
   }
 
   private tick (): void {
-    if (!this.mayAct()) return this.context.prober.setTargets(this.asker, [])
+    if (!this.mayAct()) return this.context.prober.setTargets(this.requester, [])
     const open = this.source.assignments.map((assignment) => ({ assignment, groups: assignment.groups.filter((group) => this.canStepIn(group)) }))
-    this.context.prober.setTargets(this.asker, open.flatMap(({ groups }) => groups.flatMap((group) => this.targetsOf(group))))
-    for (const { assignment, groups } of open) this.order(assignment, groups.flatMap((group) => this.standIn(group) ?? []))
+    this.context.prober.setTargets(this.requester, open.flatMap(({ groups }) => groups.flatMap((group) => this.targetsOf(group))))
+    for (const { assignment, groups } of open) this.sendOrders(assignment, groups.flatMap((group) => this.targetFormation(group) ?? []))
   }
 
   private canStepIn (group: AssignedGroup): boolean {
@@ -76,24 +76,24 @@
 
   private targetsOf (group: AssignedGroup): readonly ProbeTarget[] {
     const { timing } = this.context
-    const whole = isGroupComplete(group, this.context.presence(), timing.evidenceTtlMs)
+    const complete = isGroupComplete(group, this.context.presence(), timing.evidenceTtlMs)
     const target = (intervalMs: number) => ({ vm, address }: AssignedMember): ProbeTarget => ({ vm, address, intervalMs })
-    const members = group.members.map(target(whole ? timing.quietProbeIntervalMs : timing.probeIntervalMs))
+    const members = group.members.map(target(complete ? timing.quietProbeIntervalMs : timing.probeIntervalMs))
     return [...members, ...group.standbys.map(target(timing.idleProbeIntervalMs))]
   }
 
   /** The group as it should stand now; undefined while it stands as agreed, or where nothing was agreed for it. */
-  private standIn (group: AssignedGroup): AssignedGroup | undefined {
+  private targetFormation (group: AssignedGroup): AssignedGroup | undefined {
     const lost = new Set(group.members.filter((member) => this.isLost(member)).map((member) => member.vm))
-    const begun = this.begunFormation(group)
-    const goesOn = begun !== null && begun.members.every((member) => !lost.has(member.vm))
-    const derived = goesOn ? begun : deriveStepIn(group, [...lost])
+    const started = this.startedFormation(group)
+    const canContinue = started !== null && started.members.every((member) => !lost.has(member.vm))
+    const derived = canContinue ? started : deriveStepIn(group, [...lost])
     if (derived === null || !derived.members.every((member) => this.isPresent(member))) return undefined
     return groupAtStepIn(group, derived)
   }
 
   /** A formation set aside in which some VM is already: it is completed, also when a lost member came back meanwhile. */
-  private begunFormation (group: AssignedGroup): ReturnType<typeof readStepIn> {
+  private startedFormation (group: AssignedGroup): ReturnType<typeof readStepIn> {
     const formations = [...group.members, ...group.standbys].flatMap(({ vm }) => {
       const status = this.context.prober.observations.get(vm)?.evidence?.status
       return status?.group === group.group && status.formation !== group.formation ? [status.formation] : []
@@ -104,10 +104,10 @@
   private isLost (member: AssignedMember): boolean {
     const { prober, options: { clock }, timing } = this.context
     const observation = prober.observations.get(member.vm)
-    if ((observation?.refusals ?? 0) >= REFUSALS_WHEN_GONE && observation?.absentSinceMs !== null) return true
+    if ((observation?.refusals ?? 0) >= REFUSALS_UNTIL_GONE && observation?.absentSinceMs !== null) return true
     if ((observation?.evidence?.status.incarnation ?? 0) > member.incarnation) return true
-    const heardMs = observation?.evidence?.askedAtMs ?? prober.firstAskedAtMs(member.vm)
-    return heardMs !== null && clock.nowMs() - heardMs >= timing.quietProbeIntervalMs + timing.planning.absenceGraceMs
+    const lastResponseAtMs = observation?.evidence?.askedAtMs ?? prober.firstProbedAtMs(member.vm)
+    return lastResponseAtMs !== null && clock.nowMs() - lastResponseAtMs >= timing.quietProbeIntervalMs + timing.planning.absenceGraceMs
   }
 
   private isPresent ({ vm, incarnation }: AssignedMember): boolean {
@@ -115,14 +115,14 @@
     return observation?.absentSinceMs === null && observation.evidence?.status.incarnation === incarnation
   }
 
-  private order (assignment: AssignmentObject, groups: readonly AssignedGroup[]): void {
+  private sendOrders (assignment: AssignmentObject, groups: readonly AssignedGroup[]): void {
     if (groups.length === 0) return
-    const seen = new Map<VmId, ObservedVm>()
+    const observed = new Map<VmId, ObservedVm>()
     for (const { vm, address } of groups.flatMap((group) => group.members)) {
       const status = this.context.prober.observations.get(vm)?.evidence?.status
-      if (status !== undefined) seen.set(vm, { address, status })
+      if (status !== undefined) observed.set(vm, { address, status })
     }
-    for (const due of deriveOrders({ ...assignment, groups }, seen)) {
+    for (const due of deriveOrders({ ...assignment, groups }, observed)) {
       if (due.order.kind === OrderKind.Form) this.context.orders.send(due, this.authority)
     }
   }
--- a/packages/dotterelspur-fleet/src/process/StrayWatch.ts
+++ b/packages/dotterelspur-fleet/src/process/StrayDetector.ts
@@ -6,22 +6,22 @@
  * group is out of service at once, since its evidence is incomplete; this says why. The order to form follows
  * from the difference as always.
  */
-export class StrayWatch {
-  private readonly inPlace = new Map<VmId, string>()
+export class StrayDetector {
+  private readonly confirmedAssignments = new Map<VmId, string>()
 
-  check (assignment: AssignmentObject, seen: ReadonlyMap<VmId, ObservedVm>, wallMs: number): readonly Decision[] {
+  check (assignment: AssignmentObject, observed: ReadonlyMap<VmId, ObservedVm>, wallMs: number): readonly Decision[] {
     const strays: Decision[] = []
     for (const group of assignment.groups) {
       for (const member of group.members) {
-        const status = seen.get(member.vm)?.status
+        const status = observed.get(member.vm)?.status
         if (status === undefined || status.incarnation !== member.incarnation) continue
-        const place = `${group.group}/${group.formation}/${member.incarnation}`
+        const assigned = `${group.group}/${group.formation}/${member.incarnation}`
         if (status.group === group.group && status.formation === group.formation) {
-          this.inPlace.set(member.vm, place)
+          this.confirmedAssignments.set(member.vm, assigned)
           continue
         }
-        if (this.inPlace.get(member.vm) !== place) continue
-        this.inPlace.delete(member.vm)
+        if (this.confirmedAssignments.get(member.vm) !== assigned) continue
+        this.confirmedAssignments.delete(member.vm)
         strays.push(strayDecision(assignment, group, status, wallMs))
       }
     }
@@ -30,13 +30,13 @@
 }
 
 function strayDecision (assignment: AssignmentObject, group: AssignedGroup, status: VmStatus, wallMs: number): Decision {
-  const found = status.group === null ? 'in no group' : `at formation ${status.formation} of ${status.group}`
+  const location = status.group === null ? 'in no group' : `at formation ${status.formation} of ${status.group}`
   return {
     kind: DecisionKind.Break,
     fabricDomain: assignment.fabricDomain,
     group: group.group,
     vms: [status.vm],
-    reason: `${status.vm} was at formation ${group.formation} and is ${found} without an order of this controller: ` +
+    reason: `${status.vm} was at formation ${group.formation} and is ${location} without an order of this controller: ` +
       'an earlier holder\'s order reached it late; it is ordered back',
     score: null,
     rejected: [],
--- a/packages/dotterelspur-fleet/src/process/Ticker.ts
+++ b/packages/dotterelspur-fleet/src/process/Ticker.ts
@@ -10,7 +10,7 @@
 export class Ticker {
   private cancelTimer: Teardown = () => {}
   private running = false
-  private nudged = false
+  private triggered = false
   private stopped = true
 
   constructor (
@@ -28,9 +28,9 @@
     this.cancelTimer()
   }
 
-  nudge (): void {
+  trigger (): void {
     if (this.stopped) return
-    if (this.running) this.nudged = true
+    if (this.running) this.triggered = true
     else this.schedule(0)
   }
 
@@ -41,7 +41,7 @@
 
   private async run (): Promise<void> {
     this.running = true
-    this.nudged = false
+    this.triggered = false
     try {
       await this.step()
     } catch (error) {
@@ -50,6 +50,6 @@
     this.running = false
     if (this.stopped) return
     const jitter = 1 + JITTER_SHARE * (2 * this.random.next() - 1)
-    this.schedule(this.nudged ? 0 : this.intervalMs * jitter)
+    this.schedule(this.triggered ? 0 : this.intervalMs * jitter)
   }
 }
--- a/packages/dotterelspur-fleet/src/process/VmListPoller.ts
+++ b/packages/dotterelspur-fleet/src/process/VmListPoller.ts
@@ -15,7 +15,7 @@
   private listing: VmListing | null = null
   private clean: CleanListing = { vms: new Map(), unused: [] }
   private readonly ticker: Ticker
-  private readonly spread = new Map<FailureDomainId, string>()
+  private readonly lastBroadcast = new Map<FailureDomainId, string>()
 
   constructor (
     private readonly options: FleetOptions, timing: FleetTiming, private readonly heldFailureDomains: () => readonly FailureDomainId[],
@@ -33,8 +33,8 @@
   }
 
   /** Reads the list soon, as after a lease was taken. */
-  nudge (): void {
-    this.ticker.nudge()
+  trigger (): void {
+    this.ticker.trigger()
   }
 
   /** The failure domains of the last list, with the regions that it gives them. */
@@ -71,15 +71,15 @@
       this.listing = result.value
       this.clean = cleanListing(result.value)
     }
-    for (const failureDomain of held) this.spreadPart(failureDomain)
+    for (const failureDomain of held) this.broadcastPart(failureDomain)
     if (isNew) this.onChange()
   }
 
-  private spreadPart (failureDomain: FailureDomainId): void {
+  private broadcastPart (failureDomain: FailureDomainId): void {
     const body: VmListDocument = { failureDomain, vms: recordsOf(this.clean, failureDomain) }
-    const text = JSON.stringify(body.vms)
-    if (this.spread.get(failureDomain) === text) return
-    this.spread.set(failureDomain, text)
+    const serialized = JSON.stringify(body.vms)
+    if (this.lastBroadcast.get(failureDomain) === serialized) return
+    this.lastBroadcast.set(failureDomain, serialized)
     this.options.mesh.offerDocument({ key: vmListKey(failureDomain), version: this.listing!.version, body, deleted: false })
   }
 }
--- a/packages/dotterelspur-fleet/src/process/Watcher.ts
+++ b/packages/dotterelspur-fleet/src/process/Watcher.ts
@@ -7,12 +7,12 @@
 import type { FleetOptions } from './FleetOptions.js'
 import type { FleetTiming } from './FleetTiming.js'
 import type { Prober, ProbeTarget } from './Prober.js'
-import { ServiceWatch } from './ServiceWatch.js'
+import { ServiceWatcher } from './ServiceWatcher.js'
 import { Ticker } from './Ticker.js'
 
-const ASKER = 'watcher'
+const REQUESTER = 'watcher'
 /** No join of group ids: the targets have to be set whatever is steady. */
-const UNKNOWN_STEADY = '?'
+const STEADY_GROUPS_UNKNOWN = '?'
 
 /** What lacks in a group that this node watches, for `explain`. */
 export interface GroupEvidence {
@@ -24,25 +24,25 @@
 export class Watcher {
   private plan: WatchPlan = { groups: [], services: [] }
   private leaving: ReadonlySet<string> = new Set()
-  private judged = new Map<GroupId, GroupEvidence>()
+  private assessments = new Map<GroupId, GroupEvidence>()
   private readonly groupOfVm = new Map<VmId, WatchedGroup>()
-  private readonly services: ServiceWatch
+  private readonly services: ServiceWatcher
   private readonly ticker: Ticker
-  private planStale = true
+  private isPlanStale = true
   private records: ReadonlyMap<VmId, VmRecord> = new Map()
-  private steady = ''
+  private steadyGroups = ''
   private teardown: Teardown = () => {}
 
   constructor (private readonly options: FleetOptions, private readonly timing: FleetTiming, private readonly prober: Prober, onError: (error: unknown) => void) {
-    this.services = new ServiceWatch(options, timing, () => { this.publish() }, onError)
+    this.services = new ServiceWatcher(options, timing, () => { this.publish() }, onError)
     this.ticker = new Ticker(options.clock, options.random, timing.publishIntervalMs, () => { this.tick() }, onError)
   }
 
   start (): void {
     const { mesh } = this.options
     const replan = (): void => {
-      this.planStale = true
-      this.ticker.nudge()
+      this.isPlanStale = true
+      this.ticker.trigger()
     }
     this.teardown = mergeTeardowns(
       mesh.registerDocumentListener(ASSIGNMENT_PREFIX, replan),
@@ -57,33 +57,33 @@
     this.teardown()
     this.ticker.stop()
     this.services.stop()
-    this.prober.setTargets(ASKER, [])
+    this.prober.setTargets(REQUESTER, [])
   }
 
   evidence (): readonly GroupEvidence[] {
-    return [...this.judged.values()]
+    return [...this.assessments.values()]
   }
 
   /** A probe of a VM came in: tells the others at once when its group now serves less, or is complete again. */
-  noteObservation (vm: VmId): void {
+  handleObservation (vm: VmId): void {
     const watched = this.groupOfVm.get(vm)
     if (watched === undefined) return
-    const before = this.judged.get(watched.group.group)?.presence
-    const after = this.judge(watched)
-    this.judged.set(watched.group.group, after)
+    const before = this.assessments.get(watched.group.group)?.presence
+    const after = this.assess(watched)
+    this.assessments.set(watched.group.group, after)
     const isBetter = before?.complete !== true && after.presence.complete
     if (isBetter || isDegraded(before, after.presence)) this.publish()
   }
 
   private tick (): void {
-    if (this.planStale) this.replan()
+    if (this.isPlanStale) this.replan()
     this.publish()
     this.setTargets()
   }
 
   private replan (): void {
     const { mesh } = this.options
-    this.planStale = false
+    this.isPlanStale = false
     const vmLists = vmListDocuments(mesh)
     this.leaving = new Set([...leavingVms(vmLists), ...drainTargets(mesh)])
     this.plan = planWatches({ self: mesh.self, members: mesh.members(), assignments: assignmentDocuments(mesh).map(({ body }) => body), vmLists })
@@ -92,7 +92,7 @@
       for (const member of [...watched.group.members, ...watched.group.standbys]) this.groupOfVm.set(member.vm, watched)
     }
     this.records = new Map(vmLists.flatMap((list) => list.vms).map((record) => [record.vm, record]))
-    this.steady = UNKNOWN_STEADY
+    this.steadyGroups = STEADY_GROUPS_UNKNOWN
     this.setTargets()
     this.services.setWorkers(this.plan.services, this.leaving)
   }
@@ -101,14 +101,14 @@
   private setTargets (): void {
     const steady = this.plan.groups.map(({ group }) => group).filter((group) => this.isSteady(group)).map((group) => group.group)
     const key = steady.join()
-    if (key === this.steady) return
-    this.steady = key
+    if (key === this.steadyGroups) return
+    this.steadyGroups = key
     const isSteady = new Set(steady)
-    this.prober.setTargets(ASKER, this.plan.groups.flatMap(({ group }) => this.targetsOf(group, isSteady.has(group.group))))
+    this.prober.setTargets(REQUESTER, this.plan.groups.flatMap(({ group }) => this.targetsOf(group, isSteady.has(group.group))))
   }
 
   private isSteady (group: AssignedGroup): boolean {
-    const presence = this.judged.get(group.group)?.presence
+    const presence = this.assessments.get(group.group)?.presence
     return group.state === GroupState.Serving && presence !== undefined && presence.complete && presence.formation === group.formation
   }
 
@@ -125,32 +125,32 @@
     return { vm: member.vm, address, intervalMs }
   }
 
-  private judge (watched: WatchedGroup): GroupEvidence {
+  private assess (watched: WatchedGroup): GroupEvidence {
     const { group } = watched
-    const judgement = this.judgeStepIn(watched) ?? this.judgeAs(watched.assignment, group)
+    const assessment = this.assessStepIn(watched) ?? this.assessAs(watched.assignment, group)
     const drained = this.leaving.has(group.group)
-    return drained ? { ...judgement, presence: { ...judgement.presence, leaving: true } } : judgement
+    return drained ? { ...assessment, presence: { ...assessment.presence, leaving: true } } : assessment
   }
 
-  private judgeAs (assignment: AssignmentObject, group: AssignedGroup): GroupEvidence {
+  private assessAs (assignment: AssignmentObject, group: AssignedGroup): GroupEvidence {
     return assessGroup(assignment, group, this.prober.observations, this.leaving, this.options.clock.nowMs(), this.timing.evidenceTtlMs)
   }
 
   /** Standbys may have stepped in, as agreed in advance, at a formation that was set aside: it counts only when it is whole. */
-  private judgeStepIn ({ assignment, group }: WatchedGroup): GroupEvidence | undefined {
+  private assessStepIn ({ assignment, group }: WatchedGroup): GroupEvidence | undefined {
     if (group.stepInBase === undefined) return undefined
     for (const { vm } of group.standbys) {
       const status = this.prober.observations.get(vm)?.evidence?.status
       const derived = status?.group === group.group ? readStepIn(group, status.formation) : null
-      const judged = derived === null ? undefined : this.judgeAs(assignment, groupAtStepIn(group, derived))
-      if (judged?.presence.complete === true) return judged
+      const assessed = derived === null ? undefined : this.assessAs(assignment, groupAtStepIn(group, derived))
+      if (assessed?.presence.complete === true) return assessed
     }
     return undefined
   }
 
   private publish (): void {
-    this.judged = new Map(this.plan.groups.map((watched) => [watched.group.group, this.judge(watched)]))
-    const groups = [...this.judged.values()].map((evidence) => evidence.presence)
+    this.assessments = new Map(this.plan.groups.map((watched) => [watched.group.group, this.assess(watched)]))
+    const groups = [...this.assessments.values()].map((evidence) => evidence.presence)
     this.options.mesh.publishPresence(groups, this.services.presence())
   }
 }
--- a/packages/dotterelspur-node/src/process/Node.ts
+++ b/packages/dotterelspur-node/src/process/Node.ts
@@ -59,7 +59,7 @@
 
 /** Settings come first: the fleet and the entry look at them from their first step. */
 function startRoles ({ follower, teams, fleet }: NodeParts): void {
-  teams.registerListener(() => { fleet.nudge() })
+  teams.registerListener(() => { fleet.triggerControllers() })
   follower.start()
   fleet.start()
 }
