--- a/packages/dotterelspur-fleet/src/__tests__/FaultyStore.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/FaultyStore.ts
@@ -7,13 +7,13 @@
   down: boolean
   latencyMs: number
   /** Writes that take effect and whose answer is lost. */
-  lostReplyShare: number
+  lostResponseShare: number
   /** Reads that answer from before the last write. */
   staleReadShare: number
 }
 
-export function noStoreFaults (): StoreFaults {
-  return { down: false, latencyMs: 5, lostReplyShare: 0, staleReadShare: 0 }
+export function createStoreFaults (): StoreFaults {
+  return { down: false, latencyMs: 5, lostResponseShare: 0, staleReadShare: 0 }
 }
 
 export interface StoreCalls {
@@ -32,7 +32,7 @@
     if (faults.down || isCut()) return unavailable()
     const result = await act()
     await delay()
-    if (faults.down || isCut() || random.next() < faults.lostReplyShare) return failed({ kind: StoreErrorKind.Unknown, key, reason: 'no answer' })
+    if (faults.down || isCut() || random.next() < faults.lostResponseShare) return failed({ kind: StoreErrorKind.Unknown, key, reason: 'no answer' })
     return result
   }
   const get = async <Body>(key: string): Promise<Result<StoredObject<Body>, StoreError>> => {
--- a/packages/dotterelspur-fleet/src/__tests__/FleetInvariants.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/FleetInvariants.ts
@@ -14,18 +14,18 @@
   constructor (private readonly world: FleetWorld) {}
 
   check (): void {
-    this.checkPlaces()
+    this.checkAssignedOnce()
     this.checkFencing()
     this.checkOneHolder()
     this.checkOrders()
-    this.checkServing()
+    this.checkDispatch()
   }
 
   private assignments (): readonly AssignmentObject[] {
     return this.world.table.list(ASSIGNMENT_PREFIX).objects.map((object) => object.body as AssignmentObject)
   }
 
-  private checkPlaces (): void {
+  private checkAssignedOnce (): void {
     const places = new Set<string>()
     for (const group of this.assignments().flatMap((assignment) => assignment.groups)) {
       for (const { vm } of [...group.members, ...group.standbys]) {
@@ -53,8 +53,8 @@
     const nowMs = this.world.clock.nowMs()
     const able = this.world.nodes.filter((node) => node.alive && !node.clock.paused)
     for (const failureDomain of ['fd-1', 'fd-2']) {
-      const deciding = able.filter((node) => node.fleet.leases().some((term) => term.failureDomain === failureDomain && mayOrder(term, DEFAULT_LEASE_TIMING, nowMs)))
-      this.expect(deciding.length <= 1, `${deciding.length} nodes decide for ${failureDomain}`)
+      const holders = able.filter((node) => node.fleet.leases().some((term) => term.failureDomain === failureDomain && mayOrder(term, DEFAULT_LEASE_TIMING, nowMs)))
+      this.expect(holders.length <= 1, `${holders.length} nodes decide for ${failureDomain}`)
     }
   }
 
@@ -67,18 +67,18 @@
     }
   }
 
-  private checkServing (): void {
+  private checkDispatch (): void {
     for (const node of this.world.nodes) {
       if (!node.alive || node.clock.paused) continue
-      for (const group of dispatchable(node)) this.checkWhole(group)
+      for (const group of dispatchable(node)) this.checkDispatchWindow(group)
     }
   }
 
-  private checkWhole (group: AssignedGroup): void {
+  private checkDispatchWindow (group: AssignedGroup): void {
     const nowMs = this.world.clock.nowMs()
     const key = `${group.group}@${group.formation}`
     const brokenSinceMs = this.brokenSinceMs.get(key) ?? nowMs
-    if (this.world.isReallyWhole(group)) this.brokenSinceMs.delete(key)
+    if (this.world.isActuallyComplete(group)) this.brokenSinceMs.delete(key)
     else this.brokenSinceMs.set(key, brokenSinceMs)
     this.expect(nowMs - brokenSinceMs <= DEFAULT_EVIDENCE_TTL_MS + WINDOW_SLACK_MS, `${key} is dispatched to ${nowMs - brokenSinceMs} ms after it lost a member`)
   }
--- a/packages/dotterelspur-fleet/src/__tests__/FleetWorld.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/FleetWorld.ts
@@ -4,7 +4,7 @@
 } from 'dotterelspur'
 import { ObjectTable } from 'dotterelspur-testkit'
 import { createFleet, type Fleet, type FleetTiming } from '../index.js'
-import { createFaultyStore, noStoreFaults, type StoreCalls, type StoreFaults } from './FaultyStore.js'
+import { createFaultyStore, createStoreFaults, type StoreCalls, type StoreFaults } from './FaultyStore.js'
 import { MemoryEngines } from './MemoryEngines.js'
 import { MeshHub, type MemoryMesh } from './MemoryMesh.js'
 import { PausableClock } from './PausableClock.js'
@@ -67,11 +67,11 @@
   readonly table = new ObjectTable()
   readonly hub = new MeshHub()
   readonly engines = new MemoryEngines(this.clock)
-  readonly storeFaults: StoreFaults = noStoreFaults()
+  readonly storeFaults: StoreFaults = createStoreFaults()
   readonly nodes: WorldNode[] = []
   teams: readonly TeamSettings[]
   private readonly random
-  private incarnations = 0
+  private lastIncarnation = 0
 
   constructor (private readonly options: WorldOptions = {}) {
     this.random = createRandom(options.seed ?? 1)
@@ -86,7 +86,7 @@
 
   startNode (node: NodeId, failureDomain: FailureDomainId): WorldNode {
     const clock = new PausableClock(this.clock)
-    const incarnation = ++this.incarnations
+    const incarnation = ++this.lastIncarnation
     const member = {
       node, incarnation, region: 'r1', failureDomain, meshAddress: node, entryAddress: `http://${node}`, adminAddress: `http://${node}`, state: NodeState.Alive
     }
@@ -109,11 +109,11 @@
       checksFencing: ({ vm }) => this.engines.vms.get(vm)?.checksFencing ?? true,
       timing: this.options.timing ?? {}
     })
-    const started_: WorldNode = { node, fleet, mesh, clock, calls, audit, alive: true, isolated: false }
-    started.current = started_
-    this.nodes.push(started_)
+    const worldNode: WorldNode = { node, fleet, mesh, clock, calls, audit, alive: true, isolated: false }
+    started.current = worldNode
+    this.nodes.push(worldNode)
     fleet.start()
-    return started_
+    return worldNode
   }
 
   /** Ends a node's process at once. The others notice by the mesh. */
@@ -121,16 +121,16 @@
     node.alive = false
     node.clock.pause()
     node.fleet.stop()
-    this.hub.drop(node.node)
+    this.hub.removeNode(node.node)
   }
 
   pauseNode (node: WorldNode): void {
     node.clock.pause()
-    node.mesh.listens = false
+    node.mesh.isReceiving = false
   }
 
   resumeNode (node: WorldNode): void {
-    node.mesh.listens = true
+    node.mesh.isReceiving = true
     node.clock.resume()
     this.hub.heal()
   }
@@ -194,14 +194,14 @@
   }
 
   /** Whether a living node's evidence would let an entry dispatch to the group as it is assigned. */
-  serves (group: AssignedGroup | undefined): boolean {
+  isServing (group: AssignedGroup | undefined): boolean {
     if (group === undefined) return false
     return this.nodes.filter((node) => node.alive && !node.clock.paused).some((node) => node.mesh.groupPresence()
       .some((presence) => presence.group === group.group && presence.formation === group.formation && presence.complete && presence.ageMs < 2_500))
   }
 
   /** Whether each member's engine really is at the group's formation, under the incarnation that was assigned. */
-  isReallyWhole (group: AssignedGroup): boolean {
+  isActuallyComplete (group: AssignedGroup): boolean {
     return group.members.every(({ vm, incarnation }) => {
       const engine = this.engines.get(vm)
       return engine.alive && engine.incarnation === incarnation && engine.group === group.group && engine.formation === group.formation
--- a/packages/dotterelspur-fleet/src/__tests__/MemoryEngines.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/MemoryEngines.ts
@@ -20,9 +20,9 @@
   loaded: string | null
   listState: VmListState
   /** Requests cut off by an order. */
-  cutOff: number
+  cutOffRequests: number
   /** Orders in the order in which they were obeyed. */
-  readonly obeyed: Array<{ readonly kind: OrderKind, readonly fencing: number, readonly formation: number }>
+  readonly executedOrders: Array<{ readonly kind: OrderKind, readonly fencing: number, readonly formation: number }>
 }
 
 const LOAD_MS = 1_000
@@ -32,11 +32,11 @@
 export class MemoryEngines {
   readonly vms = new Map<VmId, EngineFixture>()
   /** Applied to each delivery of an order: the test may hold it back. */
-  gate: (vm: VmId, deliver: () => void) => void = (_vm, deliver) => { deliver() }
+  deliverOrder: (vm: VmId, deliver: () => void) => void = (_vm, deliver) => { deliver() }
   extraRecords: VmRecord[] = []
   listDown = false
   private listVersion = 1
-  private stale: VmListing | null = null
+  private frozenListing: VmListing | null = null
 
   constructor (private readonly clock: Clock) {}
 
@@ -57,8 +57,8 @@
       formation: 0,
       loaded: null,
       listState: VmListState.Live,
-      cutOff: 0,
-      obeyed: [],
+      cutOffRequests: 0,
+      executedOrders: [],
       ...fields
     }
     this.vms.set(vm, engine)
@@ -71,62 +71,62 @@
 
   kill (vm: VmId): void {
     this.get(vm).alive = false
-    this.touchList()
+    this.bumpListVersion()
   }
 
   /** Comes back as a new process. */
   restart (vm: VmId): void {
     const engine = this.get(vm)
     Object.assign(engine, { alive: true, paused: false, leaving: false, incarnation: engine.incarnation + 1, state: EngineState.Idle, group: null, formation: 0, loaded: null, fencing: 0, running: 0 })
-    this.touchList()
+    this.bumpListVersion()
   }
 
-  touchList (): void {
+  bumpListVersion (): void {
     this.listVersion += 1
   }
 
   /** Freezes what the list says until `thawList`. */
   freezeList (): void {
-    this.stale = this.listing()
+    this.frozenListing = this.listing()
   }
 
   thawList (): void {
-    this.stale = null
+    this.frozenListing = null
   }
 
   directory (): VmDirectory {
     return {
-      list: async () => this.listDown ? failed({ kind: 'unavailable' as never, reason: 'down' }) : success(this.stale ?? this.listing())
+      list: async () => this.listDown ? failed({ kind: 'unavailable' as never, reason: 'down' }) : success(this.frozenListing ?? this.listing())
     }
   }
 
   /** The engines as one node reaches them; `reaches` cuts single links. */
   api (nodeClock: Clock, reaches: (vm: VmId) => boolean = () => true): EngineApi {
     const probe = async (address: string, timeoutMs: number): Promise<Result<VmStatus, EndpointError>> => {
-      const engine = this.at(address)
+      const engine = this.engineAt(address)
       if (engine === undefined || !engine.alive) return failed({ kind: EndpointErrorKind.NotRun, reason: 'refused' })
       if (engine.paused || !reaches(engine.vm)) return await timeout(nodeClock, timeoutMs)
       return success(this.status(engine))
     }
     const order = async (address: string, wanted: EngineOrder, fencing: number, timeoutMs: number): Promise<Result<VmStatus, EndpointError>> => {
-      const engine = this.at(address)
+      const engine = this.engineAt(address)
       if (engine === undefined || !engine.alive) return failed({ kind: EndpointErrorKind.NotRun, reason: 'refused' })
       if (engine.paused || !reaches(engine.vm)) return await timeout(nodeClock, timeoutMs)
       return await new Promise((resolve) => {
         const giveUp = nodeClock.registerTimer(timeoutMs, () => { resolve(failed({ kind: EndpointErrorKind.Ambiguous, reason: 'no answer' })) })
-        this.gate(engine.vm, () => {
+        this.deliverOrder(engine.vm, () => {
           giveUp()
-          resolve(this.obey(engine, wanted, fencing))
+          resolve(this.execute(engine, wanted, fencing))
         })
       })
     }
     return { probe, order } as unknown as EngineApi
   }
 
-  obey (engine: EngineFixture, order: EngineOrder, fencing: number): Result<VmStatus, EndpointError> {
+  execute (engine: EngineFixture, order: EngineOrder, fencing: number): Result<VmStatus, EndpointError> {
     if (engine.checksFencing && fencing < engine.fencing) return failed({ kind: EndpointErrorKind.Fenced, highestFencing: engine.fencing })
     engine.fencing = Math.max(engine.fencing, fencing)
-    engine.obeyed.push({ kind: order.kind, fencing, formation: order.kind === OrderKind.Preload ? 0 : order.formation })
+    engine.executedOrders.push({ kind: order.kind, fencing, formation: order.kind === OrderKind.Preload ? 0 : order.formation })
     ORDERS[order.kind](this, engine, order as never)
     return success(this.status(engine))
   }
@@ -159,7 +159,7 @@
   private cutOff (engine: EngineFixture): void {
     for (const other of this.vms.values()) {
       if (engine.group === null || other.group !== engine.group || other.formation !== engine.formation) continue
-      other.cutOff += other.running
+      other.cutOffRequests += other.running
       other.running = 0
     }
   }
@@ -181,7 +181,7 @@
     }
   }
 
-  private at (address: string): EngineFixture | undefined {
+  private engineAt (address: string): EngineFixture | undefined {
     return this.vms.get(address.slice('http://'.length))
   }
 
--- a/packages/dotterelspur-fleet/src/__tests__/MemoryMesh.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/MemoryMesh.ts
@@ -2,7 +2,7 @@
   NodeState, type Clock, type GroupId, type GroupPresence, type MeshApi, type MeshDocument, type NodeId, type NodeMember, type ServicePresence, type Teardown
 } from 'dotterelspur'
 
-interface Held {
+interface HeldPresence {
   readonly presence: GroupPresence
   readonly atMs: number
 }
@@ -17,14 +17,14 @@
     const peers = [...this.nodes.values()].filter((peer) => peer.self.node !== member.node)
     this.nodes.set(member.node, mesh)
     for (const peer of peers) {
-      for (const document of peer.documents('')) mesh.take(document)
+      for (const document of peer.documents('')) mesh.receive(document)
     }
     this.membersChanged()
     return mesh
   }
 
   /** Drops a node as failed; the others stop counting it. */
-  drop (node: NodeId): void {
+  removeNode (node: NodeId): void {
     this.nodes.delete(node)
     this.membersChanged()
   }
@@ -38,7 +38,7 @@
     this.cutNodes.clear()
     const all = [...this.nodes.values()].flatMap((node) => node.documents(''))
     for (const node of this.nodes.values()) {
-      for (const document of all) node.take(document)
+      for (const document of all) node.receive(document)
     }
   }
 
@@ -51,12 +51,12 @@
   private readonly held = new Map<string, MeshDocument>()
   private readonly documentListeners = new Set<{ readonly prefix: string, readonly listener: (document: MeshDocument) => void }>()
   private readonly memberListeners = new Set<(members: readonly NodeMember[]) => void>()
-  private readonly evidence = new Map<GroupId, Held>()
-  private contactAtMs = 0
+  private readonly evidence = new Map<GroupId, HeldPresence>()
+  private storeContactAtMs = 0
   published: readonly GroupPresence[] = []
   publishedServices: readonly ServicePresence[] = []
   /** False while the process stands still: it takes nothing in. */
-  listens = true
+  isReceiving = true
 
   constructor (public self: NodeMember, private readonly clock: Clock, private readonly hub: MeshHub) {}
 
@@ -82,12 +82,12 @@
   }
 
   offerDocument (document: MeshDocument): boolean {
-    const taken = this.take(document)
-    for (const peer of this.peers()) peer.take(document)
+    const taken = this.receive(document)
+    for (const peer of this.peers()) peer.receive(document)
     return taken
   }
 
-  take (document: MeshDocument): boolean {
+  receive (document: MeshDocument): boolean {
     if ((this.held.get(document.key)?.version ?? 0) >= document.version) return false
     this.held.set(document.key, document)
     for (const { prefix, listener } of [...this.documentListeners]) {
@@ -105,7 +105,7 @@
   publishPresence (groups: readonly GroupPresence[], services: readonly ServicePresence[]): void {
     this.published = groups
     this.publishedServices = services
-    for (const node of [this, ...this.peers()]) node.takePresence(groups, this.clock.nowMs())
+    for (const node of [this, ...this.peers()]) node.receivePresence(groups, this.clock.nowMs())
   }
 
   groupPresence (): readonly GroupPresence[] {
@@ -118,11 +118,11 @@
   }
 
   storeContactAgeMs (): number {
-    return this.clock.nowMs() - this.contactAtMs
+    return this.clock.nowMs() - this.storeContactAtMs
   }
 
   noteStoreContact (): void {
-    this.contactAtMs = this.clock.nowMs()
+    this.storeContactAtMs = this.clock.nowMs()
   }
 
   peerContactAgeMs (): number {
@@ -147,10 +147,10 @@
   }
 
   async leave (): Promise<void> {
-    this.hub.drop(this.self.node)
+    this.hub.removeNode(this.self.node)
   }
 
-  private takePresence (groups: readonly GroupPresence[], atMs: number): void {
+  private receivePresence (groups: readonly GroupPresence[], atMs: number): void {
     for (const presence of groups) {
       const known = this.evidence.get(presence.group)
       const knownAskedMs = known === undefined ? -Infinity : known.atMs - known.presence.ageMs
@@ -159,6 +159,6 @@
   }
 
   private peers (): readonly MemoryMesh[] {
-    return [...this.hub.nodes.values()].filter((node) => node !== this && node.listens && this.hub.reaches(this.self.node, node.self.node))
+    return [...this.hub.nodes.values()].filter((node) => node !== this && node.isReceiving && this.hub.reaches(this.self.node, node.self.node))
   }
 }
--- a/packages/dotterelspur-fleet/src/__tests__/PausableClock.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/PausableClock.ts
@@ -2,13 +2,13 @@
 
 /** One process's view of a shared manual clock: while the process stands still its timers wait, and all that fell due run when it goes on. */
 export class PausableClock implements Clock {
-  private waiting: Array<() => void> = []
-  private stopped = false
+  private deferred: Array<() => void> = []
+  private isPaused = false
 
   constructor (private readonly base: ManualClock) {}
 
   get paused (): boolean {
-    return this.stopped
+    return this.isPaused
   }
 
   nowMs (): number {
@@ -23,7 +23,7 @@
     let live = true
     const fire = (): void => {
       if (!live) return
-      if (this.stopped) this.waiting.push(fire)
+      if (this.isPaused) this.deferred.push(fire)
       else callback()
     }
     const cancel = this.base.registerTimer(delayMs, fire)
@@ -34,20 +34,20 @@
   }
 
   pause (): void {
-    this.stopped = true
+    this.isPaused = true
   }
 
   resume (): void {
-    this.stopped = false
-    const due = this.waiting
-    this.waiting = []
+    this.isPaused = false
+    const due = this.deferred
+    this.deferred = []
     for (const fire of due) fire()
   }
 
   /** Hands a result over only while the process runs, as the kernel keeps an answer for a stopped one. */
   async whenRunning<Value> (result: Promise<Value>): Promise<Value> {
     const value = await result
-    if (this.stopped) await new Promise<void>((resolve) => { this.waiting.push(resolve) })
+    if (this.isPaused) await new Promise<void>((resolve) => { this.deferred.push(resolve) })
     return value
   }
 }
--- a/packages/dotterelspur-fleet/src/__tests__/unit/FleetMeasures.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/FleetMeasures.test.ts
@@ -5,7 +5,7 @@
 
 const SEEDS = 40
 /** A member of a serving group is looked at again after at most the steady interval, drawn out by a tenth, and a step of the clock. */
-const LOOK_AGAIN_MS = 1.1 * DEFAULT_FLEET_TIMING.steadyProbeIntervalMs + 20
+const MAX_PROBE_GAP_MS = 1.1 * DEFAULT_FLEET_TIMING.steadyProbeIntervalMs + 20
 const THREE_NODES: WorldOptions = { nodes: ['fd-1', 'fd-1', 'fd-1'], vmsPerFabricDomain: { 'fd-1.a': 4 } }
 
 /** Prints what was measured when FLEET_MEASURE is set; the bounds are checked always. */
@@ -21,7 +21,7 @@
   const samples: number[] = []
   for (let seed = 1; seed <= SEEDS; seed++) {
     const world = new FleetWorld({ ...options, seed })
-    await world.runUntil('group serves', () => world.serves(world.group()) && world.group()!.state === GroupState.Serving, 20_000)
+    await world.runUntil('group serves', () => world.isServing(world.group()) && world.group()!.state === GroupState.Serving, 20_000)
     await world.run(4_000 + 97 * seed)
     samples.push(await measure(world))
     await world.stop()
@@ -29,7 +29,7 @@
   return samples
 }
 
-function holdsAndDecides (world: FleetWorld): boolean {
+function isNewHolderActive (world: FleetWorld): boolean {
   return world.holders('fd-1').length === 1 && world.assignment('fd-1.a')!.fencing === world.lease('fd-1')!.fencing
 }
 
@@ -37,7 +37,7 @@
   it('holder killed to the next one deciding: below 11 s', async () => {
     const samples = await sample(THREE_NODES, async (world) => {
       world.killNode(world.holder('fd-1'))
-      return await world.runUntil('next decides', () => holdsAndDecides(world), 20_000)
+      return await world.runUntil('next decides', () => isNewHolderActive(world), 20_000)
     })
     report('holder killed to next deciding, ms', samples)
     expect(Math.max(...samples)).to.be.below(11_000)
@@ -47,10 +47,10 @@
     const samples = await sample(THREE_NODES, async (world) => {
       const group = world.group()!
       world.kill(group.members[1]!.vm)
-      return await world.runUntil('no more dispatch', () => !world.serves(group), 5_000)
+      return await world.runUntil('no more dispatch', () => !world.isServing(group), 5_000)
     })
     report('member killed to no more dispatch, ms', samples)
-    expect(Math.max(...samples)).to.be.at.most(LOOK_AGAIN_MS)
+    expect(Math.max(...samples)).to.be.at.most(MAX_PROBE_GAP_MS)
   })
 
   it('member killed to serving again with a loaded standby: the join and less than 3 s', async () => {
@@ -58,7 +58,7 @@
     const samples = await sample(THREE_NODES, async (world) => {
       const group = world.group()!
       world.kill(group.members[1]!.vm)
-      return await world.runUntil('serves again', () => world.group()!.formation > group.formation && world.serves(world.group()), 30_000) - joinMs
+      return await world.runUntil('serves again', () => world.group()!.formation > group.formation && world.isServing(world.group()), 30_000) - joinMs
     })
     report('member killed to serving again with a loaded standby, less the join, ms', samples)
     expect(Math.max(...samples)).to.be.below(3_000)
@@ -68,7 +68,7 @@
     const samples = await sample(THREE_NODES, async (world) => {
       const group = world.group()!
       world.engines.get(group.members[1]!.vm).paused = true
-      return await world.runUntil('no more dispatch', () => !world.serves(group), 5_000)
+      return await world.runUntil('no more dispatch', () => !world.isServing(group), 5_000)
     })
     report('member silent to no more dispatch, ms', samples)
     expect(Math.max(...samples)).to.be.at.most(DEFAULT_EVIDENCE_TTL_MS + 40)
@@ -79,14 +79,14 @@
     const samples = await sample({ ...THREE_NODES, checksFencing: false }, async (world) => {
       const group = world.group()!
       const stray = world.engines.get(group.members[1]!.vm)
-      world.engines.obey(stray, { kind: OrderKind.Form, group: 'fd-1.a.g0', formation: 1, fabricDomain: 'fd-1.a', rank: 0, members: [], model: 'summary', version: '1', adapters: [] }, 0)
-      const stoppedMs = await world.runUntil('no more dispatch', () => !world.serves(group), 5_000)
-      back.push(stoppedMs + await world.runUntil('serves again', () => world.serves(world.group()), 10_000))
+      world.engines.execute(stray, { kind: OrderKind.Form, group: 'fd-1.a.g0', formation: 1, fabricDomain: 'fd-1.a', rank: 0, members: [], model: 'summary', version: '1', adapters: [] }, 0)
+      const stoppedMs = await world.runUntil('no more dispatch', () => !world.isServing(group), 5_000)
+      back.push(stoppedMs + await world.runUntil('serves again', () => world.isServing(world.group()), 10_000))
       return stoppedMs
     })
     report('old order obeyed to no more dispatch, ms', samples)
     report('old order obeyed to serving again (join 100 ms), ms', back)
-    expect(Math.max(...samples)).to.be.at.most(LOOK_AGAIN_MS)
+    expect(Math.max(...samples)).to.be.at.most(MAX_PROBE_GAP_MS)
   })
 
   it('store calls of holders, candidates and all other nodes grow with failure domains, not with nodes', async () => {
--- a/packages/dotterelspur-fleet/src/__tests__/unit/FleetModel.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/FleetModel.test.ts
@@ -6,7 +6,7 @@
 /** Fixed for CI; set FLEET_MODEL_SEED and FLEET_MODEL_RUNS to look further. */
 const SEED = Number(process.env['FLEET_MODEL_SEED'] ?? 20_261)
 const RUNS = Number(process.env['FLEET_MODEL_RUNS'] ?? 25)
-const HEAL_MS = 90_000
+const RECOVERY_MS = 90_000
 const NODE_DOMAINS = ['fd-1', 'fd-1', 'fd-2']
 const VMS = ['fd-1.a-1', 'fd-1.a-2', 'fd-1.a-3', 'fd-1.a-4', 'fd-2.a-1', 'fd-2.a-2', 'fd-2.a-3']
 
@@ -28,33 +28,33 @@
 interface Step {
   readonly event: Event
   readonly afterMs: number
-  readonly lastsMs: number
-  readonly which: number
+  readonly durationMs: number
+  readonly selector: number
 }
 
 /** Starts an event; returns what ends it. */
 type EventHandler = (world: FleetWorld, step: Step) => () => void
 
-function nodeAt (world: FleetWorld, which: number): WorldNode | undefined {
+function nodeAt (world: FleetWorld, selector: number): WorldNode | undefined {
   const living = world.nodes.filter((node) => node.alive && !node.clock.paused)
-  return living[which % living.length]
+  return living[selector % living.length]
 }
 
 const HANDLERS: Readonly<Record<Event, EventHandler>> = {
-  [Event.PauseNode]: (world, { which }) => {
-    const node = nodeAt(world, which)
+  [Event.PauseNode]: (world, { selector }) => {
+    const node = nodeAt(world, selector)
     if (node === undefined) return () => {}
     world.pauseNode(node)
     return () => { if (node.alive) world.resumeNode(node) }
   },
-  [Event.RestartNode]: (world, { which }) => {
-    const node = nodeAt(world, which)
+  [Event.RestartNode]: (world, { selector }) => {
+    const node = nodeAt(world, selector)
     if (node === undefined) return () => {}
     world.killNode(node)
     return () => { world.startNode(node.node, node.mesh.self.failureDomain) }
   },
-  [Event.IsolateNode]: (world, { which }) => {
-    const node = nodeAt(world, which)
+  [Event.IsolateNode]: (world, { selector }) => {
+    const node = nodeAt(world, selector)
     if (node === undefined) return () => {}
     world.isolateNode(node)
     return () => { world.healNode(node) }
@@ -68,8 +68,8 @@
     }
   },
   [Event.LoseReplies]: ({ storeFaults }) => {
-    storeFaults.lostReplyShare = 0.4
-    return () => { storeFaults.lostReplyShare = 0 }
+    storeFaults.lostResponseShare = 0.4
+    return () => { storeFaults.lostResponseShare = 0 }
   },
   [Event.StaleReads]: ({ storeFaults }) => {
     storeFaults.staleReadShare = 0.5
@@ -79,17 +79,17 @@
     storeFaults.latencyMs = 1_800
     return () => { storeFaults.latencyMs = 5 }
   },
-  [Event.KillVm]: ({ engines }, { which }) => {
-    const vm = VMS[which % VMS.length]!
+  [Event.KillVm]: ({ engines }, { selector }) => {
+    const vm = VMS[selector % VMS.length]!
     engines.kill(vm)
     return () => { if (!engines.get(vm).alive) engines.restart(vm) }
   },
-  [Event.RestartVm]: ({ engines }, { which }) => {
-    engines.restart(VMS[which % VMS.length]!)
+  [Event.RestartVm]: ({ engines }, { selector }) => {
+    engines.restart(VMS[selector % VMS.length]!)
     return () => {}
   },
-  [Event.PauseVm]: ({ engines }, { which }) => {
-    const engine = engines.get(VMS[which % VMS.length]!)
+  [Event.PauseVm]: ({ engines }, { selector }) => {
+    const engine = engines.get(VMS[selector % VMS.length]!)
     engine.paused = true
     return () => { engine.paused = false }
   },
@@ -97,8 +97,8 @@
     engines.freezeList()
     return () => { engines.thawList() }
   },
-  [Event.ChangeIntent]: (world, { which }) => {
-    world.teams = [makeTeam({ replicas: 1 + which % 3, version: String(which % 2) })]
+  [Event.ChangeIntent]: (world, { selector }) => {
+    world.teams = [makeTeam({ replicas: 1 + selector % 3, version: String(selector % 2) })]
     return () => {}
   }
 }
@@ -106,11 +106,11 @@
 const stepArbitrary: fc.Arbitrary<Step> = fc.record({
   event: fc.constantFrom(...Object.values(Event)),
   afterMs: fc.integer({ min: 0, max: 6_000 }),
-  lastsMs: fc.integer({ min: 200, max: 15_000 }),
-  which: fc.nat(20)
+  durationMs: fc.integer({ min: 200, max: 15_000 }),
+  selector: fc.nat(20)
 })
 
-async function play (steps: readonly Step[], seed: number): Promise<void> {
+async function runSchedule (steps: readonly Step[], seed: number): Promise<void> {
   const world = new FleetWorld({ seed, nodes: NODE_DOMAINS, vmsPerFabricDomain: { 'fd-1.a': 4, 'fd-2.a': 3 }, intent: { replicas: 2 } })
   const invariants = new FleetInvariants(world)
   const check = (): void => { invariants.check() }
@@ -118,14 +118,14 @@
   for (const step of steps) {
     await world.run(step.afterMs, check)
     const end = HANDLERS[step.event](world, step)
-    world.clock.registerTimer(step.lastsMs, end)
+    world.clock.registerTimer(step.durationMs, end)
   }
   await world.run(20_000, check)
   world.teams = [makeTeam({ replicas: 2 })]
-  await world.run(HEAL_MS, check)
+  await world.run(RECOVERY_MS, check)
   const groups = world.table.list(ASSIGNMENT_PREFIX).objects.flatMap((object) => (object.body as AssignmentObject).groups)
-  const serving = groups.filter((group) => world.serves(group) && world.isReallyWhole(group))
-  if (serving.length < 2) throw new Error(`${serving.length} of ${groups.length} groups serve ${HEAL_MS} ms after the last fault`)
+  const serving = groups.filter((group) => world.isServing(group) && world.isActuallyComplete(group))
+  if (serving.length < 2) throw new Error(`${serving.length} of ${groups.length} groups serve ${RECOVERY_MS} ms after the last fault`)
   await world.stop()
 }
 
@@ -136,7 +136,7 @@
   // changes of intent in random order and overlap.
   // Cause: whatever the focused tests did not think of.
   it(`keeps what must always hold, and mends itself (seed ${SEED})`, async () => {
-    const property = fc.asyncProperty(fc.array(stepArbitrary, { minLength: 3, maxLength: 14 }), fc.integer({ min: 1, max: 1_000_000 }), play)
+    const property = fc.asyncProperty(fc.array(stepArbitrary, { minLength: 3, maxLength: 14 }), fc.integer({ min: 1, max: 1_000_000 }), runSchedule)
     await fc.assert(property, { seed: SEED, numRuns: RUNS, endOnFailure: false })
   }).timeout(240_000)
 })
--- a/packages/dotterelspur-fleet/src/__tests__/unit/GroupFailures.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/GroupFailures.test.ts
@@ -5,7 +5,7 @@
 
 async function makeServing (options: WorldOptions = {}): Promise<FleetWorld> {
   const world = new FleetWorld({ nodes: ['fd-1', 'fd-1'], vmsPerFabricDomain: { 'fd-1.a': 3 }, ...options })
-  await world.runUntil('group serves', () => world.serves(world.group()), 15_000)
+  await world.runUntil('group serves', () => world.isServing(world.group()), 15_000)
   return world
 }
 
@@ -14,7 +14,7 @@
 }
 
 /** A VM stands in at most one assignment, and its engine in the group that it stands in or in none. */
-function expectOnePlace (world: FleetWorld): void {
+function expectAssignedOnce (world: FleetWorld): void {
   const places = world.table.list('assignments/').objects
     .flatMap((object) => (object.body as { groups: AssignedGroup[] }).groups)
     .flatMap((group) => [...group.members, ...group.standbys].map((member) => member.vm))
@@ -29,10 +29,10 @@
     const world = await makeServing()
     const before = world.group()!
     world.engines.restart(before.members[1]!.vm)
-    const stoppedMs = await world.runUntil('no more dispatch', () => !world.serves(before), 2_500)
+    const stoppedMs = await world.runUntil('no more dispatch', () => !world.isServing(before), 2_500)
     expect(stoppedMs).to.be.at.most(700)
-    await world.runUntil('serves again', () => world.group()!.formation > before.formation && world.serves(world.group()), 20_000)
-    expect(world.isReallyWhole(world.group()!)).to.equal(true)
+    await world.runUntil('serves again', () => world.group()!.formation > before.formation && world.isServing(world.group()), 20_000)
+    expect(world.isActuallyComplete(world.group()!)).to.equal(true)
     await world.stop()
   })
 
@@ -44,9 +44,9 @@
     const { group, formation } = member
     world.engines.restart(member.vm)
     Object.assign(member, { group, formation, state: EngineState.Ready })
-    const stoppedMs = await world.runUntil('no more dispatch', () => !world.serves(before), 2_500)
+    const stoppedMs = await world.runUntil('no more dispatch', () => !world.isServing(before), 2_500)
     expect(stoppedMs).to.be.at.most(700)
-    await world.runUntil('serves again', () => world.group()!.formation > before.formation && world.serves(world.group()), 20_000)
+    await world.runUntil('serves again', () => world.group()!.formation > before.formation && world.isServing(world.group()), 20_000)
     expect(world.group()!.members.find(({ vm }) => vm === member.vm)!.incarnation).to.equal(member.incarnation)
     await world.stop()
   })
@@ -66,8 +66,8 @@
       world.engines.extraRecords = [{
         vm: 'fd-1.a-1', incarnation: 1, role: VmRole.Engine, state: VmListState.Live, address: 'http://fd-1.a-1', region: 'r1', failureDomain: 'fd-1', fabricDomain: 'fd-1.a', ...fields
       }]
-      await world.run(12_000, () => { expectOnePlace(world) })
-      expect(world.serves(world.assignment('fd-1.a')!.groups[0])).to.equal(true)
+      await world.run(12_000, () => { expectAssignedOnce(world) })
+      expect(world.isServing(world.assignment('fd-1.a')!.groups[0])).to.equal(true)
       await world.stop()
     })
   }
@@ -80,9 +80,9 @@
     const moved = world.group()!.members[0]!.vm
     world.engines.restart(moved)
     Object.assign(world.engines.get(moved), { fabricDomain: 'fd-1.b' })
-    world.engines.touchList()
+    world.engines.bumpListVersion()
     await world.runUntil('placed at its new home', () => world.assignment('fd-1.b')!.groups.some((group) => vmsOf(group).includes(moved)), 40_000)
-    expectOnePlace(world)
+    expectAssignedOnce(world)
     await world.stop()
   })
 
@@ -95,13 +95,13 @@
     const before = world.group()!
     const member = world.engines.get(before.members[1]!.vm)
     member.paused = true
-    const stoppedMs = await world.runUntil('no more dispatch', () => !world.serves(before), 3_500)
+    const stoppedMs = await world.runUntil('no more dispatch', () => !world.isServing(before), 3_500)
     expect(stoppedMs).to.be.at.most(2_600)
     member.paused = false
-    await world.runUntil('dispatch again', () => world.serves(before), 2_000)
+    await world.runUntil('dispatch again', () => world.isServing(before), 2_000)
     expect(world.group()!.formation).to.equal(before.formation)
     member.paused = true
-    await world.runUntil('replaced', () => world.group()!.formation > before.formation && world.serves(world.group()), 30_000)
+    await world.runUntil('replaced', () => world.group()!.formation > before.formation && world.isServing(world.group()), 30_000)
     expect(vmsOf(world.group()!)).to.not.include(member.vm)
     await world.stop()
   })
@@ -117,18 +117,18 @@
       member.running = 3
       if (source === 'list') {
         member.listState = VmListState.Leaving
-        world.engines.touchList()
+        world.engines.bumpListVersion()
       }
       if (source === 'engine') member.leaving = true
       if (source === 'operator') world.nodes[0]!.mesh.offerDocument({ key: `drains/${member.vm}`, version: 1_000, body: { target: member.vm }, deleted: false })
       const admits = (): boolean => world.nodes.some((node) => node.mesh.groupPresence().some((presence) =>
         presence.group === before.group && presence.formation === world.group()!.formation && presence.complete && !presence.leaving))
       await world.runUntil('no new work', () => !admits(), 3_000)
-      await world.run(20_000, () => { expect(member.cutOff).to.equal(0) })
+      await world.run(20_000, () => { expect(member.cutOffRequests).to.equal(0) })
       expect(member.running).to.equal(3)
       member.running = 0
-      await world.runUntil('serves without it', () => !vmsOf(world.group()!).includes(member.vm) && world.serves(world.group()), 30_000)
-      expect([...world.engines.vms.values()].every((engine) => engine.cutOff === 0)).to.equal(true)
+      await world.runUntil('serves without it', () => !vmsOf(world.group()!).includes(member.vm) && world.isServing(world.group()), 30_000)
+      expect([...world.engines.vms.values()].every((engine) => engine.cutOffRequests === 0)).to.equal(true)
       await world.stop()
     })
   }
@@ -139,24 +139,24 @@
   // Cause: stopping needs no agreement, repairing does.
   it('store down for an hour: whole groups serve, the broken one stops at once and is repaired afterwards', async () => {
     const world = await makeServing({ vmsPerFabricDomain: { 'fd-1.a': 4 }, intent: { replicas: 2 } })
-    await world.runUntil('both serve', () => world.assignment('fd-1.a')!.groups.length === 2 && world.assignment('fd-1.a')!.groups.every((group) => world.serves(group)), 10_000)
+    await world.runUntil('both serve', () => world.assignment('fd-1.a')!.groups.length === 2 && world.assignment('fd-1.a')!.groups.every((group) => world.isServing(group)), 10_000)
     const [broken, whole] = world.assignment('fd-1.a')!.groups
     world.storeFaults.down = true
     world.engines.listDown = true
     await world.run(10_000)
     expect(world.holders('fd-1')).to.have.length(0)
-    const obeyed = [...world.engines.vms.values()].map((engine) => engine.obeyed.length)
+    const executed = [...world.engines.vms.values()].map((engine) => engine.executedOrders.length)
     world.kill(broken!.members[1]!.vm)
-    const stoppedMs = await world.runUntil('no more dispatch', () => !world.serves(broken), 2_500)
+    const stoppedMs = await world.runUntil('no more dispatch', () => !world.isServing(broken), 2_500)
     expect(stoppedMs).to.be.at.most(700)
-    await world.run(5 * 60_000, () => { expect(world.serves(whole)).to.equal(true) })
-    expect([...world.engines.vms.values()].map((engine) => engine.obeyed.length)).to.deep.equal(obeyed)
+    await world.run(5 * 60_000, () => { expect(world.isServing(whole)).to.equal(true) })
+    expect([...world.engines.vms.values()].map((engine) => engine.executedOrders.length)).to.deep.equal(executed)
     world.engines.restart(broken!.members[1]!.vm)
     await world.run(55 * 60_000)
-    expect([...world.engines.vms.values()].map((engine) => engine.obeyed.length)).to.deep.equal(obeyed)
+    expect([...world.engines.vms.values()].map((engine) => engine.executedOrders.length)).to.deep.equal(executed)
     world.storeFaults.down = false
     world.engines.listDown = false
-    const repairedMs = await world.runUntil('repaired', () => world.assignment('fd-1.a')!.groups.every((group) => world.serves(group)), 30_000)
+    const repairedMs = await world.runUntil('repaired', () => world.assignment('fd-1.a')!.groups.every((group) => world.isServing(group)), 30_000)
     expect(repairedMs).to.be.below(20_000)
     await world.stop()
   }).timeout(60_000)
@@ -179,7 +179,7 @@
     const serving = (): readonly AssignedGroup[] => dispatchable(world.nodes[0]!).filter((group) => vmsOf(group).includes(standby))
     const steppedInMs = await world.runUntil('stepped in', () => serving().length === 1, 10_000)
     expect(steppedInMs).to.be.below(5_000)
-    expect(world.isReallyWhole(serving()[0]!)).to.equal(true)
+    expect(world.isActuallyComplete(serving()[0]!)).to.equal(true)
     const { formation } = serving()[0]!
     await world.run(60_000, () => { expect(serving()).to.have.length(1) })
     world.storeFaults.down = false
@@ -203,10 +203,10 @@
     world.kill(before.members[1]!.vm)
     const invariants = new FleetInvariants(world)
     await world.run(20_000, () => { invariants.check() })
-    await world.runUntil('repaired', () => world.serves(world.group()), 20_000)
+    await world.runUntil('repaired', () => world.isServing(world.group()), 20_000)
     world.healNode(cut)
     await world.run(5_000, () => { invariants.check() })
-    expect(world.isReallyWhole(world.group()!)).to.equal(true)
+    expect(world.isActuallyComplete(world.group()!)).to.equal(true)
     await world.stop()
   })
 
@@ -217,11 +217,11 @@
     for (let seed = 1; seed <= 5; seed++) {
       const world = await makeServing({ seed, vmsPerFabricDomain: { 'fd-1.a': 4 } })
       const before = world.group()!
-      world.storeFaults.lostReplyShare = 0.2
+      world.storeFaults.lostResponseShare = 0.2
       world.kill(before.members[0]!.vm)
       world.teams = [makeTeam({ replicas: 1, vmsPerReplica: 3 })]
-      await world.runUntil('three members serve', () => world.assignment('fd-1.a')!.groups.some((group) => group.members.length === 3 && world.serves(group)), 200_000)
-      expectOnePlace(world)
+      await world.runUntil('three members serve', () => world.assignment('fd-1.a')!.groups.some((group) => group.members.length === 3 && world.isServing(group)), 200_000)
+      expectAssignedOnce(world)
       world.teams = []
       await world.runUntil('nothing assigned', () => world.assignment('fd-1.a')!.groups.length === 0, 200_000)
       await world.runUntil('all idle', () => [...world.engines.vms.values()].every((engine) => !engine.alive || engine.group === null), 30_000)
--- a/packages/dotterelspur-fleet/src/__tests__/unit/LeaseFailures.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/LeaseFailures.test.ts
@@ -6,17 +6,17 @@
 
 async function makeServing (options: WorldOptions = THREE_NODES): Promise<FleetWorld> {
   const world = new FleetWorld(options)
-  await world.runUntil('group serves', () => world.serves(world.group()), 15_000)
+  await world.runUntil('group serves', () => world.isServing(world.group()), 15_000)
   return world
 }
 
 /** Fencing numbers of every order that any VM obeyed, in the order of obedience, for each VM. */
-function obeyedFencing (world: FleetWorld): number[][] {
-  return [...world.engines.vms.values()].map((engine) => engine.obeyed.map((order) => order.fencing))
+function executedFencing (world: FleetWorld): number[][] {
+  return [...world.engines.vms.values()].map((engine) => engine.executedOrders.map((order) => order.fencing))
 }
 
 function expectFencingRises (world: FleetWorld): void {
-  for (const numbers of obeyedFencing(world)) expect(numbers).to.deep.equal([...numbers].sort((left, right) => left - right))
+  for (const numbers of executedFencing(world)) expect(numbers).to.deep.equal([...numbers].sort((left, right) => left - right))
 }
 
 describe('Lease failures', () => {
@@ -69,7 +69,7 @@
   it('a holder keeps the lease through lost answers', async () => {
     const world = await makeServing()
     const holder = world.holder('fd-1')
-    world.storeFaults.lostReplyShare = 0.5
+    world.storeFaults.lostResponseShare = 0.5
     await world.run(60_000)
     expect(world.holders('fd-1')).to.deep.equal([holder])
     expect(world.lease('fd-1')!.fencing).to.equal(1)
@@ -84,7 +84,7 @@
       const world = await makeServing({ ...THREE_NODES, seed })
       const holder = world.holder('fd-1')
       for (const node of world.nodes) world.hub.cutNodes.add(node.node)
-      world.storeFaults.lostReplyShare = 0.3
+      world.storeFaults.lostResponseShare = 0.3
       world.killNode(holder)
       await world.runUntil('one holds', () => world.holders('fd-1').length > 0, 15_000)
       await world.run(2_000, () => { expect(world.holders('fd-1').length).to.be.at.most(1) })
@@ -110,7 +110,7 @@
     await world.run(200, note)
     world.killNode(holder)
     await world.runUntil('another holds', () => world.holders('fd-1').length === 1, 12_000)
-    await world.runUntil('repaired', () => world.group()!.formation > before.formation && world.serves(world.group()), 20_000)
+    await world.runUntil('repaired', () => world.group()!.formation > before.formation && world.isServing(world.group()), 20_000)
     await world.run(1_000, note)
     expect(versions).to.deep.equal([...versions].sort((left, right) => left - right))
     await world.stop()
@@ -144,12 +144,12 @@
     for (const node of world.nodes.slice(3)) {
       for (const { key, version, body } of documents) node.mesh.offerDocument({ key, version, body, deleted: false })
     }
-    await world.runUntil('group serves', () => world.serves(group), 3_000)
+    await world.runUntil('group serves', () => world.isServing(group), 3_000)
     const takeoverMs = await world.runUntil('one holds', () => world.holders('fd-1').length === 1, 11_000)
     expect(takeoverMs).to.be.below(11_000)
     await world.run(5_000)
     expect(world.group()!.formation).to.equal(group.formation)
-    expect(world.serves(group)).to.equal(true)
+    expect(world.isServing(group)).to.equal(true)
     expect(world.lease('fd-1')!.fencing).to.equal(2)
     await world.stop()
   })
@@ -166,10 +166,10 @@
     world.killNode(world.holder('fd-1'))
     await world.runUntil('another holds', () => world.holders('fd-1').length === 1, 11_000)
     await world.run(3_000)
-    world.engines.obey(stray, late, 1)
-    const stoppedMs = await world.runUntil('no more dispatch', () => !world.serves(world.group()), 2_500)
+    world.engines.execute(stray, late, 1)
+    const stoppedMs = await world.runUntil('no more dispatch', () => !world.isServing(world.group()), 2_500)
     expect(stoppedMs).to.be.at.most(700)
-    await world.runUntil('serves again', () => world.serves(world.group()), 10_000)
+    await world.runUntil('serves again', () => world.isServing(world.group()), 10_000)
     const reasons = world.holder('fd-1').fleet.decisions().map((decision) => decision.reason)
     expect(reasons.some((reason) => reason.includes('earlier holder'))).to.equal(true)
     await world.stop()
@@ -181,9 +181,9 @@
       const [member] = world.group()!.members
       world.killNode(world.holder('fd-1'))
       await world.runUntil('another holds', () => world.holders('fd-1').length === 1, 11_000)
-      const obeyedBefore = world.engines.get(member!.vm).obeyed.length
+      const obeyedBefore = world.engines.get(member!.vm).executedOrders.length
       world.engines.get(member!.vm).group = null
-      const waitedMs = await world.runUntil('ordered', () => world.engines.get(member!.vm).obeyed.length > obeyedBefore, 10_000)
+      const waitedMs = await world.runUntil('ordered', () => world.engines.get(member!.vm).executedOrders.length > obeyedBefore, 10_000)
       if (checksFencing) expect(waitedMs).to.be.below(1_500)
       else expect(waitedMs).to.be.at.least(1_400)
       await world.stop()
