--- a/packages/dotterelspur-fleet/src/process/AuditRecords.ts
+++ b/packages/dotterelspur-fleet/src/process/AuditRecords.ts
@@ -1,6 +1,6 @@
 import { AuditKind, DecisionKind, type AuditRecord, type Decision, type NodeId } from 'dotterelspur'
 
-/** The kinds of decision that change an assignment, as the audit trail names them. */
+/** The audit kind of each decision kind; null for decisions that don't change an assignment. */
 const AUDIT_KIND_BY_DECISION: Readonly<Record<DecisionKind, AuditKind | null>> = {
   [DecisionKind.Form]: AuditKind.GroupFormed,
   [DecisionKind.Serve]: AuditKind.GroupFormed,
@@ -19,7 +19,7 @@
   [DecisionKind.Rollout]: AuditKind.RolloutStep
 }
 
-/** One audit record for a decision that changed something; null for one that only waits. */
+/** The audit record of a decision; null where the decision changes no assignment. */
 export function auditDecision (decision: Decision, node: NodeId): AuditRecord | null {
   const kind = AUDIT_KIND_BY_DECISION[decision.kind]
   if (kind === null) return null
--- a/packages/dotterelspur-fleet/src/process/CleanListing.ts
+++ b/packages/dotterelspur-fleet/src/process/CleanListing.ts
@@ -1,10 +1,10 @@
 import { VmListState, VmRole, type FailureDomainId, type VmId, type VmListing, type VmRecord } from 'dotterelspur'
 
-/** Why a record of the list isn't used. */
+/** Why a record of the VM list isn't used. */
 export enum RecordFault {
-  /** An older line of a VM that is listed more than once. */
+  /** The record of an older incarnation of a VM that is listed more than once. */
   OlderIncarnation = 'older-incarnation',
-  /** The same incarnation is listed in two places: at most one can be true, so it is placed in neither. */
+  /** The same incarnation is listed at two locations. At most one can be right, so the VM isn't used at either. */
   ConflictingLocations = 'two-places'
 }
 
@@ -14,15 +14,15 @@
 }
 
 export interface CleanListing {
-  /** Each VM once. */
+  /** The record to use for each VM. */
   readonly vms: ReadonlyMap<VmId, VmRecord>
   readonly unused: readonly UnusedRecord[]
 }
 
 /**
- * Makes each VM of a listing appear once: the highest incarnation wins, and of two lines with the same one,
- * `leaving` wins, since a VM that leaves never turns live again under its incarnation. A VM whose newest
- * incarnation stands in two fabric domains is left out, so that no two controllers place it.
+ * Reduces a listing to one record per VM. The highest incarnation wins, and of two records with the same incarnation
+ * `leaving` wins, since a leaving VM never becomes live again under the same incarnation. A VM whose newest incarnation
+ * is listed at two locations is left out, so that two controllers can't both assign it.
  */
 export function cleanListing (listing: VmListing): CleanListing {
   const vms = new Map<VmId, VmRecord>()
--- a/packages/dotterelspur-fleet/src/process/DecisionLog.ts
+++ b/packages/dotterelspur-fleet/src/process/DecisionLog.ts
@@ -2,12 +2,12 @@
 
 const KEPT_DECISIONS = 500
 
-/** The last decisions of this node's controllers, newest last. Waiting repeats each tick and is kept once per cause. */
+/** The most recent decisions of this node's controllers, newest last. A wait is decided again at each tick and recorded only when its reason changes. */
 export class DecisionLog {
   private entries: Decision[] = []
   private readonly lastWaits = new Map<string, string>()
 
-  /** Records decisions and returns those that are new. */
+  /** Records the decisions and returns those that are new. */
   record (decisions: readonly Decision[]): readonly Decision[] {
     const fresh = decisions.filter((decision) => this.isNew(decision))
     if (fresh.length > 0) this.entries = [...this.entries, ...fresh].slice(-KEPT_DECISIONS)
--- a/packages/dotterelspur-fleet/src/process/DepartureTracker.ts
+++ b/packages/dotterelspur-fleet/src/process/DepartureTracker.ts
@@ -1,10 +1,10 @@
 import { EngineState, takesNewWork, type AssignmentObject, type Observations, type VmId, type VmStatus } from 'dotterelspur'
 
 /**
- * Remembers which VMs said of themselves that they leave. An engine says the same of itself while it drains by
- * order; if that were taken for the VM's leaving, a group that drains to exchange one member would seem to lose
- * all of them, and would be formed of the same members again. So the word counts only where no drain was
- * ordered, and is kept through the drain that follows from it.
+ * Tracks which VMs have reported on their own that they are leaving. An engine reports the same state while it executes
+ * a drain order. If that counted as the VM's departure, a group that drains to replace one member would seem to lose all
+ * its members, and would be formed of the same members again. So the state counts only where no drain was ordered, and
+ * it is kept during the drain that it causes.
  */
 export class DepartureTracker {
   private readonly incarnations = new Map<VmId, number>()
--- a/packages/dotterelspur-fleet/src/process/DomainController.ts
+++ b/packages/dotterelspur-fleet/src/process/DomainController.ts
@@ -14,7 +14,7 @@
   readonly ticker: Ticker
 }
 
-/** Decides for one failure domain for one term of its lease: one loop for each fabric domain in it. */
+/** Controls one failure domain during one term of its lease, with one control loop for each of its fabric domains. */
 export class DomainController {
   readonly failureDomain: FailureDomainId
   private readonly fabrics = new Map<FabricDomainId, RunningController>()
@@ -37,17 +37,17 @@
     }
   }
 
-  /** The assignments of this term, for reading. */
+  /** The assignments that this term has adopted. */
   assignments (): readonly AssignmentObject[] {
     return [...this.fabrics.values()].flatMap(({ controller }) => controller.assignment ?? [])
   }
 
-  /** The VMs of this term's fabric domains as last looked at. */
+  /** The health of the VMs in this failure domain's fabric domains as of their last ticks. */
   health (): readonly VmHealth[] {
     return [...this.fabrics.values()].flatMap(({ controller }) => controller.health)
   }
 
-  /** Starts loops for fabric domains that the list or the mesh knows here; ends none, since the list lags. */
+  /** Starts loops for new fabric domains in the VM list or the assignments. Stops none, since the list lags behind. */
   refresh (): void {
     if (this.stopped) return
     for (const [fabricDomain, region] of this.knownFabricDomains()) this.startController(fabricDomain, region)
@@ -71,9 +71,9 @@
   }
 
   /**
-   * An engine that doesn't check fencing numbers would obey an order of the holder before that is still under
-   * way. Such an order ends at the latest one order timeout after its sender had to stop, so this term's first
-   * order to it waits for as long.
+   * Whether orders of the previous lease holder can no longer reach the VM. An engine that doesn't check fencing numbers
+   * would obey such an order while it is still in flight. It times out at the latest one order timeout after its sender
+   * had to stop, so this term's first order to such an engine waits for as long.
    */
   private haveEarlierOrdersExpired (vm: VmId): boolean {
     const { options, timing, vmList } = this.context
--- a/packages/dotterelspur-fleet/src/process/FabricController.ts
+++ b/packages/dotterelspur-fleet/src/process/FabricController.ts
@@ -13,15 +13,15 @@
 import type { ProbeTarget } from './Prober.js'
 import { StrayDetector } from './StrayDetector.js'
 
-/** What the failure domain's controller gives to that of one fabric domain. */
+/** The authority that a failure domain's controller delegates to the controller of one fabric domain. */
 export interface FabricAuthority extends OrderAuthority {
-  /** Whether anything may be written or ordered at this instant. */
+  /** Whether the lease allows writes and orders at this instant. */
   mayDecide (): boolean
 }
 
 /**
- * Decides for one fabric domain under a held lease. Each tick compares intent, assignment, list and evidence,
- * writes the assignment when it has to change, and sends the orders that follow from what is written.
+ * Controls one fabric domain under a held lease. Each tick compares the intents, the assignment, the VM list and the
+ * evidence, writes the assignment when it has to change, and sends the orders that follow from the written assignment.
  */
 export class FabricController {
   private adopted: StoredObject<AssignmentObject> | null = null
@@ -37,12 +37,12 @@
     return this.adopted?.body ?? null
   }
 
-  /** The VMs here as the last tick saw them. */
+  /** The health of this fabric domain's VMs as of the last tick. */
   get health (): readonly VmHealth[] {
     return this.latestHealth
   }
 
-  /** Why the last write did not get through, null when it did. */
+  /** Why the last write failed; null when it succeeded. */
   get writeFailure (): WriteFailure | null {
     return this.lastFailure
   }
@@ -65,7 +65,7 @@
     return `controller/${this.place.fabricDomain}`
   }
 
-  /** The mesh knows a later version than this term's own last write: someone else has written, so it is read again. */
+  /** Discards the adopted assignment when the mesh has a later version: another writer has changed it, so it has to be read again. */
   private discardOutdated (): void {
     const document = this.context.options.mesh.document(assignmentKey(this.place.fabricDomain))
     if (this.adopted !== null && document !== undefined && document.version > this.adopted.version) this.adopted = null
@@ -112,7 +112,7 @@
     this.context.record(decisions)
   }
 
-  /** After a lost or refused write nothing is built on the old reading; after one that certainly failed it stands. */
+  /** Discards the adopted assignment after a write that was refused or has an unknown outcome, and keeps it after one that certainly failed. */
   private applyWriteResult (result: Result<StoredObject<AssignmentObject>, WriteFailure>): void {
     this.lastFailure = result.ok ? null : result.error
     if (result.ok) {
@@ -137,7 +137,7 @@
     }
   }
 
-  /** What the VMs here said themselves, unexpired and as the VMs that they are listed as. */
+  /** The unexpired statuses of this fabric domain's VMs, each reported by the VM that was probed and not by another at its address. */
   private observedVms (): ReadonlyMap<VmId, ObservedVm> {
     const { prober, options: { clock }, timing } = this.context
     const observed = new Map<VmId, ObservedVm>()
@@ -170,7 +170,7 @@
     })
   }
 
-  /** Members of groups that evidence shows whole are left to their watchers, but for a slow look of its own. */
+  /** Members of complete groups are left to their watchers, and this controller probes them only at the long interval. */
   private setTargets (health: readonly VmHealth[]): void {
     const { prober, timing } = this.context
     const complete = this.completeGroups(this.adopted!.body)
--- a/packages/dotterelspur-fleet/src/process/Fleet.ts
+++ b/packages/dotterelspur-fleet/src/process/Fleet.ts
@@ -20,7 +20,7 @@
 
 const log = debug('dotterelspur:fleet')
 
-/** What the fleet's loops have done, for metrics. */
+/** Counters of the fleet's loops, for metrics. */
 export interface FleetCounts {
   readonly orders: OrderCounts
   readonly probesSent: number
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Ends this node's part as a controller in a planned stop: decides nothing more, lets the orders under way end,
-   * then gives its leases up so that others take them at once. The watcher goes on until `stop`.
+   * Ends this node's work as a controller before a planned stop: makes no more decisions, waits for the orders in
+   * progress, then releases its leases so that other nodes can take them at once. The watcher runs until `stop`.
    */
   async handOver (): Promise<void> {
     for (const controller of this.controllers.values()) controller.stop()
@@ -110,19 +110,19 @@
     return this.leaseRegistry.held()
   }
 
-  /** What this node's controllers decided lately, newest last. */
+  /** The most recent decisions of this node's controllers, newest last. */
   decisions (): readonly Decision[] {
     return this.log.all()
   }
 
-  /** What this node, as watcher, last saw of its groups. */
+  /** This node's latest evidence of the groups that it watches. */
   evidence (): readonly GroupEvidence[] {
     return this.watcher.evidence()
   }
 
   /**
-   * What this node has recorded, for explanations. Only the controller of a failure domain knows its VMs and
-   * decisions; other nodes answer from assignments and evidence.
+   * This node's state, for explanations. Only the controller of a failure domain has its VMs and decisions; other nodes
+   * explain from assignments and evidence.
    */
   explainInput (): ExplainInput {
     const { clock, mesh, settings } = this.options
@@ -147,7 +147,7 @@
     return { orders: this.orders.counts, probesSent: this.prober.probesSent, pauses: this.pauses.pauses, leasesTaken: this.leasesTaken, leasesLost: this.leasesLost }
   }
 
-  /** Brings the controllers' next look forward, as after a change of settings. */
+  /** Runs the controllers' next ticks at once, as after a change of settings. */
   triggerControllers (): void {
     for (const controller of this.controllers.values()) controller.trigger()
   }
@@ -164,7 +164,7 @@
   private handleLeaseTaken (term: LeaseTerm): void {
     this.leasesTaken += 1
     log('lease of %s taken, fencing %d', term.failureDomain, term.fencing)
-    this.auditLease(AuditKind.LeaseTaken, term.failureDomain, `fencing ${term.fencing}`, 'the lease was free or its holder silent for its whole TTL')
+    this.auditLease(AuditKind.LeaseTaken, term.failureDomain, `fencing ${term.fencing}`, 'the lease was free, or its holder did not renew it for its whole TTL')
     this.stopStepIn(term.failureDomain)
     const lease = this.leaseRegistry.controller(term.failureDomain)!
     const controller = new DomainController(term, lease, this.pauses, this.context, (error) => { this.logError(error) })
@@ -196,7 +196,7 @@
     this.stepIns.delete(failureDomain)
   }
 
-  /** Someone holds the lease under a higher number than the one under which this node agreed: it decides. */
+  /** Stops a step-in when another node holds the lease under a higher fencing number, since that node now controls the failure domain. */
   private handleLeaseDocument (document: MeshDocument): void {
     const lease = document.body as LeaseObject | null
     if (lease === null) return
@@ -213,7 +213,7 @@
   }
 
   private handlePause (durationMs: number): void {
-    log('did not run for %d ms; leases are presumed lost', Math.round(durationMs))
+    log('process was paused for %d ms; leases are presumed lost', Math.round(durationMs))
     this.leaseRegistry.handlePause()
     for (const failureDomain of [...this.stepIns.keys()]) this.stopStepIn(failureDomain)
   }
@@ -232,11 +232,11 @@
   }
 
   private logError (error: unknown): void {
-    log('a step failed: %o', error)
+    log('fleet step failed: %o', error)
   }
 }
 
-/** Makes the fleet of one node; nothing runs before `start`. */
+/** Creates the fleet of one node. It is idle until `start`. */
 export function createFleet (options: FleetOptions): Fleet {
   return new Fleet(options)
 }
--- a/packages/dotterelspur-fleet/src/process/FleetContext.ts
+++ b/packages/dotterelspur-fleet/src/process/FleetContext.ts
@@ -6,7 +6,7 @@
 import type { Prober } from './Prober.js'
 import type { VmListPoller } from './VmListPoller.js'
 
-/** What the controllers of one node share. */
+/** State and services that the controllers of one node share. */
 export interface FleetContext {
   readonly options: FleetOptions
   readonly timing: FleetTiming
@@ -14,9 +14,9 @@
   readonly orders: OrderSender
   readonly vmList: VmListPoller
   readonly shares: IntentShares
-  /** Freshest evidence of each group, from the mesh. */
+  /** The freshest evidence of each group, from the mesh. */
   presence (): ReadonlyMap<GroupId, GroupPresence>
-  /** VMs and groups that operators drain. */
+  /** The VMs and groups that operators are draining. */
   drained (): ReadonlySet<string>
   record (decisions: readonly Decision[]): void
 }
--- a/packages/dotterelspur-fleet/src/process/FleetOptions.ts
+++ b/packages/dotterelspur-fleet/src/process/FleetOptions.ts
@@ -6,13 +6,13 @@
 /** Whether a VM's engine refuses orders that carry an old fencing number. */
 export type FencingLookup = (vm: { readonly vm: VmId, readonly fabricDomain: FabricDomainId, readonly failureDomain: FailureDomainId }) => boolean
 
-/** What the fleet needs of the node that it runs in. */
+/** Dependencies and settings that the node passes to the fleet. */
 export interface FleetOptions {
   readonly clock: Clock
   readonly random: Random
   readonly mesh: MeshApi
   readonly store: ObjectStore
-  /** For leases alone: one attempt and a short timeout, since a renewal that comes late is of no use. By default `store`. */
+  /** The store client for leases, with a single attempt and a short timeout, since a late renewal is of no use. Defaults to `store`. */
   readonly leaseStore?: ObjectStore
   readonly vmDirectory: VmDirectory
   readonly engines: EngineApi
@@ -20,13 +20,13 @@
   /** All teams' settings in force on this node. */
   readonly settings: () => readonly TeamSettings[]
   readonly audit: (record: AuditRecord) => void
-  /** True for every VM unless the node's settings say otherwise. */
+  /** Defaults to true for every VM. */
   readonly checksFencing?: FencingLookup
-  /** Failure domains that are known by the node's settings; others are learned from the VM list and the members. */
+  /** Failure domains from the node's settings; others are discovered from the VM list and the mesh's members. */
   readonly failureDomains?: readonly FailureDomainId[]
-  /** The weight store's whole rate; each fabric domain takes its share without asking. */
+  /** The weight store's total rate; each fabric domain computes its own share of it. */
   readonly weightStoreRate?: WeightStoreRate
-  /** Failed requests of 100 at a group's formation as this node's entry counts them, null when too few ran to tell. */
+  /** Percentage of failed requests at a group's formation, counted by this node's entry; null when too few ran for an estimate. */
   readonly errorPercent?: (group: GroupId, formation: number) => number | null
   readonly timing?: Partial<FleetTiming>
 }
--- a/packages/dotterelspur-fleet/src/process/FleetTiming.ts
+++ b/packages/dotterelspur-fleet/src/process/FleetTiming.ts
@@ -3,19 +3,19 @@
   DEFAULT_PROBE_TIMEOUT_MS, type LeaseTiming, type PlanningSettings
 } from 'dotterelspur'
 
-/** The times of the fleet's loops. */
+/** Intervals and timeouts of the fleet's loops. */
 export interface FleetTiming {
   readonly lease: LeaseTiming
-  /** How often a candidate reads a lease that it doesn't hold and of which the mesh brings no news. */
+  /** How often a candidate reads a lease that it doesn't hold and for which the mesh delivers no updates. */
   readonly leaseReadIntervalMs: number
-  /** A better ranked candidate must have been there for this long before a holder gives its lease up to it. */
+  /** How long a better-ranked candidate must have been present before a lease holder releases the lease to it. */
   readonly leaseYieldMs: number
   readonly probeIntervalMs: number
-  /** Between two probes by one watcher of a VM whose group serves and is whole; the other watcher looks in between. */
+  /** Probe interval of one watcher for the members of a complete, serving group; the other watcher probes in between. */
   readonly steadyProbeIntervalMs: number
-  /** Between two probes of a VM that serves nothing. */
+  /** Probe interval for a VM that is in no group or is a standby. */
   readonly idleProbeIntervalMs: number
-  /** Between two probes by the controller of a member whose group is whole by its watchers' evidence. */
+  /** Probe interval of the controller for the members of a group that is complete by its watchers' evidence. */
   readonly quietProbeIntervalMs: number
   readonly probeTimeoutMs: number
   readonly evidenceTtlMs: number
@@ -23,7 +23,7 @@
   readonly controllerIntervalMs: number
   readonly vmListIntervalMs: number
   readonly orderTimeoutMs: number
-  /** An order whose effect doesn't show is made again after this. */
+  /** An order is sent again after this time if its effect isn't observed. */
   readonly orderRetryMs: number
   readonly pauseThresholdMs: number
   readonly planning: PlanningSettings
--- a/packages/dotterelspur-fleet/src/process/GroupAges.ts
+++ b/packages/dotterelspur-fleet/src/process/GroupAges.ts
@@ -3,13 +3,13 @@
 interface Ages {
   readonly formation: number
   readonly state: GroupState
-  /** When this node first saw the group in this state. */
+  /** When this node first observed the group in this state. */
   readonly stateSinceMs: number
-  /** Since when its evidence has been complete at this formation without a break; null when it isn't. */
+  /** Since when the evidence has shown the group complete at this formation without interruption; null when it isn't complete. */
   readonly completeSinceMs: number | null
 }
 
-/** For how long each group has been as it is, on this node's own clock: the wall times in an assignment decide nothing. */
+/** How long each group has been in its state, on this node's own monotonic clock; the wall times in assignments aren't used. */
 export class GroupAges {
   private ages: ReadonlyMap<GroupId, Ages> = new Map()
 
@@ -21,7 +21,7 @@
     this.ages = next
   }
 
-  /** Broken for so long that its repair is no longer likely. */
+  /** Whether the group has been broken for so long that its repair is no longer likely. */
   isLost (group: AssignedGroup): boolean {
     return this.inStateMs(group, GroupState.Broken) >= this.lostAfterMs
   }
--- a/packages/dotterelspur-fleet/src/process/IntentShares.ts
+++ b/packages/dotterelspur-fleet/src/process/IntentShares.ts
@@ -18,12 +18,12 @@
   readonly presence: () => ReadonlyMap<GroupId, GroupPresence>
 }
 
-/** Where the node's settings don't state the weight store's rate. */
+/** Used when the node's settings don't state the weight store's rate. */
 const DEFAULT_WEIGHT_RATE: WeightStoreRate = { loadsPerMinute: 60, burst: 32 }
-/** Loads of a new version may take a few times the expected time before they count as failed. */
+/** Forming a group at a new version counts as failed after this many times the expected time to load and join. */
 const FORM_TIMEOUT_LOADS = 4
 
-/** What follows from the facts that all controllers share: reckoned once for all fabric domains that tick together. */
+/** Each fabric domain's intents and load budget, computed from the shared state once for all fabric domains that tick at about the same time. */
 export class IntentShares {
   private computed: Computed | null = null
   private readonly ages: GroupAges
@@ -41,7 +41,7 @@
     return shareLoadBudget(this.options.weightStoreRate ?? DEFAULT_WEIGHT_RATE, loadDemands(this.current().state), fabricDomain)
   }
 
-  /** Intents that no fabric domain has room for, with whom they lost to. */
+  /** Intents that no fabric domain has capacity for, with the intents that took precedence. */
   unmet (): readonly UnmetIntent[] {
     return this.computed?.plan.allocation.unmet ?? []
   }
--- a/packages/dotterelspur-fleet/src/process/LeaseController.ts
+++ b/packages/dotterelspur-fleet/src/process/LeaseController.ts
@@ -6,10 +6,10 @@
 import type { FleetOptions } from './FleetOptions.js'
 import type { FleetTiming } from './FleetTiming.js'
 
-/** Nodes below this rank don't try for a lease and don't read it: the store's calls would grow with the nodes. */
+/** Only this many best-ranked nodes read a lease and try to take it; otherwise the calls to the store would grow with the number of nodes. */
 export const CANDIDATES_PER_LEASE = 3
 
-/** After giving a lease up to a better placed node, this node leaves it alone for so long. */
+/** After releasing a lease, this node doesn't try to take it for this long. */
 const YIELD_COOLDOWN_MS = 10_000
 
 export interface LeaseListener {
@@ -17,7 +17,7 @@
   lost (failureDomain: FailureDomainId, loss: LeaseLoss): void
 }
 
-/** Runs one failure domain's lease on one node: watches it, takes it, renews it, gives it up. */
+/** Manages one failure domain's lease on one node: observes it, takes it, renews it and releases it. */
 export class LeaseController {
   private sighting: LeaseSighting = NO_SIGHTING
   private held: LeaseTerm | null = null
@@ -42,29 +42,29 @@
     return this.held
   }
 
-  /** Asked right before each order and each write. */
+  /** Whether the lease allows an order or a write at this instant; checked immediately before each. */
   mayOrder (): boolean {
     return this.held !== null && mayOrder(this.held, this.timing.lease, this.options.clock.nowMs())
   }
 
-  /** A copy of the lease came through the mesh. */
+  /** Takes in a copy of the lease that arrived through the mesh. */
   observeDocument (document: MeshDocument): void {
     if (!document.key.startsWith(LEASE_PREFIX) || document.deleted) return
     this.sighting = observeLease(this.sighting, document.version, document.body as LeaseObject, this.options.clock.nowMs())
   }
 
-  /** This process did not run for a while: nothing is ordered until a renewal gets through. */
+  /** Suspends the term after a pause of this process: no orders are sent until a renewal succeeds. */
   handlePause (): void {
     if (this.held !== null) this.held = suspendTerm(this.held, this.options.clock.nowMs())
   }
 
-  /** An assignment or an endpoint knows a higher fencing number than this term's: someone else holds or held the lease. */
+  /** Takes in a fencing number from an assignment or an endpoint. A number above this term's ends the term, since another node has held the lease after it. */
   observeFencing (fencing: number): void {
     this.sighting = raiseFencingFloor(this.sighting, fencing)
     if (this.held !== null && fencing > this.held.fencing) this.endTerm(LeaseLoss.FencingTooLow)
   }
 
-  /** Does what is due now. `rank` is this node's place among the living candidates. */
+  /** Does what is due now. `rank` is this node's rank among the living candidates. */
   async step (rank: number): Promise<void> {
     if (this.runningStep !== null) return
     this.runningStep = this.runStep(rank)
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Gives the lease up, so that another node may take it at once. Returns whether the store took it. */
+  /** Releases the lease, so that another node can take it at once. Returns whether the store accepted the release. */
   async release (): Promise<boolean> {
     await this.runningStep
     return await this.releaseHeld()
@@ -165,7 +165,7 @@
     this.listener.lost(this.failureDomain, loss)
   }
 
-  /** The lease as this node's own last write left it: no other process orders under it, so it may be taken again at once. */
+  /** The lease as this node last wrote it. No other process sends orders under it, so this node may take it again at once. */
   private ownLease (term: LeaseTerm): LeaseObject {
     const { node, incarnation } = this.options.mesh.self
     return {
@@ -178,7 +178,7 @@
     this.sighting = observeLease(this.sighting, stored.version, stored.body, this.options.clock.nowMs())
   }
 
-  /** Spreads a takeover or a release, which others should know of at once; renewals are read by the candidates alone. */
+  /** Broadcasts a takeover or a release through the mesh, so that other nodes learn of it at once. Renewals aren't broadcast: only the candidates read them. */
   private broadcast (stored: StoredObject<LeaseObject>): void {
     this.options.mesh.offerDocument({ key: stored.key, version: stored.version, body: stored.body, deleted: false })
   }
--- a/packages/dotterelspur-fleet/src/process/LeaseRegistry.ts
+++ b/packages/dotterelspur-fleet/src/process/LeaseRegistry.ts
@@ -8,7 +8,7 @@
 
 const STEP_INTERVAL_MS = 100
 
-/** All leases as one node sees them: one keeper for each known failure domain. */
+/** The lease controllers of one node, one for each known failure domain. */
 export class LeaseRegistry {
   private readonly controllers = new Map<FailureDomainId, LeaseController>()
   private readonly regions = new Map<FailureDomainId, RegionId>()
@@ -38,7 +38,7 @@
     for (const teardown of this.teardowns) teardown()
   }
 
-  /** Makes a failure domain known; its region, once known, only orders the candidates. */
+  /** Registers a failure domain. Its region, once known, affects only the ranking of the candidates. */
   addFailureDomain (failureDomain: FailureDomainId, region: RegionId | null): void {
     if (region !== null && this.regions.get(failureDomain) !== region) {
       this.regions.set(failureDomain, region)
--- a/packages/dotterelspur-fleet/src/process/OrderSender.ts
+++ b/packages/dotterelspur-fleet/src/process/OrderSender.ts
@@ -3,7 +3,7 @@
 } from 'dotterelspur'
 import type { FleetTiming } from './FleetTiming.js'
 
-/** Under which lease orders go out, asked right before each send. */
+/** The lease under which orders are sent; checked immediately before each send. */
 export interface OrderAuthority {
   readonly fencing: number
   /** Whether an order may be sent to this VM at this instant. */
@@ -16,7 +16,7 @@
   done: number
   failed: number
   fenced: number
-  /** Held back since the lease didn't allow them at the instant of sending. */
+  /** Not sent, since the lease didn't allow them at that instant. */
   withheld: number
 }
 
@@ -26,8 +26,8 @@
 }
 
 /**
- * Sends orders: one at a time to each VM, the same one not again before its effect had time to show. The
- * authority is asked in the same step of the loop in which the connection is used, with nothing awaited between.
+ * Sends orders, one at a time to each VM. The same order isn't sent again until its effect has had time to be observed.
+ * The authority is checked in the same turn of the event loop that starts the request, with no `await` in between.
  */
 export class OrderSender {
   readonly counts: OrderCounts = { sent: 0, done: 0, failed: 0, fenced: 0, withheld: 0 }
@@ -51,12 +51,12 @@
     this.inProgress.set(due.vm, done)
   }
 
-  /** Resolves when no order is under way; each ends by its timeout. */
+  /** Resolves when no order is in progress; each ends at its timeout at the latest. */
   async settled (): Promise<void> {
     while (this.inProgress.size > 0) await Promise.allSettled([...this.inProgress.values()])
   }
 
-  /** Forgets VMs that are no longer in any fabric domain of this node. */
+  /** Discards the state of VMs that are no longer in any fabric domain of this node. */
   retain (vms: ReadonlySet<VmId>): void {
     for (const vm of this.lastSent.keys()) {
       if (!vms.has(vm)) this.lastSent.delete(vm)
--- a/packages/dotterelspur-fleet/src/process/PauseDetector.ts
+++ b/packages/dotterelspur-fleet/src/process/PauseDetector.ts
@@ -3,13 +3,12 @@
 const SAMPLE_INTERVAL_MS = 200
 
 /**
- * Notices that this process did not run for a while. A paused holder goes on with what it was doing as if no
- * time had passed: its next step may be an order under a lease that someone else has taken meanwhile. The
- * detector is asked right before each such step, not only by its own timer, since after a pause any callback
- * may run first.
+ * Detects that this process was paused. A paused lease holder resumes as if no time had passed, and its next step may be
+ * an order under a lease that another node has taken meanwhile. The detector is sampled immediately before each such
+ * step as well as by its own timer, since any callback may run first after a pause.
  *
- * The wall clock is looked at too: where the VM itself is suspended, the monotonic clock may stand still while
- * the wall clock is set forward when the VM wakes. A wall clock that jumps for other reasons costs one renewal.
+ * The wall clock is compared too: when the VM itself is suspended, the monotonic clock may stop, while the wall clock is
+ * set forward when the VM resumes. A wall clock that jumps for another reason costs one renewal.
  */
 export class PauseDetector {
   private lastNowMs: number
@@ -22,7 +21,7 @@
     this.lastWallMs = clock.wallMs()
   }
 
-  /** Pauses noticed so far. */
+  /** Number of pauses detected so far. */
   get pauses (): number {
     return this.count
   }
@@ -36,7 +35,7 @@
     this.cancelTimer()
   }
 
-  /** Compares with the last sample; listeners have run when it returns. */
+  /** Compares the clocks with the last sample. After a pause, `onPause` has run when this returns. */
   sample (): void {
     const nowMs = this.clock.nowMs()
     const wallMs = this.clock.wallMs()
--- a/packages/dotterelspur-fleet/src/process/Prober.ts
+++ b/packages/dotterelspur-fleet/src/process/Prober.ts
@@ -5,7 +5,6 @@
 import type { FleetTiming } from './FleetTiming.js'
 import { Ticker } from './Ticker.js'
 
-/** A VM to probe. */
 export interface ProbeTarget {
   readonly vm: VmId
   readonly address: string
@@ -15,28 +14,28 @@
 interface Probe {
   target: ProbeTarget
   inFlight: boolean
-  /** From when on the next beat asks. */
+  /** The probe is sent in the next batch from this time on. */
   dueAtMs: number
   firstSentAtMs: number | null
 }
 
-/** Told of each observation; `isNews` when it differs from the one before in more than its time. */
+/** Called for each observation; `hasChanged` is true when it differs from the previous one in more than its time. */
 export type ObservationListener = (vm: VmId, hasChanged: boolean) => void
 
-/** Weight of the newest reading in a VM's smoothed latency. */
+/** Weight of the newest measurement in a VM's smoothed latency. */
 const LATENCY_SMOOTHING = 0.2
 const REFUSAL_RECHECK_MS = 100
-/** A straggler's smoothed latency is at least this, and this many times the median. */
+/** A VM is a straggler when its smoothed latency is at least STRAGGLER_FLOOR_MS and STRAGGLER_FACTOR times the median. */
 const STRAGGLER_FLOOR_MS = 100
 const STRAGGLER_FACTOR = 4
 
 /**
- * Probes the VMs that the watcher and the controllers of this node ask for: each VM once, at the shortest of
- * the intervals asked for. All that are due go out together, at a beat whose phase each node draws at random: most
- * of a probe's cost is waking the process up, and one waking serves a whole batch (docs/notes/presence.md).
+ * Probes the VMs that the watcher and the controllers of this node request, each VM at the shortest interval requested
+ * for it. Probes that are due are sent in one batch, and each node starts its batches at a random phase. Most of a
+ * probe's cost is waking the process up, and one wake-up serves a whole batch (docs/notes/presence.md).
  *
- * A refused connection counts at once: nothing runs there. A probe without an answer says nothing; the VM's
- * evidence grows old and expires.
+ * A refused connection counts at once, since no process is listening. A probe without a response changes nothing: the
+ * VM's evidence ages and expires.
  */
 export class Prober {
   private readonly targetsByRequester = new Map<string, readonly ProbeTarget[]>()
@@ -62,12 +61,12 @@
     return this.latest
   }
 
-  /** Probes sent since the start, for the count of what control costs. */
+  /** Number of probes sent since the start, for measuring the overhead of control. */
   get probesSent (): number {
     return this.probeCount
   }
 
-  /** When the VM was first asked under the present wish to probe it; null when it isn't probed. */
+  /** When the VM's first probe was sent since it became a target; null when none was sent or it isn't a target. */
   firstProbedAtMs (vm: VmId): number | null {
     return this.probes.get(vm)?.firstSentAtMs ?? null
   }
@@ -76,7 +75,7 @@
     return this.targetsByRequester.get(requester) ?? []
   }
 
-  /** Whether a VM answers much later than the others that this node probes. */
+  /** Whether a VM responds much more slowly than the others that this node probes. */
   isStraggling (vm: VmId): boolean {
     const latencyMs = this.latencies.get(vm)
     if (latencyMs === undefined || latencyMs < STRAGGLER_FLOOR_MS) return false
@@ -84,14 +83,14 @@
     return latencyMs >= STRAGGLER_FACTOR * sorted[Math.floor(sorted.length / 2)]!
   }
 
-  /** Replaces what one asker wants probed. */
+  /** Replaces the targets of one requester. */
   setTargets (requester: string, targets: readonly ProbeTarget[]): void {
     if (targets.length === 0) this.targetsByRequester.delete(requester)
     else this.targetsByRequester.set(requester, targets)
     this.reconcile()
   }
 
-  /** Takes in a status that came with another answer, such as that to an order asked at `askedAtMs`. */
+  /** Records a status from another response, such as that to an order sent at `askedAtMs`. */
   recordStatus (status: VmStatus, askedAtMs: number): void {
     if (this.probes.has(status.vm)) this.recordResponse(status.vm, status, askedAtMs)
   }
@@ -128,7 +127,7 @@
     this.latencies.delete(vm)
   }
 
-  /** A VM that is new is asked at once, so that a controller that begins to look learns soon what there is. */
+  /** Probes a new VM at once, so that a new controller soon has its status. */
   private addProbe (target: ProbeTarget): void {
     this.probes.set(target.vm, { target, inFlight: false, dueAtMs: this.clock.nowMs(), firstSentAtMs: null })
     this.ticker.trigger()
@@ -174,8 +173,8 @@
   }
 
   /**
-   * A connection that is refused comes back well before the timeout. One that can't be made in time proves nothing:
-   * the packets may be lost, or the VM may stand still.
+   * A refused connection fails well before the timeout. A connection that isn't established in time proves nothing: the
+   * packets may be lost, or the VM may be paused.
    */
   private recordError (vm: VmId, error: EndpointError, askedAtMs: number): void {
     const timedOut = this.clock.nowMs() - askedAtMs >= this.timing.probeTimeoutMs
@@ -186,7 +185,7 @@
     if (refusals === 1) this.scheduleRecheck(vm)
   }
 
-  /** A second refusal says that the process has ended; waiting a whole beat for it would only make the repair later. */
+  /** A second refusal shows that the process has terminated; waiting a whole probe interval for it would only delay the repair. */
   private scheduleRecheck (vm: VmId): void {
     this.clock.registerTimer(REFUSAL_RECHECK_MS, () => {
       const probe = this.probes.get(vm)
--- a/packages/dotterelspur-fleet/src/process/ServiceWatcher.ts
+++ b/packages/dotterelspur-fleet/src/process/ServiceWatcher.ts
@@ -14,7 +14,7 @@
   refused: boolean
 }
 
-/** Probes the workers of plain services that this node watches. */
+/** Probes the service workers that this node watches. */
 export class ServiceWatcher {
   private readonly workers = new Map<VmId, WatchedWorker>()
   private leaving: ReadonlySet<string> = new Set()
--- a/packages/dotterelspur-fleet/src/process/StepInController.ts
+++ b/packages/dotterelspur-fleet/src/process/StepInController.ts
@@ -12,20 +12,21 @@
 
 export interface StepInSource {
   readonly term: LeaseTerm
-  /** The assignments as this node's own last writes under that term left them. */
+  /** The assignments as this node last wrote them under that term. */
   readonly assignments: readonly AssignmentObject[]
 }
 
 /**
- * Goes on for a node whose lease ran out because the store is out: sends the orders of formations that the
- * assignments had agreed on in advance, and nothing else.
+ * Lets standbys step in after this node's lease has expired during a store outage: sends the orders of the reserved
+ * formations in its assignments, and nothing else.
  *
- * What goes wrong without it: for as long as the store is out, a group that lost a member stays broken with a
- * loaded standby beside it. What could go wrong with it: this node alone is cut off, and another one decides. Its
- * orders carry the ended term's fencing number, so an engine that has seen the other's refuses them, and a single
- * refusal ends this; engines that don't check are never ordered; a pause ends it; and it waits until no node that
- * this one hears has had an answer from the store for a whole TTL. Which formation a number stands for follows from
- * the assignment, so no two nodes can mean different members by it (`StepIn`).
+ * Without it, a group that lost a member would stay broken for the whole outage although it has a loaded standby. The
+ * risk is that only this node is cut off and another node holds the lease by now. Several rules keep the two from
+ * conflicting. The orders carry the expired term's fencing number, so an engine that has received the other node's number
+ * refuses them, and a single refusal stops this controller. Engines that don't check fencing numbers get no orders. A
+ * pause stops this controller. It does nothing until neither this node nor any node that it can hear has reached the
+ * store for a whole TTL. The members of a formation number follow from the assignment, so two nodes can't form different
+ * members under the same number (`StepIn`).
  */
 export class StepInController {
   private readonly ticker: Ticker
@@ -82,7 +83,7 @@
     return [...members, ...group.standbys.map(target(timing.idleProbeIntervalMs))]
   }
 
-  /** The group as it should stand now; undefined while it stands as agreed, or where nothing was agreed for it. */
+  /** The group at the reserved formation that is to be formed or completed now; undefined if none applies or one of its members isn't present. */
   private targetFormation (group: AssignedGroup): AssignedGroup | undefined {
     const lost = new Set(group.members.filter((member) => this.isLost(member)).map((member) => member.vm))
     const started = this.startedFormation(group)
@@ -92,7 +93,7 @@
     return groupAtStepIn(group, derived)
   }
 
-  /** A formation set aside in which some VM is already: it is completed, also when a lost member came back meanwhile. */
+  /** A reserved formation that some VM has already joined. It is completed even if a lost member has come back meanwhile. */
   private startedFormation (group: AssignedGroup): ReturnType<typeof readStepIn> {
     const formations = [...group.members, ...group.standbys].flatMap(({ vm }) => {
       const status = this.context.prober.observations.get(vm)?.evidence?.status
--- a/packages/dotterelspur-fleet/src/process/StrayDetector.ts
+++ b/packages/dotterelspur-fleet/src/process/StrayDetector.ts
@@ -1,10 +1,10 @@
 import { DecisionKind, type AssignedGroup, type AssignmentObject, type Decision, type ObservedVm, type VmId, type VmStatus } from 'dotterelspur'
 
 /**
- * Notices a member that was at its place and is elsewhere now, under the same incarnation and without an order
- * of this controller: an order of an earlier holder reached an engine that doesn't check fencing numbers. The
- * group is out of service at once, since its evidence is incomplete; this says why. The order to form follows
- * from the difference as always.
+ * Detects a member that was at its assigned formation and has left it, under the same incarnation and without an order of
+ * this controller: an order of an earlier lease holder has reached an engine that doesn't check fencing numbers. The
+ * group is out of service at once, since its evidence is incomplete, and the decision made here records the reason. The
+ * order that brings the member back follows from its status, as for any member that isn't at its formation.
  */
 export class StrayDetector {
   private readonly confirmedAssignments = new Map<VmId, string>()
--- a/packages/dotterelspur-fleet/src/process/Ticker.ts
+++ b/packages/dotterelspur-fleet/src/process/Ticker.ts
@@ -1,11 +1,11 @@
 import type { Clock, Random, Teardown } from 'dotterelspur'
 
-/** Share of the interval by which each tick is moved, so that nodes that start together don't call together. */
+/** Largest random shift of each tick, as a share of the interval, so that nodes that start together don't stay synchronized. */
 const JITTER_SHARE = 0.1
 
 /**
- * Runs a step again and again, never two at once: the next interval starts when the step has ended. A nudge
- * brings the next run forward; one that comes during a run causes one more right after it.
+ * Runs a step periodically, never two at once: the next interval starts when the step has ended. `trigger` runs the step
+ * without waiting for the interval; a call during a run causes one more run right after it.
  */
 export class Ticker {
   private cancelTimer: Teardown = () => {}
--- a/packages/dotterelspur-fleet/src/process/VmListPoller.ts
+++ b/packages/dotterelspur-fleet/src/process/VmListPoller.ts
@@ -7,9 +7,9 @@
 import { Ticker } from './Ticker.js'
 
 /**
- * Reads the platform's VM list on the nodes that hold a lease, one call for all of them, and spreads each held
- * failure domain's part over the mesh. An older answer than the last one is left aside; without an answer the
- * last one stands.
+ * Polls the platform's VM list while this node holds a lease, with one call for all its leases, and broadcasts the records
+ * of each of its failure domains through the mesh. A listing with an older version than the last one is ignored, and when
+ * a poll fails the last listing stays in use.
  */
 export class VmListPoller {
   private listing: VmListing | null = null
@@ -32,17 +32,17 @@
     this.ticker.stop()
   }
 
-  /** Reads the list soon, as after a lease was taken. */
+  /** Polls the list at once, as after a lease was taken. */
   trigger (): void {
     this.ticker.trigger()
   }
 
-  /** The failure domains of the last list, with the regions that it gives them. */
+  /** The failure domains in the last listing, with their regions. */
   failureDomains (): ReadonlyMap<FailureDomainId, RegionId> {
     return new Map([...this.clean.vms.values()].map((record) => [record.failureDomain, record.region]))
   }
 
-  /** The VMs of one fabric domain as last listed. */
+  /** The VMs of one fabric domain in the last listing. */
   fabricDomain (fabricDomain: FabricDomainId): readonly VmRecord[] {
     return [...this.clean.vms.values()].filter((record) => record.fabricDomain === fabricDomain)
   }
--- a/packages/dotterelspur-fleet/src/process/Watcher.ts
+++ b/packages/dotterelspur-fleet/src/process/Watcher.ts
@@ -11,16 +11,16 @@
 import { Ticker } from './Ticker.js'
 
 const REQUESTER = 'watcher'
-/** No join of group ids: the targets have to be set whatever is steady. */
+/** Never equal to a joined list of group ids, so that the next comparison always sets the targets. */
 const STEADY_GROUPS_UNKNOWN = '?'
 
-/** What lacks in a group that this node watches, for `explain`. */
+/** The presence of a group that this node watches, and the first member that isn't ready, for `explain`. */
 export interface GroupEvidence {
   readonly presence: GroupPresence
   readonly notReady: { readonly vm: VmId, readonly reason: MemberNotReadyReason } | null
 }
 
-/** Probes what rendezvous hashing gives this node and publishes the presence of each group and service worker. */
+/** Probes the groups and service workers that rendezvous hashing selects for this node, and publishes their presence. */
 export class Watcher {
   private plan: WatchPlan = { groups: [], services: [] }
   private leaving: ReadonlySet<string> = new Set()
@@ -64,7 +64,7 @@
     return [...this.assessments.values()]
   }
 
-  /** A probe of a VM came in: tells the others at once when its group now serves less, or is complete again. */
+  /** Assesses the group of a VM after an observation, and publishes at once when the group is degraded or complete again. */
   handleObservation (vm: VmId): void {
     const watched = this.groupOfVm.get(vm)
     if (watched === undefined) return
@@ -97,7 +97,7 @@
     this.services.setWorkers(this.plan.services, this.leaving)
   }
 
-  /** Groups that serve and are whole are looked at half as often; the targets are set anew when that changes for one. */
+  /** Complete, serving groups are probed half as often; the targets are replaced when the set of these groups changes. */
   private setTargets (): void {
     const steady = this.plan.groups.map(({ group }) => group).filter((group) => this.isSteady(group)).map((group) => group.group)
     const key = steady.join()
@@ -112,7 +112,7 @@
     return group.state === GroupState.Serving && presence !== undefined && presence.complete && presence.formation === group.formation
   }
 
-  /** A member is asked at its listed address when the list knows the assigned incarnation or a later one, since a VM may move. */
+  /** A member is probed at its listed address when the VM list has the assigned incarnation or a later one, since a VM may move. */
   private targetsOf (group: AssignedGroup, isSteady: boolean): readonly ProbeTarget[] {
     const intervalMs = isSteady ? this.timing.steadyProbeIntervalMs : this.timing.probeIntervalMs
     const standbyIntervalMs = isSteady ? this.timing.idleProbeIntervalMs : this.timing.probeIntervalMs
@@ -136,7 +136,7 @@
     return assessGroup(assignment, group, this.prober.observations, this.leaving, this.options.clock.nowMs(), this.timing.evidenceTtlMs)
   }
 
-  /** Standbys may have stepped in, as agreed in advance, at a formation that was set aside: it counts only when it is whole. */
+  /** Standbys may have stepped in at a reserved formation, which counts only when it is complete. */
   private assessStepIn ({ assignment, group }: WatchedGroup): GroupEvidence | undefined {
     if (group.stepInBase === undefined) return undefined
     for (const { vm } of group.standbys) {
