--- a/packages/dotterelspur-fleet/src/__tests__/FaultyStore.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/FaultyStore.ts
@@ -2,13 +2,13 @@
 import { MemoryObjectStore, type ObjectTable } from 'dotterelspur-testkit'
 import type { PausableClock } from './PausableClock.js'
 
-/** What goes wrong at the platform. Shares are 0 to 1 and drawn from the seeded source for each call. */
+/** Faults of the platform's store. Shares are between 0 and 1 and are drawn for each call from the seeded random source. */
 export interface StoreFaults {
   down: boolean
   latencyMs: number
-  /** Writes that take effect and whose answer is lost. */
+  /** Share of writes that take effect and whose response is lost. */
   lostResponseShare: number
-  /** Reads that answer from before the last write. */
+  /** Share of reads that return the revision before the last write. */
   staleReadShare: number
 }
 
@@ -21,7 +21,7 @@
   writes: number
 }
 
-/** One node's way to the shared table, with the faults of the platform and of this node's link to it. */
+/** One node's store client over the shared table, with the faults of the store and of this node's link to it. */
 export function createFaultyStore (table: ObjectTable, name: string, clock: PausableClock, random: Random, faults: StoreFaults, isCut: () => boolean, calls: StoreCalls): ObjectStore {
   const inner = new MemoryObjectStore(table, name)
   const delay = async (): Promise<void> => { await new Promise<void>((resolve) => { clock.registerTimer(faults.latencyMs * (0.5 + random.next()), resolve) }) }
--- a/packages/dotterelspur-fleet/src/__tests__/FleetInvariants.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/FleetInvariants.ts
@@ -1,10 +1,10 @@
 import { ASSIGNMENT_PREFIX, DEFAULT_EVIDENCE_TTL_MS, DEFAULT_LEASE_TIMING, groupAtStepIn, mayOrder, readStepIn, takesNewWork, type AssignedGroup, type AssignmentObject, type GroupId } from 'dotterelspur'
 import type { FleetWorld, WorldNode } from './FleetWorld.js'
 
-/** Grace for the step of the clock and for the answer to the last good probe, which may be asked in the instant before a fault. */
+/** Allowance for the clock's step size, and for a last successful probe that was sent in the instant before a fault. */
 const WINDOW_SLACK_MS = 40
 
-/** Checks, after each step of a world, what must always hold. Each violation throws. */
+/** Checks the invariants after each step of a world, and throws on a violation. */
 export class FleetInvariants {
   private readonly formations = new Map<GroupId, number>()
   private readonly fencing = new Map<string, number>()
@@ -29,10 +29,10 @@
     const places = new Set<string>()
     for (const group of this.assignments().flatMap((assignment) => assignment.groups)) {
       for (const { vm } of [...group.members, ...group.standbys]) {
-        this.expect(!places.has(vm), `VM ${vm} has two places`)
+        this.expect(!places.has(vm), `VM ${vm} is assigned twice`)
         places.add(vm)
       }
-      this.expect(group.formation >= (this.formations.get(group.group) ?? 0), `formation of ${group.group} fell`)
+      this.expect(group.formation >= (this.formations.get(group.group) ?? 0), `formation of ${group.group} decreased`)
       this.formations.set(group.group, group.formation)
     }
   }
@@ -44,7 +44,7 @@
       if (lease !== undefined) numbers.push([failureDomain, lease.fencing])
     }
     for (const [subject, fencing] of numbers) {
-      this.expect(fencing >= (this.fencing.get(subject) ?? 0), `fencing of ${subject} fell`)
+      this.expect(fencing >= (this.fencing.get(subject) ?? 0), `fencing number of ${subject} decreased`)
       this.fencing.set(subject, fencing)
     }
   }
@@ -54,15 +54,15 @@
     const able = this.world.nodes.filter((node) => node.alive && !node.clock.paused)
     for (const failureDomain of ['fd-1', 'fd-2']) {
       const holders = able.filter((node) => node.fleet.leases().some((term) => term.failureDomain === failureDomain && mayOrder(term, DEFAULT_LEASE_TIMING, nowMs)))
-      this.expect(holders.length <= 1, `${holders.length} nodes decide for ${failureDomain}`)
+      this.expect(holders.length <= 1, `${holders.length} nodes hold the lease of ${failureDomain}`)
     }
   }
 
-  /** A VM that checks fencing numbers obeys them in rising order, within one incarnation. */
+  /** Within one incarnation, a VM that checks fencing numbers executes orders in ascending order of their numbers. */
   private checkOrders (): void {
     for (const engine of this.world.engines.vms.values()) {
       const key = `${engine.vm}.${engine.incarnation}`
-      this.expect(engine.fencing >= (this.checkedOrders.get(key) ?? 0), `${engine.vm} obeyed an older order`)
+      this.expect(engine.fencing >= (this.checkedOrders.get(key) ?? 0), `${engine.vm} executed an order with a lower fencing number`)
       this.checkedOrders.set(key, engine.fencing)
     }
   }
@@ -88,7 +88,7 @@
   }
 }
 
-/** The groups that an entry on this node would dispatch to, by what the node holds. */
+/** The groups that an entry on this node would dispatch to, by the node's copy of assignments and presence. */
 export function dispatchable (node: WorldNode): readonly AssignedGroup[] {
   const presence = new Map(node.mesh.groupPresence().map((line) => [line.group, line]))
   const assigned = node.mesh.documents(ASSIGNMENT_PREFIX).flatMap((document) => (document.body as AssignmentObject).groups)
--- a/packages/dotterelspur-fleet/src/__tests__/FleetWorld.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/FleetWorld.ts
@@ -17,15 +17,15 @@
   readonly calls: StoreCalls
   readonly audit: AuditRecord[]
   alive: boolean
-  /** Cut off from the store and from its peers. */
+  /** Whether the node is cut off from the store and from its peers. */
   isolated: boolean
 }
 
 export interface WorldOptions {
   readonly seed?: number
-  /** Failure domain of each node, in order. */
+  /** The failure domain of each node, in order. */
   readonly nodes?: readonly FailureDomainId[]
-  /** VMs of each fabric domain; a fabric domain `fd-1.a` is in failure domain `fd-1`. */
+  /** Number of VMs in each fabric domain; fabric domain `fd-1.a` is in failure domain `fd-1`. */
   readonly vmsPerFabricDomain?: Readonly<Record<string, number>>
   readonly intent?: Partial<ModelIntent>
   readonly timing?: Partial<FleetTiming>
@@ -61,7 +61,7 @@
   }
 }
 
-/** Several nodes' fleets over one platform, one set of engines and one clock that only moves when told. */
+/** Several nodes' fleets over one platform, one set of engines and one manual clock. */
 export class FleetWorld {
   readonly clock = new ManualClock()
   readonly table = new ObjectTable()
@@ -116,7 +116,7 @@
     return worldNode
   }
 
-  /** Ends a node's process at once. The others notice by the mesh. */
+  /** Terminates a node's process at once. The other nodes detect it through the mesh. */
   killNode (node: WorldNode): void {
     node.alive = false
     node.clock.pause()
@@ -145,7 +145,7 @@
     this.hub.heal()
   }
 
-  /** Moves time on, letting every answer that falls due be taken in on the way. `check` runs after each step. */
+  /** Advances the clock in steps, processing the responses that arrive in each. `check` runs after each step. */
   async run (durationMs: number, check: () => void = () => {}): Promise<void> {
     for (let elapsedMs = 0; elapsedMs < durationMs; elapsedMs += STEP_MS) {
       this.clock.advance(STEP_MS)
@@ -154,11 +154,11 @@
     }
   }
 
-  /** Runs until the condition holds and returns how long that took; fails after `limitMs`. */
+  /** Runs until the condition holds and returns how long that took. Throws after `limitMs`. */
   async runUntil (what: string, condition: () => boolean, limitMs: number): Promise<number> {
     const startMs = this.clock.nowMs()
     while (!condition()) {
-      if (this.clock.nowMs() - startMs >= limitMs) throw new Error(`not within ${limitMs} ms: ${what}`)
+      if (this.clock.nowMs() - startMs >= limitMs) throw new Error(`condition not met within ${limitMs} ms: ${what}`)
       await this.run(STEP_MS)
     }
     return this.clock.nowMs() - startMs
@@ -177,7 +177,7 @@
 
   holder (failureDomain: FailureDomainId): WorldNode {
     const [holder] = this.holders(failureDomain)
-    if (holder === undefined) throw new Error(`nobody holds ${failureDomain}`)
+    if (holder === undefined) throw new Error(`no node holds the lease of ${failureDomain}`)
     return holder
   }
 
@@ -193,14 +193,14 @@
     return this.assignment(fabricDomain)?.groups[0]
   }
 
-  /** Whether a living node's evidence would let an entry dispatch to the group as it is assigned. */
+  /** Whether the evidence of at least one running node allows dispatch to the group as assigned. */
   isServing (group: AssignedGroup | undefined): boolean {
     if (group === undefined) return false
     return this.nodes.filter((node) => node.alive && !node.clock.paused).some((node) => node.mesh.groupPresence()
       .some((presence) => presence.group === group.group && presence.formation === group.formation && presence.complete && presence.ageMs < 2_500))
   }
 
-  /** Whether each member's engine really is at the group's formation, under the incarnation that was assigned. */
+  /** Whether each member's engine is in fact at the group's formation, under the assigned incarnation. */
   isActuallyComplete (group: AssignedGroup): boolean {
     return group.members.every(({ vm, incarnation }) => {
       const engine = this.engines.get(vm)
--- a/packages/dotterelspur-fleet/src/__tests__/MemoryEngines.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/MemoryEngines.ts
@@ -19,19 +19,19 @@
   formation: number
   loaded: string | null
   listState: VmListState
-  /** Requests cut off by an order. */
+  /** Number of requests that orders have aborted. */
   cutOffRequests: number
-  /** Orders in the order in which they were obeyed. */
+  /** The executed orders, oldest first. */
   readonly executedOrders: Array<{ readonly kind: OrderKind, readonly fencing: number, readonly formation: number }>
 }
 
 const LOAD_MS = 1_000
 const JOIN_MS = 100
 
-/** Engines without a network: each VM obeys orders, loads for a while, dies, pauses and comes back. */
+/** In-process engines without a network: each VM executes orders and takes time to load, and can be killed, paused and restarted. */
 export class MemoryEngines {
   readonly vms = new Map<VmId, EngineFixture>()
-  /** Applied to each delivery of an order: the test may hold it back. */
+  /** Called for each delivery of an order; a test may replace it to delay the delivery. */
   deliverOrder: (vm: VmId, deliver: () => void) => void = (_vm, deliver) => { deliver() }
   extraRecords: VmRecord[] = []
   listDown = false
@@ -74,7 +74,7 @@
     this.bumpListVersion()
   }
 
-  /** Comes back as a new process. */
+  /** Restarts the VM under a new incarnation. */
   restart (vm: VmId): void {
     const engine = this.get(vm)
     Object.assign(engine, { alive: true, paused: false, leaving: false, incarnation: engine.incarnation + 1, state: EngineState.Idle, group: null, formation: 0, loaded: null, fencing: 0, running: 0 })
@@ -85,7 +85,7 @@
     this.listVersion += 1
   }
 
-  /** Freezes what the list says until `thawList`. */
+  /** Makes the VM list return its present content until `thawList`. */
   freezeList (): void {
     this.frozenListing = this.listing()
   }
@@ -100,7 +100,7 @@
     }
   }
 
-  /** The engines as one node reaches them; `reaches` cuts single links. */
+  /** The engine API of one node; `reaches` returns false for VMs that the node can't reach. */
   api (nodeClock: Clock, reaches: (vm: VmId) => boolean = () => true): EngineApi {
     const probe = async (address: string, timeoutMs: number): Promise<Result<VmStatus, EndpointError>> => {
       const engine = this.engineAt(address)
@@ -155,7 +155,7 @@
     Object.assign(engine, { group: null, formation: 0, state: EngineState.Idle })
   }
 
-  /** A replica that loses a VM loses all that it runs. */
+  /** Aborts the requests of all members of the engine's group, since a group that loses a VM loses all its requests. */
   private cutOff (engine: EngineFixture): void {
     for (const other of this.vms.values()) {
       if (engine.group === null || other.group !== engine.group || other.formation !== engine.formation) continue
--- a/packages/dotterelspur-fleet/src/__tests__/MemoryMesh.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/MemoryMesh.ts
@@ -7,7 +7,7 @@
   readonly atMs: number
 }
 
-/** Nodes that hear each other at once, except where a link is cut. */
+/** In-process mesh: nodes receive each other's messages at once, except where a link is cut. */
 export class MeshHub {
   readonly nodes = new Map<NodeId, MemoryMesh>()
   readonly cutNodes = new Set<NodeId>()
@@ -23,7 +23,7 @@
     return mesh
   }
 
-  /** Drops a node as failed; the others stop counting it. */
+  /** Removes a node that has failed from the members. */
   removeNode (node: NodeId): void {
     this.nodes.delete(node)
     this.membersChanged()
@@ -33,7 +33,7 @@
     return left === right || (!this.cutNodes.has(left) && !this.cutNodes.has(right))
   }
 
-  /** Lets what was kept apart come together again. */
+  /** Reconnects all nodes and synchronizes their documents. */
   heal (): void {
     this.cutNodes.clear()
     const all = [...this.nodes.values()].flatMap((node) => node.documents(''))
@@ -55,7 +55,7 @@
   private storeContactAtMs = 0
   published: readonly GroupPresence[] = []
   publishedServices: readonly ServicePresence[] = []
-  /** False while the process stands still: it takes nothing in. */
+  /** False while the node's process is paused: it receives no messages. */
   isReceiving = true
 
   constructor (public self: NodeMember, private readonly clock: Clock, private readonly hub: MeshHub) {}
--- a/packages/dotterelspur-fleet/src/__tests__/PausableClock.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/PausableClock.ts
@@ -1,6 +1,6 @@
 import type { Clock, ManualClock, Teardown } from 'dotterelspur'
 
-/** One process's view of a shared manual clock: while the process stands still its timers wait, and all that fell due run when it goes on. */
+/** One process's view of a shared manual clock. While the process is paused its timers are deferred, and those that came due run when it resumes. */
 export class PausableClock implements Clock {
   private deferred: Array<() => void> = []
   private isPaused = false
@@ -44,7 +44,7 @@
     for (const fire of due) fire()
   }
 
-  /** Hands a result over only while the process runs, as the kernel keeps an answer for a stopped one. */
+  /** Delivers a result only while the process runs, just as the kernel buffers a response for a paused process. */
   async whenRunning<Value> (result: Promise<Value>): Promise<Value> {
     const value = await result
     if (this.isPaused) await new Promise<void>((resolve) => { this.deferred.push(resolve) })
--- a/packages/dotterelspur-fleet/src/__tests__/unit/FleetMeasures.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/FleetMeasures.test.ts
@@ -4,19 +4,19 @@
 import { FleetWorld, type WorldOptions } from '../FleetWorld.js'
 
 const SEEDS = 40
-/** A member of a serving group is looked at again after at most the steady interval, drawn out by a tenth, and a step of the clock. */
+/** Longest time between two probes of a member of a serving group: the steady interval, 10% jitter and one step of the clock. */
 const MAX_PROBE_GAP_MS = 1.1 * DEFAULT_FLEET_TIMING.steadyProbeIntervalMs + 20
 const THREE_NODES: WorldOptions = { nodes: ['fd-1', 'fd-1', 'fd-1'], vmsPerFabricDomain: { 'fd-1.a': 4 } }
 
-/** Prints what was measured when FLEET_MEASURE is set; the bounds are checked always. */
+/** Prints the measurements when FLEET_MEASURE is set. The bounds are always checked. */
 function report (what: string, samplesMs: readonly number[]): void {
   if (process.env['FLEET_MEASURE'] === undefined) return
   const sorted = [...samplesMs].sort((left, right) => left - right)
   const at = (share: number): number => sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))]!
-  console.log(`${what}: n ${sorted.length}, least ${sorted[0]}, median ${at(0.5)}, 95 in 100 ${at(0.95)}, most ${sorted.at(-1)}`)
+  console.log(`${what}: n ${sorted.length}, min ${sorted[0]}, median ${at(0.5)}, p95 ${at(0.95)}, max ${sorted.at(-1)}`)
 }
 
-/** One sample for each seed, from a world in which the group serves, at a moment that differs between seeds. */
+/** Takes one sample per seed, from a world whose group is serving, at a time that differs between seeds. */
 async function sample (options: WorldOptions, measure: (world: FleetWorld) => Promise<number>): Promise<number[]> {
   const samples: number[] = []
   for (let seed = 1; seed <= SEEDS; seed++) {
@@ -34,16 +34,16 @@
 }
 
 describe('Fleet, measured on virtual time', () => {
-  it('holder killed to the next one deciding: below 11 s', async () => {
+  it('time from killing the lease holder to the next one adopting the assignment: below 11 s', async () => {
     const samples = await sample(THREE_NODES, async (world) => {
       world.killNode(world.holder('fd-1'))
-      return await world.runUntil('next decides', () => isNewHolderActive(world), 20_000)
+      return await world.runUntil('the next holder has adopted the assignment', () => isNewHolderActive(world), 20_000)
     })
-    report('holder killed to next deciding, ms', samples)
+    report('holder killed to next holder adopting, ms', samples)
     expect(Math.max(...samples)).to.be.below(11_000)
   })
 
-  it('member killed to no more dispatch: within one steady probe interval', async () => {
+  it('time from killing a member to no more dispatch: within one steady probe interval', async () => {
     const samples = await sample(THREE_NODES, async (world) => {
       const group = world.group()!
       world.kill(group.members[1]!.vm)
@@ -53,7 +53,7 @@
     expect(Math.max(...samples)).to.be.at.most(MAX_PROBE_GAP_MS)
   })
 
-  it('member killed to serving again with a loaded standby: the join and less than 3 s', async () => {
+  it('time from killing a member to serving again with a loaded standby: less than 3 s plus the join', async () => {
     const joinMs = 100
     const samples = await sample(THREE_NODES, async (world) => {
       const group = world.group()!
@@ -64,17 +64,17 @@
     expect(Math.max(...samples)).to.be.below(3_000)
   })
 
-  it('member silent to no more dispatch: within the evidence window', async () => {
+  it('time from a member not responding to no more dispatch: within the evidence TTL', async () => {
     const samples = await sample(THREE_NODES, async (world) => {
       const group = world.group()!
       world.engines.get(group.members[1]!.vm).paused = true
       return await world.runUntil('no more dispatch', () => !world.isServing(group), 5_000)
     })
-    report('member silent to no more dispatch, ms', samples)
+    report('member not responding to no more dispatch, ms', samples)
     expect(Math.max(...samples)).to.be.at.most(DEFAULT_EVIDENCE_TTL_MS + 40)
   })
 
-  it('an old holder\'s order at an engine that ignores fencing: its group is out within one steady probe interval', async () => {
+  it('time from a stale order executed by an engine that ignores fencing to no more dispatch: within one steady probe interval', async () => {
     const back: number[] = []
     const samples = await sample({ ...THREE_NODES, checksFencing: false }, async (world) => {
       const group = world.group()!
@@ -84,12 +84,12 @@
       back.push(stoppedMs + await world.runUntil('serves again', () => world.isServing(world.group()), 10_000))
       return stoppedMs
     })
-    report('old order obeyed to no more dispatch, ms', samples)
-    report('old order obeyed to serving again (join 100 ms), ms', back)
+    report('stale order executed to no more dispatch, ms', samples)
+    report('stale order executed to serving again (join 100 ms), ms', back)
     expect(Math.max(...samples)).to.be.at.most(MAX_PROBE_GAP_MS)
   })
 
-  it('store calls of holders, candidates and all other nodes grow with failure domains, not with nodes', async () => {
+  it('the total rate of store calls grows with the number of failure domains, not of nodes', async () => {
     for (const [failureDomains, nodesEach] of [[1, 4], [3, 3], [3, 6], [6, 3]] as const) {
       const domains = Array.from({ length: failureDomains }, (_, index) => `fd-${index + 1}`)
       const world = new FleetWorld({
--- a/packages/dotterelspur-fleet/src/__tests__/unit/FleetModel.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/FleetModel.test.ts
@@ -3,7 +3,7 @@
 import { FleetInvariants } from '../FleetInvariants.js'
 import { FleetWorld, makeTeam, type WorldNode } from '../FleetWorld.js'
 
-/** Fixed for CI; set FLEET_MODEL_SEED and FLEET_MODEL_RUNS to look further. */
+/** Fixed for CI; set FLEET_MODEL_SEED and FLEET_MODEL_RUNS to explore other schedules. */
 const SEED = Number(process.env['FLEET_MODEL_SEED'] ?? 20_261)
 const RUNS = Number(process.env['FLEET_MODEL_RUNS'] ?? 25)
 const RECOVERY_MS = 90_000
@@ -32,7 +32,7 @@
   readonly selector: number
 }
 
-/** Starts an event; returns what ends it. */
+/** Starts an event and returns a function that ends it. */
 type EventHandler = (world: FleetWorld, step: Step) => () => void
 
 function nodeAt (world: FleetWorld, selector: number): WorldNode | undefined {
@@ -130,12 +130,11 @@
 }
 
 describe('Fleet under random schedules', () => {
-  // Symptom: any of: a VM in two groups; two deciding holders; a fencing number or a formation that falls; a group
-  // dispatched to longer than the evidence window after it lost a member; a fleet that doesn't mend itself.
-  // Sequence: pauses, restarts and isolation of nodes, store faults, dying and pausing VMs, a frozen list and
-  // changes of intent in random order and overlap.
-  // Cause: whatever the focused tests did not think of.
-  it(`keeps what must always hold, and mends itself (seed ${SEED})`, async () => {
+  // Guards against failures that the focused tests don't cover: a VM in two groups, two nodes that hold one lease, a
+  // fencing number or a formation that decreases, a group that still receives requests longer than the evidence TTL
+  // after it lost a member, and a fleet that doesn't recover. The schedules mix pauses, restarts and isolation of nodes,
+  // store faults, killed and paused VMs, a frozen VM list and changes of intent, in random order and overlapping.
+  it(`keeps the invariants and recovers (seed ${SEED})`, async () => {
     const property = fc.asyncProperty(fc.array(stepArbitrary, { minLength: 3, maxLength: 14 }), fc.integer({ min: 1, max: 1_000_000 }), runSchedule)
     await fc.assert(property, { seed: SEED, numRuns: RUNS, endOnFailure: false })
   }).timeout(240_000)
--- a/packages/dotterelspur-fleet/src/__tests__/unit/GroupFailures.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/GroupFailures.test.ts
@@ -13,7 +13,7 @@
   return group.members.map((member) => member.vm)
 }
 
-/** A VM stands in at most one assignment, and its engine in the group that it stands in or in none. */
+/** Expects each VM to be assigned at most once over all assignments. */
 function expectAssignedOnce (world: FleetWorld): void {
   const places = world.table.list('assignments/').objects
     .flatMap((object) => (object.body as { groups: AssignedGroup[] }).groups)
@@ -22,10 +22,9 @@
 }
 
 describe('Group failures', () => {
-  // Symptom: a group is dispatched to though a member has no memory of it.
-  // Sequence: a member restarts within one probe interval and answers under the same name as if nothing happened.
-  // Cause: what answers is another process; only its incarnation tells.
-  it('a VM that comes back under another incarnation is no member until it is placed anew', async () => {
+  // Guards against dispatch to a group whose member has lost its state. The member restarts within one probe interval and
+  // responds under the same name. Only the incarnation shows that it is another process.
+  it('a VM that comes back under another incarnation is no member until it is assigned again', async () => {
     const world = await makeServing()
     const before = world.group()!
     world.engines.restart(before.members[1]!.vm)
@@ -36,8 +35,8 @@
     await world.stop()
   })
 
-  // Symptom: the same, with an engine that even claims its old group and formation.
-  it('a VM that claims its old place under another incarnation doesn\'t count', async () => {
+  // As above, with an engine that also reports its old group and formation.
+  it('a VM that reports its old group and formation under another incarnation doesn\'t count', async () => {
     const world = await makeServing({ vmsPerFabricDomain: { 'fd-1.a': 2 } })
     const before = world.group()!
     const member = world.engines.get(before.members[1]!.vm)
@@ -51,17 +50,16 @@
     await world.stop()
   })
 
-  // Symptom: one VM in two groups, or a group formed of one VM.
-  // Sequence: the list names a VM twice: with its older incarnation, and in another fabric domain.
-  // Cause: the list lags, and its lines are taken for VMs.
+  // Guards against one VM in two groups, and against a group formed of one VM twice. The VM list lags behind and has two
+  // records of a VM: the same one again, one of an older incarnation, or one at another location.
   const listCases = [
-    { title: 'twice with the same line', fields: {} },
+    { title: 'twice with the same record', fields: {} },
     { title: 'with an older incarnation', fields: { incarnation: 0 } },
     { title: 'in another fabric domain', fields: { fabricDomain: 'fd-1.b' } },
     { title: 'in another failure domain', fields: { fabricDomain: 'fd-2.a', failureDomain: 'fd-2' } }
   ]
   for (const { title, fields } of listCases) {
-    it(`a VM that is listed ${title} gets one place at most`, async () => {
+    it(`a VM that is listed ${title} is assigned at most once`, async () => {
       const world = new FleetWorld({ nodes: ['fd-1', 'fd-2'], vmsPerFabricDomain: { 'fd-1.a': 3, 'fd-1.b': 2, 'fd-2.a': 2 }, intent: { replicas: 3 } })
       world.engines.extraRecords = [{
         vm: 'fd-1.a-1', incarnation: 1, role: VmRole.Engine, state: VmListState.Live, address: 'http://fd-1.a-1', region: 'r1', failureDomain: 'fd-1', fabricDomain: 'fd-1.a', ...fields
@@ -72,25 +70,24 @@
     })
   }
 
-  // Symptom: a VM is in two assignments.
-  // Sequence: the list moves a placed VM to another fabric domain, whose controller sees an idle VM.
-  // Cause: each assignment is changed alone; the other's place for the VM must be gone first.
-  it('a VM that moves to another fabric domain is placed there only when the old place is given up', async () => {
+  // Guards against a VM in two assignments. The VM list moves an assigned VM to another fabric domain, whose controller
+  // observes an idle VM. Each assignment is written separately, so the VM must first be removed from the other one.
+  it('a VM that moves to another fabric domain is assigned there only after it is removed from its old assignment', async () => {
     const world = await makeServing({ vmsPerFabricDomain: { 'fd-1.a': 3, 'fd-1.b': 1 }, intent: { replicas: 2 } })
     const moved = world.group()!.members[0]!.vm
     world.engines.restart(moved)
     Object.assign(world.engines.get(moved), { fabricDomain: 'fd-1.b' })
     world.engines.bumpListVersion()
-    await world.runUntil('placed at its new home', () => world.assignment('fd-1.b')!.groups.some((group) => vmsOf(group).includes(moved)), 40_000)
+    await world.runUntil('assigned in its new fabric domain', () => world.assignment('fd-1.b')!.groups.some((group) => vmsOf(group).includes(moved)), 40_000)
     expectAssignedOnce(world)
     await world.stop()
   })
 
-  // Symptom: requests are cut off, or a frozen member holds the group up for long.
-  // Sequence: a member stops answering for 2 s and goes on; later one stops for good.
-  // Cause: silence is no death at first: evidence has to expire before the group is out, and a return within
-  // the grace changes no formation.
-  it('a member that pauses takes its group out, and back in without a new formation', async () => {
+  // Guards against aborted requests after a short pause of a member, and against a frozen member that keeps its group out
+  // of service for long. A member stops responding and resumes; later it stops for good. A member that doesn't respond
+  // isn't lost yet: the group leaves service only when the evidence has expired, and a return within the grace period
+  // changes no formation.
+  it('a paused member takes its group out of service; the group returns without a new formation', async () => {
     const world = await makeServing()
     const before = world.group()!
     const member = world.engines.get(before.members[1]!.vm)
@@ -106,11 +103,10 @@
     await world.stop()
   })
 
-  // Symptom: requests in progress are cut off when a VM leaves as announced.
-  // Sequence: the list, or the engine itself, says that a member leaves; requests run on the group for a while.
-  // Cause: taking any VM out of a formation loses all that the formation runs.
+  // Guards against aborted requests when a VM leaves as announced by the VM list, the engine itself or an operator, while
+  // requests run on its group. Removing any VM from a formation aborts all requests of that formation.
   for (const source of ['list', 'engine', 'operator'] as const) {
-    it(`a VM that leaves by word of the ${source} gets no new work within 3 s and loses no request`, async () => {
+    it(`a VM that leaves, as announced by the ${source}, gets no new work after 3 s and loses no request`, async () => {
       const world = await makeServing()
       const before = world.group()!
       const member = world.engines.get(before.members[0]!.vm)
@@ -133,11 +129,11 @@
     })
   }
 
-  // Symptom: a group that lost a member during a store outage goes on being dispatched to, or everything stops.
-  // Sequence: the store is down for an hour; a member of one of two groups dies, with no standby agreed, and comes
-  // back as another incarnation; the store comes back.
-  // Cause: stopping needs no agreement, repairing does.
-  it('store down for an hour: whole groups serve, the broken one stops at once and is repaired afterwards', async () => {
+  // Guards against dispatch to a group that lost a member during a store outage, and against an outage that takes complete
+  // groups out of service. The store is down for an hour; a member of one of two groups without standbys is killed and
+  // comes back under another incarnation; then the store recovers. Taking a group out of service needs no write to the
+  // store, but repairing it does.
+  it('store down for an hour: complete groups serve, the broken one stops at once and is repaired afterwards', async () => {
     const world = await makeServing({ vmsPerFabricDomain: { 'fd-1.a': 4 }, intent: { replicas: 2 } })
     await world.runUntil('both serve', () => world.assignment('fd-1.a')!.groups.length === 2 && world.assignment('fd-1.a')!.groups.every((group) => world.isServing(group)), 10_000)
     const [broken, whole] = world.assignment('fd-1.a')!.groups
@@ -161,11 +157,10 @@
     await world.stop()
   }).timeout(60_000)
 
-  // Symptom: for the whole outage a group stays broken with a loaded standby beside it.
-  // Sequence: the store goes out for every node; the holder's lease ends; a member of a group with a standby dies;
-  // later the store is back.
-  // Cause: a repair needs an agreement, and none can be made; the one made in advance has to do.
-  it('store down: a standby agreed in advance steps in, and what stands is adopted afterwards', async () => {
+  // Guards against a group that stays broken for a whole store outage although it has a loaded standby. The store is down
+  // for all nodes, the holder's lease expires, and a member of a group with a standby is killed; later the store
+  // recovers. A repair normally needs a write to the store, so during an outage only a reserved formation can be used.
+  it('store down: a reserved standby steps in, and its formation is adopted afterwards', async () => {
     const world = await makeServing()
     await world.runUntil('standby loaded', () => world.group()!.state === GroupState.Serving && world.engines.get(world.group()!.standbys[0]?.vm ?? vmsOf(world.group()!)[0]!).loaded !== null, 10_000)
     await world.run(3_000)
@@ -190,10 +185,10 @@
     await world.stop()
   })
 
-  // Symptom: two nodes order one group in turns.
-  // Sequence: only the holder is cut off, from the store and from its peers; a member dies; another node takes over.
-  // Cause: a node that is cut off can't tell that from a store that is out for all.
-  it('a holder that alone is cut off orders nothing that an engine with the new number obeys', async () => {
+  // Guards against two nodes that send orders to one group in turns. Only the lease holder is cut off, from the store and
+  // from its peers; another node takes the lease, and a member is killed. A node that is cut off can't distinguish that
+  // from a store that is down for all nodes.
+  it('a lease holder that alone is cut off sends no order that an engine with the new fencing number executes', async () => {
     const world = await makeServing()
     await world.run(4_000)
     const cut = world.holder('fd-1')
@@ -210,10 +205,10 @@
     await world.stop()
   })
 
-  // Symptom: an operator's change is undone by a repair, or the other way round.
-  // Sequence: a member dies; in the same moment the team's settings raise the version; then the team wants nothing.
-  // Cause: both lead to a change of one object; each must be planned on what the other has written.
-  it('an operator\'s change and a repair at once both end in force', async () => {
+  // Guards against an operator's change that a repair undoes, or the other way round. A member is killed and at the same
+  // time the team's settings ask for larger replicas; then the team is removed. Both change the same object, so each has
+  // to be planned from the version that the other has written.
+  it('an operator\'s change and a simultaneous repair both take effect', async () => {
     for (let seed = 1; seed <= 5; seed++) {
       const world = await makeServing({ seed, vmsPerFabricDomain: { 'fd-1.a': 4 } })
       const before = world.group()!
@@ -229,10 +224,9 @@
     }
   })
 
-  // Symptom: another process overwrites an assignment and the controller goes on from what it remembers.
-  // Sequence: someone with a higher fencing number writes; the controller's copy is out of date.
-  // Cause: a controller that doesn't notice plans on the past.
-  it('a controller that finds a higher fencing number in an assignment takes its lease anew above it', async () => {
+  // Guards against a controller that continues from an outdated copy after another process with a higher fencing number
+  // has overwritten the assignment.
+  it('a controller that finds a higher fencing number in an assignment takes its lease again with a number above it', async () => {
     const world = await makeServing()
     await world.runUntil('state is serving', () => world.group()!.state === GroupState.Serving, 3_000)
     const stored = world.table.get('assignments/fd-1.a')!
--- a/packages/dotterelspur-fleet/src/__tests__/unit/LeaseFailures.test.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/unit/LeaseFailures.test.ts
@@ -10,7 +10,7 @@
   return world
 }
 
-/** Fencing numbers of every order that any VM obeyed, in the order of obedience, for each VM. */
+/** The fencing numbers of the orders that each VM executed, in order of execution. */
 function executedFencing (world: FleetWorld): number[][] {
   return [...world.engines.vms.values()].map((engine) => engine.executedOrders.map((order) => order.fencing))
 }
@@ -20,11 +20,10 @@
 }
 
 describe('Lease failures', () => {
-  // Symptom: two nodes order the same VMs.
-  // Sequence: the holder stops for 20 s; another takes the lease over and changes the group; the first goes on
-  // with its next step, which is due since long ago.
-  // Cause: what it knew of its lease is as old as the stop.
-  it('a paused holder that wakes orders nothing and lets go', async () => {
+  // Guards against two nodes sending orders to the same VMs. The lease holder is paused for 20 s, and another node takes
+  // the lease and changes the group. The first node resumes with a step that is long overdue, and its view of the lease
+  // is as old as the pause.
+  it('a lease holder that resumes after a long pause sends no orders and gives up the lease', async () => {
     const world = await makeServing()
     const paused = world.holder('fd-1')
     const sentBefore = paused.fleet.counts().orders.sent
@@ -45,10 +44,10 @@
     await world.stop()
   })
 
-  // Symptom: a pause shorter than the TTL goes unnoticed and the lease passes on in the middle of an order.
-  // Sequence: the holder stops for 2 s, nobody takes over.
-  // Cause: it can't know that nobody did before it asked the store.
-  it('a holder that stopped briefly goes on only after a renewal', async () => {
+  // Guards against an undetected pause that is shorter than the TTL, after which the lease could change hands in the
+  // middle of an order. The holder is paused for 2.5 s and no other node takes the lease, but the holder can't know
+  // that before it has reached the store.
+  it('a lease holder that was paused briefly sends orders only after a renewal', async () => {
     const world = await makeServing()
     const holder = world.holder('fd-1')
     const renewalBefore = world.lease('fd-1')!.renewal
@@ -63,10 +62,9 @@
     await world.stop()
   })
 
-  // Symptom: a failure domain changes its controller though nothing failed.
-  // Sequence: renewals take effect and every second answer is lost.
-  // Cause: the next renewal is refused, since the version has moved on, and looks like another's write.
-  it('a holder keeps the lease through lost answers', async () => {
+  // Guards against a change of controller although no node failed. Renewals take effect, but half of the store's
+  // responses are lost. The next renewal is then refused, since the version has changed, as if another node had written.
+  it('a holder keeps the lease when responses of the store are lost', async () => {
     const world = await makeServing()
     const holder = world.holder('fd-1')
     world.storeFaults.lostResponseShare = 0.5
@@ -76,10 +74,10 @@
     await world.stop()
   })
 
-  // Symptom: two controllers for one failure domain.
-  // Sequence: the holder dies; two nodes that can't hear each other both rank themselves first.
-  // Cause: ranks come from each node's own view of the members; only the conditional write decides.
-  it('of two challengers at once one wins, with a higher fencing number', async () => {
+  // Guards against two controllers for one failure domain. The holder is killed, and two nodes that can't reach each
+  // other both try to take the lease. Ranks come from each node's own view of the members, so only the conditional write
+  // can decide between them.
+  it('one of two simultaneous challengers wins, with a higher fencing number', async () => {
     for (let seed = 1; seed <= 10; seed++) {
       const world = await makeServing({ ...THREE_NODES, seed })
       const holder = world.holder('fd-1')
@@ -94,10 +92,10 @@
     }
   })
 
-  // Symptom: a healthy holder is deposed, or a new holder plans on an assignment that is long replaced.
-  // Sequence: half of all reads answer from the past, while holders die one after the other.
-  // Cause: a read alone doesn't say how old it is.
-  it('reads from the past neither depose a holder nor bring an old assignment back', async () => {
+  // Guards against a healthy holder that loses its lease, and against a new holder that plans from an outdated
+  // assignment. Half of all reads are stale, and the holder is killed while a member is lost. A read alone doesn't show
+  // how old it is.
+  it('stale reads neither take the lease from a holder nor bring back an old assignment', async () => {
     const world = await makeServing({ ...THREE_NODES, nodes: ['fd-1', 'fd-1', 'fd-1'] })
     world.storeFaults.staleReadShare = 0.5
     const versions: number[] = []
@@ -116,9 +114,8 @@
     await world.stop()
   })
 
-  // Symptom: a planned stop leaves a failure domain without a controller for a whole TTL.
-  // Sequence: the holder hands over and exits.
-  // Cause: others can't tell a holder that has gone from one that is silent.
+  // Guards against a planned stop that leaves a failure domain without a controller for a whole TTL. Without a release,
+  // other nodes can't distinguish a holder that has exited from one that is unreachable.
   it('a released lease is taken at once', async () => {
     const world = await makeServing()
     const holder = world.holder('fd-1')
@@ -131,10 +128,10 @@
     await world.stop()
   })
 
-  // Symptom: after all nodes were replaced at once, old orders and new ones mix, or nobody decides.
-  // Sequence: every node ends without handing over; new processes start under the same names.
-  // Cause: the lease still names a process that is gone, and nobody can prove that it is.
-  it('all nodes restart at once: the lease passes after its TTL and the group keeps serving', async () => {
+  // Guards against a mix of old and new orders, and against a lease that is never taken, after all nodes were replaced at
+  // once. Every node is killed without handing over, and new processes start under the same names. The lease still
+  // names the previous process, and no node can prove that it has terminated.
+  it('all nodes restart at once: the lease is taken after its TTL and the group keeps serving', async () => {
     const world = await makeServing()
     const group = world.group()!
     const ended = [...world.nodes]
@@ -154,11 +151,10 @@
     await world.stop()
   })
 
-  // Symptom: a member of a serving group obeys the holder before, and the group goes on with a hole.
-  // Sequence: the holder sends an order and dies; the order is held up on its way for longer than the takeover
-  // takes; the new holder has formed the group anew; the old order arrives.
-  // Cause: these engines obey any order, however old its fencing number.
-  it('engines that ignore fencing: the group is out of service at once, says why, and is ordered back', async () => {
+  // Guards against a group that stays in service after one of its members executed an order of the previous lease holder.
+  // The holder sends an order and is killed; the order is delayed for longer than the takeover takes and arrives when
+  // the new holder controls the group. These engines execute any order, however low its fencing number.
+  it('engines that ignore fencing: the group leaves service at once, the reason is recorded, and the member is ordered back', async () => {
     const world = await makeServing({ ...THREE_NODES, checksFencing: false })
     const old = world.group()!
     const stray = world.engines.get(old.members[1]!.vm)
@@ -175,7 +171,7 @@
     await world.stop()
   })
 
-  it('engines that ignore fencing get their first order only when an old one can no longer be under way', async () => {
+  it('engines that ignore fencing get their first order only when no earlier one can still be in flight', async () => {
     for (const checksFencing of [true, false]) {
       const world = await makeServing({ ...THREE_NODES, checksFencing })
       const [member] = world.group()!.members
