--- a/packages/dotterelspur-fleet/src/process/LeaseController.ts
+++ b/packages/dotterelspur-fleet/src/process/LeaseController.ts
@@ -9,7 +9,7 @@
 /** Only this many best-ranked nodes read a lease and try to take it; otherwise the calls to the store would grow with the number of nodes. */
 export const CANDIDATES_PER_LEASE = 3
 
-/** After releasing a lease, this node doesn't try to take it for this long. */
+/** After releasing a lease to a better-ranked node, this node doesn't try to take it back for this long. */
 const YIELD_COOLDOWN_MS = 10_000
 
 export interface LeaseListener {
