--- a/packages/dotterelspur-fleet/src/__tests__/FaultyStore.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/FaultyStore.ts
@@ -2,18 +2,18 @@
 import { MemoryObjectStore, type ObjectTable } from 'dotterelspur-testkit'
 import type { PausableClock } from './PausableClock.js'
 
-/** What goes wrong at the platform. Shares are 0 to 1 and drawn from the seeded source for each call. */
+/** Faults of the platform's store. Shares are between 0 and 1 and are drawn for each call from the seeded random source. */
 export interface StoreFaults {
   down: boolean
   latencyMs: number
-  /** Writes that take effect and whose answer is lost. */
-  lostReplyShare: number
-  /** Reads that answer from before the last write. */
+  /** Share of writes that take effect and whose response is lost. */
+  lostResponseShare: number
+  /** Share of reads that return the revision before the last write. */
   staleReadShare: number
 }
 
-export function noStoreFaults (): StoreFaults {
-  return { down: false, latencyMs: 5, lostReplyShare: 0, staleReadShare: 0 }
+export function createStoreFaults (): StoreFaults {
+  return { down: false, latencyMs: 5, lostResponseShare: 0, staleReadShare: 0 }
 }
 
 export interface StoreCalls {
@@ -21,7 +21,7 @@
   writes: number
 }
 
-/** One node's way to the shared table, with the faults of the platform and of this node's link to it. */
+/** One node's store client over the shared table, with the faults of the store and of this node's link to it. */
 export function createFaultyStore (table: ObjectTable, name: string, clock: PausableClock, random: Random, faults: StoreFaults, isCut: () => boolean, calls: StoreCalls): ObjectStore {
   const inner = new MemoryObjectStore(table, name)
   const delay = async (): Promise<void> => { await new Promise<void>((resolve) => { clock.registerTimer(faults.latencyMs * (0.5 + random.next()), resolve) }) }
@@ -32,7 +32,7 @@
     if (faults.down || isCut()) return unavailable()
     const result = await act()
     await delay()
-    if (faults.down || isCut() || random.next() < faults.lostReplyShare) return failed({ kind: StoreErrorKind.Unknown, key, reason: 'no answer' })
+    if (faults.down || isCut() || random.next() < faults.lostResponseShare) return failed({ kind: StoreErrorKind.Unknown, key, reason: 'no answer' })
     return result
   }
   const get = async <Body>(key: string): Promise<Result<StoredObject<Body>, StoreError>> => {
--- a/packages/dotterelspur-fleet/src/__tests__/MemoryEngines.ts
+++ b/packages/dotterelspur-fleet/src/__tests__/MemoryEngines.ts
@@ -19,24 +19,24 @@
   formation: number
   loaded: string | null
   listState: VmListState
-  /** Requests cut off by an order. */
-  cutOff: number
-  /** Orders in the order in which they were obeyed. */
-  readonly obeyed: Array<{ readonly kind: OrderKind, readonly fencing: number, readonly formation: number }>
+  /** Number of requests that orders have aborted. */
+  cutOffRequests: number
+  /** The executed orders, oldest first. */
+  readonly executedOrders: Array<{ readonly kind: OrderKind, readonly fencing: number, readonly formation: number }>
 }
 
 const LOAD_MS = 1_000
 const JOIN_MS = 100
 
-/** Engines without a network: each VM obeys orders, loads for a while, dies, pauses and comes back. */
+/** In-process engines without a network: each VM executes orders and takes time to load, and can be killed, paused and restarted. */
 export class MemoryEngines {
   readonly vms = new Map<VmId, EngineFixture>()
-  /** Applied to each delivery of an order: the test may hold it back. */
-  gate: (vm: VmId, deliver: () => void) => void = (_vm, deliver) => { deliver() }
+  /** Called for each delivery of an order; a test may replace it to delay the delivery. */
+  deliverOrder: (vm: VmId, deliver: () => void) => void = (_vm, deliver) => { deliver() }
   extraRecords: VmRecord[] = []
   listDown = false
   private listVersion = 1
-  private stale: VmListing | null = null
+  private frozenListing: VmListing | null = null
 
   constructor (private readonly clock: Clock) {}
 
@@ -57,8 +57,8 @@
       formation: 0,
       loaded: null,
       listState: VmListState.Live,
-      cutOff: 0,
-      obeyed: [],
+      cutOffRequests: 0,
+      executedOrders: [],
       ...fields
     }
     this.vms.set(vm, engine)
@@ -71,62 +71,62 @@
 
   kill (vm: VmId): void {
     this.get(vm).alive = false
-    this.touchList()
+    this.bumpListVersion()
   }
 
-  /** Comes back as a new process. */
+  /** Restarts the VM under a new incarnation. */
   restart (vm: VmId): void {
     const engine = this.get(vm)
     Object.assign(engine, { alive: true, paused: false, leaving: false, incarnation: engine.incarnation + 1, state: EngineState.Idle, group: null, formation: 0, loaded: null, fencing: 0, running: 0 })
-    this.touchList()
+    this.bumpListVersion()
   }
 
-  touchList (): void {
+  bumpListVersion (): void {
     this.listVersion += 1
   }
 
-  /** Freezes what the list says until `thawList`. */
+  /** Makes the VM list return its present content until `thawList`. */
   freezeList (): void {
-    this.stale = this.listing()
+    this.frozenListing = this.listing()
   }
 
   thawList (): void {
-    this.stale = null
+    this.frozenListing = null
   }
 
   directory (): VmDirectory {
     return {
-      list: async () => this.listDown ? failed({ kind: 'unavailable' as never, reason: 'down' }) : success(this.stale ?? this.listing())
+      list: async () => this.listDown ? failed({ kind: 'unavailable' as never, reason: 'down' }) : success(this.frozenListing ?? this.listing())
     }
   }
 
-  /** The engines as one node reaches them; `reaches` cuts single links. */
+  /** The engine API of one node; `reaches` returns false for VMs that the node can't reach. */
   api (nodeClock: Clock, reaches: (vm: VmId) => boolean = () => true): EngineApi {
     const probe = async (address: string, timeoutMs: number): Promise<Result<VmStatus, EndpointError>> => {
-      const engine = this.at(address)
+      const engine = this.engineAt(address)
       if (engine === undefined || !engine.alive) return failed({ kind: EndpointErrorKind.NotRun, reason: 'refused' })
       if (engine.paused || !reaches(engine.vm)) return await timeout(nodeClock, timeoutMs)
       return success(this.status(engine))
     }
     const order = async (address: string, wanted: EngineOrder, fencing: number, timeoutMs: number): Promise<Result<VmStatus, EndpointError>> => {
-      const engine = this.at(address)
+      const engine = this.engineAt(address)
       if (engine === undefined || !engine.alive) return failed({ kind: EndpointErrorKind.NotRun, reason: 'refused' })
       if (engine.paused || !reaches(engine.vm)) return await timeout(nodeClock, timeoutMs)
       return await new Promise((resolve) => {
         const giveUp = nodeClock.registerTimer(timeoutMs, () => { resolve(failed({ kind: EndpointErrorKind.Ambiguous, reason: 'no answer' })) })
-        this.gate(engine.vm, () => {
+        this.deliverOrder(engine.vm, () => {
           giveUp()
-          resolve(this.obey(engine, wanted, fencing))
+          resolve(this.execute(engine, wanted, fencing))
         })
       })
     }
     return { probe, order } as unknown as EngineApi
   }
 
-  obey (engine: EngineFixture, order: EngineOrder, fencing: number): Result<VmStatus, EndpointError> {
+  execute (engine: EngineFixture, order: EngineOrder, fencing: number): Result<VmStatus, EndpointError> {
     if (engine.checksFencing && fencing < engine.fencing) return failed({ kind: EndpointErrorKind.Fenced, highestFencing: engine.fencing })
     engine.fencing = Math.max(engine.fencing, fencing)
-    engine.obeyed.push({ kind: order.kind, fencing, formation: order.kind === OrderKind.Preload ? 0 : order.formation })
+    engine.executedOrders.push({ kind: order.kind, fencing, formation: order.kind === OrderKind.Preload ? 0 : order.formation })
     ORDERS[order.kind](this, engine, order as never)
     return success(this.status(engine))
   }
@@ -155,11 +155,11 @@
     Object.assign(engine, { group: null, formation: 0, state: EngineState.Idle })
   }
 
-  /** A replica that loses a VM loses all that it runs. */
+  /** Aborts the requests of all members of the engine's group, since a group that loses a VM loses all its requests. */
   private cutOff (engine: EngineFixture): void {
     for (const other of this.vms.values()) {
       if (engine.group === null || other.group !== engine.group || other.formation !== engine.formation) continue
-      other.cutOff += other.running
+      other.cutOffRequests += other.running
       other.running = 0
     }
   }
@@ -181,7 +181,7 @@
     }
   }
 
-  private at (address: string): EngineFixture | undefined {
+  private engineAt (address: string): EngineFixture | undefined {
     return this.vms.get(address.slice('http://'.length))
   }
 
--- a/packages/dotterelspur-fleet/src/process/CleanListing.ts
+++ b/packages/dotterelspur-fleet/src/process/CleanListing.ts
@@ -1,11 +1,11 @@
 import { VmListState, VmRole, type FailureDomainId, type VmId, type VmListing, type VmRecord } from 'dotterelspur'
 
-/** Why a record of the list isn't used. */
+/** Why a record of the VM list isn't used. */
 export enum RecordFault {
-  /** An older line of a VM that is listed more than once. */
+  /** The record of an older incarnation of a VM that is listed more than once. */
   OlderIncarnation = 'older-incarnation',
-  /** The same incarnation is listed in two places: at most one can be true, so it is placed in neither. */
-  TwoPlaces = 'two-places'
+  /** The same incarnation is listed at two locations. At most one can be right, so the VM isn't used at either. */
+  ConflictingLocations = 'two-places'
 }
 
 export interface UnusedRecord {
@@ -14,43 +14,43 @@
 }
 
 export interface CleanListing {
-  /** Each VM once. */
+  /** The record to use for each VM. */
   readonly vms: ReadonlyMap<VmId, VmRecord>
   readonly unused: readonly UnusedRecord[]
 }
 
 /**
- * Makes each VM of a listing appear once: the highest incarnation wins, and of two lines with the same one,
- * `leaving` wins, since a VM that leaves never turns live again under its incarnation. A VM whose newest
- * incarnation stands in two fabric domains is left out, so that no two controllers place it.
+ * Reduces a listing to one record per VM. The highest incarnation wins, and of two records with the same incarnation
+ * `leaving` wins, since a leaving VM never becomes live again under the same incarnation. A VM whose newest incarnation
+ * is listed at two locations is left out, so that two controllers can't both assign it.
  */
 export function cleanListing (listing: VmListing): CleanListing {
   const vms = new Map<VmId, VmRecord>()
   const unused: UnusedRecord[] = []
-  const contested = new Set<VmId>()
+  const conflicting = new Set<VmId>()
   for (const record of listing.vms) {
     const known = vms.get(record.vm)
     if (known === undefined || record.incarnation > known.incarnation) {
       if (known !== undefined) unused.push({ record: known, fault: RecordFault.OlderIncarnation })
       vms.set(record.vm, record)
-      contested.delete(record.vm)
+      conflicting.delete(record.vm)
       continue
     }
     if (record.incarnation < known.incarnation) {
       unused.push({ record, fault: RecordFault.OlderIncarnation })
       continue
     }
-    if (!samePlace(record, known)) contested.add(record.vm)
+    if (!isSameLocation(record, known)) conflicting.add(record.vm)
     if (record.state === VmListState.Leaving) vms.set(record.vm, { ...known, state: VmListState.Leaving })
   }
-  for (const vm of contested) {
-    unused.push({ record: vms.get(vm)!, fault: RecordFault.TwoPlaces })
+  for (const vm of conflicting) {
+    unused.push({ record: vms.get(vm)!, fault: RecordFault.ConflictingLocations })
     vms.delete(vm)
   }
   return { vms, unused }
 }
 
-function samePlace (left: VmRecord, right: VmRecord): boolean {
+function isSameLocation (left: VmRecord, right: VmRecord): boolean {
   return left.fabricDomain === right.fabricDomain && left.failureDomain === right.failureDomain && left.role === right.role
 }
 
--- a/packages/dotterelspur-fleet/src/process/DomainController.ts
+++ b/packages/dotterelspur-fleet/src/process/DomainController.ts
@@ -5,25 +5,25 @@
 import { isEngine } from './CleanListing.js'
 import { FabricController, type FabricAuthority } from './FabricController.js'
 import type { FleetContext } from './FleetContext.js'
-import type { LeaseKeeper } from './LeaseKeeper.js'
+import type { LeaseController } from './LeaseController.js'
 import type { PauseDetector } from './PauseDetector.js'
 import { Ticker } from './Ticker.js'
 
-interface RunningFabric {
+interface RunningController {
   readonly controller: FabricController
   readonly ticker: Ticker
 }
 
-/** Decides for one failure domain for one term of its lease: one loop for each fabric domain in it. */
+/** Controls one failure domain during one term of its lease, with one control loop for each of its fabric domains. */
 export class DomainController {
   readonly failureDomain: FailureDomainId
-  private readonly fabrics = new Map<FabricDomainId, RunningFabric>()
+  private readonly fabrics = new Map<FabricDomainId, RunningController>()
   private readonly authority: FabricAuthority
   private readonly takenAtMs: number
   private stopped = false
 
   constructor (
-    readonly term: LeaseTerm, private readonly keeper: LeaseKeeper, private readonly pauses: PauseDetector, private readonly context: FleetContext,
+    readonly term: LeaseTerm, private readonly lease: LeaseController, private readonly pauses: PauseDetector, private readonly context: FleetContext,
     private readonly onError: (error: unknown) => void
   ) {
     this.failureDomain = term.failureDomain
@@ -32,29 +32,29 @@
     this.authority = {
       fencing: term.fencing,
       mayDecide,
-      mayOrder: (vm) => mayDecide() && this.isWaitedOut(vm),
-      noteFencing: (fencing) => { keeper.noteFencing(fencing) }
+      mayOrder: (vm) => mayDecide() && this.haveEarlierOrdersExpired(vm),
+      observeFencing: (fencing) => { lease.observeFencing(fencing) }
     }
   }
 
-  /** The assignments of this term, for reading. */
+  /** The assignments that this term has adopted. */
   assignments (): readonly AssignmentObject[] {
     return [...this.fabrics.values()].flatMap(({ controller }) => controller.assignment ?? [])
   }
 
-  /** The VMs of this term's fabric domains as last looked at. */
+  /** The health of the VMs in this failure domain's fabric domains as of their last ticks. */
   health (): readonly VmHealth[] {
     return [...this.fabrics.values()].flatMap(({ controller }) => controller.health)
   }
 
-  /** Starts loops for fabric domains that the list or the mesh knows here; ends none, since the list lags. */
+  /** Starts loops for new fabric domains in the VM list or the assignments. Stops none, since the list lags behind. */
   refresh (): void {
     if (this.stopped) return
-    for (const [fabricDomain, region] of this.knownFabrics()) this.begin(fabricDomain, region)
+    for (const [fabricDomain, region] of this.knownFabricDomains()) this.startController(fabricDomain, region)
   }
 
-  nudge (): void {
-    for (const { ticker } of this.fabrics.values()) ticker.nudge()
+  trigger (): void {
+    for (const { ticker } of this.fabrics.values()) ticker.trigger()
   }
 
   stop (): void {
@@ -67,22 +67,22 @@
 
   private mayDecide (term: LeaseTerm): boolean {
     this.pauses.sample()
-    return !this.stopped && this.keeper.term?.fencing === term.fencing && this.keeper.mayOrder()
+    return !this.stopped && this.lease.term?.fencing === term.fencing && this.lease.mayOrder()
   }
 
   /**
-   * An engine that doesn't check fencing numbers would obey an order of the holder before that is still under
-   * way. Such an order ends at the latest one order timeout after its sender had to stop, so this term's first
-   * order to it waits for as long.
+   * Whether orders of the previous lease holder can no longer reach the VM. An engine that doesn't check fencing numbers
+   * would obey such an order while it is still in flight. It times out at the latest one order timeout after its sender
+   * had to stop, so this term's first order to such an engine waits for as long.
    */
-  private isWaitedOut (vm: VmId): boolean {
+  private haveEarlierOrdersExpired (vm: VmId): boolean {
     const { options, timing, vmList } = this.context
     const fabricDomain = vmList.record(vm)?.fabricDomain ?? ''
     const checks = options.checksFencing?.({ vm, fabricDomain, failureDomain: this.failureDomain }) ?? true
     return checks || options.clock.nowMs() - this.takenAtMs >= timing.orderTimeoutMs
   }
 
-  private begin (fabricDomain: FabricDomainId, region: RegionId): void {
+  private startController (fabricDomain: FabricDomainId, region: RegionId): void {
     if (this.fabrics.has(fabricDomain)) return
     const { clock, random } = this.context.options
     const controller = new FabricController({ region, failureDomain: this.failureDomain, fabricDomain }, this.context, this.authority)
@@ -91,7 +91,7 @@
     ticker.start(0)
   }
 
-  private knownFabrics (): ReadonlyMap<FabricDomainId, RegionId> {
+  private knownFabricDomains (): ReadonlyMap<FabricDomainId, RegionId> {
     const listed = this.context.vmList.allVms()
       .filter((record) => isEngine(record) && record.failureDomain === this.failureDomain)
       .map((record) => [record.fabricDomain, record.region] as const)
--- a/packages/dotterelspur-fleet/src/process/GroupAges.ts
+++ b/packages/dotterelspur-fleet/src/process/GroupAges.ts
@@ -3,25 +3,25 @@
 interface Ages {
   readonly formation: number
   readonly state: GroupState
-  /** When this node first saw the group in this state. */
+  /** When this node first observed the group in this state. */
   readonly stateSinceMs: number
-  /** Since when its evidence has been complete at this formation without a break; null when it isn't. */
-  readonly wholeSinceMs: number | null
+  /** Since when the evidence has shown the group complete at this formation without interruption; null when it isn't complete. */
+  readonly completeSinceMs: number | null
 }
 
-/** For how long each group has been as it is, on this node's own clock: the wall times in an assignment decide nothing. */
+/** How long each group has been in its state, on this node's own monotonic clock; the wall times in assignments aren't used. */
 export class GroupAges {
   private ages: ReadonlyMap<GroupId, Ages> = new Map()
 
   constructor (private readonly clock: Clock, private readonly lostAfterMs: number, private readonly evidenceTtlMs: number) {}
 
-  note (assignments: readonly AssignmentObject[], presence: ReadonlyMap<GroupId, GroupPresence>): void {
+  update (assignments: readonly AssignmentObject[], presence: ReadonlyMap<GroupId, GroupPresence>): void {
     const next = new Map<GroupId, Ages>()
     for (const group of assignments.flatMap((assignment) => assignment.groups)) next.set(group.group, this.age(group, presence.get(group.group)))
     this.ages = next
   }
 
-  /** Broken for so long that its repair is no longer likely. */
+  /** Whether the group has been broken for so long that its repair is no longer likely. */
   isLost (group: AssignedGroup): boolean {
     return this.inStateMs(group, GroupState.Broken) >= this.lostAfterMs
   }
@@ -31,7 +31,7 @@
   }
 
   healthyForMs (group: AssignedGroup): number {
-    const sinceMs = this.ages.get(group.group)?.wholeSinceMs ?? null
+    const sinceMs = this.ages.get(group.group)?.completeSinceMs ?? null
     return sinceMs === null ? 0 : this.clock.nowMs() - sinceMs
   }
 
@@ -44,12 +44,12 @@
     const nowMs = this.clock.nowMs()
     const before = this.ages.get(group.group)
     const sameFormation = before?.formation === group.formation
-    const whole = evidence !== undefined && evidence.complete && evidence.formation === group.formation && evidence.ageMs < this.evidenceTtlMs
+    const isComplete = evidence !== undefined && evidence.complete && evidence.formation === group.formation && evidence.ageMs < this.evidenceTtlMs
     return {
       formation: group.formation,
       state: group.state,
       stateSinceMs: sameFormation && before.state === group.state ? before.stateSinceMs : nowMs,
-      wholeSinceMs: whole ? (sameFormation ? before.wholeSinceMs : null) ?? nowMs : null
+      completeSinceMs: isComplete ? (sameFormation ? before.completeSinceMs : null) ?? nowMs : null
     }
   }
 }
--- a/packages/dotterelspur-fleet/src/process/IntentShares.ts
+++ b/packages/dotterelspur-fleet/src/process/IntentShares.ts
@@ -2,14 +2,14 @@
   shareLoadBudget, type FabricDomainId, type GroupId, type GroupPresence, type LoadBudget, type PlannedIntent, type UnmetIntent, type VmRecord, type WeightStoreRate
 } from 'dotterelspur'
 import { assignmentDocuments } from '../version/FleetDocuments.js'
-import { loadDemands, planIntents, plannedIntents, type IntentPlan, type SharedFacts } from '../version/FabricIntents.js'
+import { loadDemands, planIntents, plannedIntents, type IntentPlan, type SharedState } from '../version/FabricIntents.js'
 import type { FleetOptions } from './FleetOptions.js'
 import type { FleetTiming } from './FleetTiming.js'
 import { GroupAges } from './GroupAges.js'
 
 interface Computed {
   readonly atMs: number
-  readonly facts: SharedFacts
+  readonly state: SharedState
   readonly plan: IntentPlan
 }
 
@@ -18,12 +18,12 @@
   readonly presence: () => ReadonlyMap<GroupId, GroupPresence>
 }
 
-/** Where the node's settings don't state the weight store's rate. */
+/** Used when the node's settings don't state the weight store's rate. */
 const DEFAULT_WEIGHT_RATE: WeightStoreRate = { loadsPerMinute: 60, burst: 32 }
-/** Loads of a new version may take a few times the expected time before they count as failed. */
+/** Forming a group at a new version counts as failed after this many times the expected time to load and join. */
 const FORM_TIMEOUT_LOADS = 4
 
-/** What follows from the facts that all controllers share: reckoned once for all fabric domains that tick together. */
+/** Each fabric domain's intents and load budget, computed from the shared state once for all fabric domains that tick at about the same time. */
 export class IntentShares {
   private computed: Computed | null = null
   private readonly ages: GroupAges
@@ -33,15 +33,15 @@
   }
 
   intents (fabricDomain: FabricDomainId): readonly PlannedIntent[] {
-    const { facts, plan } = this.current()
-    return plannedIntents(facts, plan, fabricDomain)
+    const { state, plan } = this.current()
+    return plannedIntents(state, plan, fabricDomain)
   }
 
   loadBudget (fabricDomain: FabricDomainId): LoadBudget {
-    return shareLoadBudget(this.options.weightStoreRate ?? DEFAULT_WEIGHT_RATE, loadDemands(this.current().facts), fabricDomain)
+    return shareLoadBudget(this.options.weightStoreRate ?? DEFAULT_WEIGHT_RATE, loadDemands(this.current().state), fabricDomain)
   }
 
-  /** Intents that no fabric domain has room for, with whom they lost to. */
+  /** Intents that no fabric domain has capacity for, with the intents that took precedence. */
   unmet (): readonly UnmetIntent[] {
     return this.computed?.plan.allocation.unmet ?? []
   }
@@ -51,14 +51,14 @@
     const nowMs = clock.nowMs()
     if (this.computed !== null && nowMs - this.computed.atMs < this.timing.controllerIntervalMs / 2) return this.computed
     const assignments = assignmentDocuments(mesh).map(({ body }) => body)
-    this.ages.note(assignments, this.sources.presence())
+    this.ages.update(assignments, this.sources.presence())
     const { planning } = this.timing
-    const facts: SharedFacts = {
+    const state: SharedState = {
       wallMs: clock.wallMs(),
       teams: settings(),
       records: this.sources.records(),
       assignments,
-      readings: {
+      measurements: {
         isLost: (group) => this.ages.isLost(group),
         formingForMs: (group) => this.ages.formingForMs(group),
         healthyForMs: (group) => this.ages.healthyForMs(group),
@@ -66,7 +66,7 @@
       },
       formTimeoutMs: FORM_TIMEOUT_LOADS * (planning.loadMs + planning.joinMs)
     }
-    this.computed = { atMs: nowMs, facts, plan: planIntents(facts) }
+    this.computed = { atMs: nowMs, state, plan: planIntents(state) }
     return this.computed
   }
 }
--- a/packages/dotterelspur-fleet/src/process/OrderSender.ts
+++ b/packages/dotterelspur-fleet/src/process/OrderSender.ts
@@ -3,12 +3,12 @@
 } from 'dotterelspur'
 import type { FleetTiming } from './FleetTiming.js'
 
-/** Under which lease orders go out, asked right before each send. */
+/** The lease under which orders are sent; checked immediately before each send. */
 export interface OrderAuthority {
   readonly fencing: number
   /** Whether an order may be sent to this VM at this instant. */
   mayOrder (vm: VmId): boolean
-  noteFencing (fencing: number): void
+  observeFencing (fencing: number): void
 }
 
 export interface OrderCounts {
@@ -16,7 +16,7 @@
   done: number
   failed: number
   fenced: number
-  /** Held back since the lease didn't allow them at the instant of sending. */
+  /** Not sent, since the lease didn't allow them at that instant. */
   withheld: number
 }
 
@@ -26,12 +26,12 @@
 }
 
 /**
- * Sends orders: one at a time to each VM, the same one not again before its effect had time to show. The
- * authority is asked in the same step of the loop in which the connection is used, with nothing awaited between.
+ * Sends orders, one at a time to each VM. The same order isn't sent again until its effect has had time to be observed.
+ * The authority is checked in the same turn of the event loop that starts the request, with no `await` in between.
  */
 export class OrderSender {
   readonly counts: OrderCounts = { sent: 0, done: 0, failed: 0, fenced: 0, withheld: 0 }
-  private readonly underWay = new Map<VmId, Promise<void>>()
+  private readonly inProgress = new Map<VmId, Promise<void>>()
   private readonly lastSent = new Map<VmId, SentOrder>()
 
   constructor (
@@ -41,31 +41,31 @@
 
   send (due: DueOrder, authority: OrderAuthority): void {
     const text = JSON.stringify([authority.fencing, due.order])
-    if (this.underWay.has(due.vm) || this.wasJustSent(due.vm, text)) return
+    if (this.inProgress.has(due.vm) || this.wasSentRecently(due.vm, text)) return
     if (!authority.mayOrder(due.vm)) {
       this.counts.withheld += 1
       return
     }
     this.lastSent.set(due.vm, { text, sentAtMs: this.clock.nowMs() })
-    const done = this.deliver(due, authority).finally(() => { this.underWay.delete(due.vm) })
-    this.underWay.set(due.vm, done)
+    const done = this.deliver(due, authority).finally(() => { this.inProgress.delete(due.vm) })
+    this.inProgress.set(due.vm, done)
   }
 
-  /** Resolves when no order is under way; each ends by its timeout. */
+  /** Resolves when no order is in progress; each ends at its timeout at the latest. */
   async settled (): Promise<void> {
-    while (this.underWay.size > 0) await Promise.allSettled([...this.underWay.values()])
+    while (this.inProgress.size > 0) await Promise.allSettled([...this.inProgress.values()])
   }
 
-  /** Forgets VMs that are no longer in any fabric domain of this node. */
+  /** Discards the state of VMs that are no longer in any fabric domain of this node. */
   retain (vms: ReadonlySet<VmId>): void {
     for (const vm of this.lastSent.keys()) {
       if (!vms.has(vm)) this.lastSent.delete(vm)
     }
   }
 
-  private wasJustSent (vm: VmId, text: string): boolean {
+  private wasSentRecently (vm: VmId, text: string): boolean {
     const last = this.lastSent.get(vm)
-    return last !== undefined && last.text === text && this.clock.nowMs() - last.sentAtMs < this.timing.orderRepeatMs
+    return last !== undefined && last.text === text && this.clock.nowMs() - last.sentAtMs < this.timing.orderRetryMs
   }
 
   private async deliver (due: DueOrder, authority: OrderAuthority): Promise<void> {
@@ -75,13 +75,13 @@
     if (result.ok) {
       this.counts.done += 1
       this.onStatus(result.value, askedAtMs)
-    } else this.noteFailure(result.error, authority)
+    } else this.recordFailure(result.error, authority)
   }
 
-  private noteFailure (error: EndpointError, authority: OrderAuthority): void {
+  private recordFailure (error: EndpointError, authority: OrderAuthority): void {
     this.counts.failed += 1
     if (error.kind !== EndpointErrorKind.Fenced) return
     this.counts.fenced += 1
-    authority.noteFencing(error.highestFencing)
+    authority.observeFencing(error.highestFencing)
   }
 }
--- a/packages/dotterelspur-fleet/src/process/VmListPoller.ts
+++ b/packages/dotterelspur-fleet/src/process/VmListPoller.ts
@@ -7,15 +7,15 @@
 import { Ticker } from './Ticker.js'
 
 /**
- * Reads the platform's VM list on the nodes that hold a lease, one call for all of them, and spreads each held
- * failure domain's part over the mesh. An older answer than the last one is left aside; without an answer the
- * last one stands.
+ * Polls the platform's VM list while this node holds a lease, with one call for all its leases, and broadcasts the records
+ * of each of its failure domains through the mesh. A listing with an older version than the last one is ignored, and when
+ * a poll fails the last listing stays in use.
  */
 export class VmListPoller {
   private listing: VmListing | null = null
   private clean: CleanListing = { vms: new Map(), unused: [] }
   private readonly ticker: Ticker
-  private readonly spread = new Map<FailureDomainId, string>()
+  private readonly lastBroadcast = new Map<FailureDomainId, string>()
 
   constructor (
     private readonly options: FleetOptions, timing: FleetTiming, private readonly heldFailureDomains: () => readonly FailureDomainId[],
@@ -32,17 +32,17 @@
     this.ticker.stop()
   }
 
-  /** Reads the list soon, as after a lease was taken. */
-  nudge (): void {
-    this.ticker.nudge()
+  /** Polls the list at once, as after a lease was taken. */
+  trigger (): void {
+    this.ticker.trigger()
   }
 
-  /** The failure domains of the last list, with the regions that it gives them. */
+  /** The failure domains in the last listing, with their regions. */
   failureDomains (): ReadonlyMap<FailureDomainId, RegionId> {
     return new Map([...this.clean.vms.values()].map((record) => [record.failureDomain, record.region]))
   }
 
-  /** The VMs of one fabric domain as last listed. */
+  /** The VMs of one fabric domain in the last listing. */
   fabricDomain (fabricDomain: FabricDomainId): readonly VmRecord[] {
     return [...this.clean.vms.values()].filter((record) => record.fabricDomain === fabricDomain)
   }
@@ -71,15 +71,15 @@
       this.listing = result.value
       this.clean = cleanListing(result.value)
     }
-    for (const failureDomain of held) this.spreadPart(failureDomain)
+    for (const failureDomain of held) this.broadcastPart(failureDomain)
     if (isNew) this.onChange()
   }
 
-  private spreadPart (failureDomain: FailureDomainId): void {
+  private broadcastPart (failureDomain: FailureDomainId): void {
     const body: VmListDocument = { failureDomain, vms: recordsOf(this.clean, failureDomain) }
-    const text = JSON.stringify(body.vms)
-    if (this.spread.get(failureDomain) === text) return
-    this.spread.set(failureDomain, text)
+    const serialized = JSON.stringify(body.vms)
+    if (this.lastBroadcast.get(failureDomain) === serialized) return
+    this.lastBroadcast.set(failureDomain, serialized)
     this.options.mesh.offerDocument({ key: vmListKey(failureDomain), version: this.listing!.version, body, deleted: false })
   }
 }
--- a/packages/dotterelspur-fleet/src/version/WatchPlan.ts
+++ b/packages/dotterelspur-fleet/src/version/WatchPlan.ts
@@ -3,7 +3,7 @@
   type VmListDocument, type VmRecord
 } from 'dotterelspur'
 
-/** Watchers of each group and of each service worker. One may be slow, cut off or replaced without a gap in the evidence. */
+/** Watchers of each group and of each service worker: one may be slow, cut off or replaced without a gap in the evidence. */
 export const WATCHERS_PER_SUBJECT = 2
 
 export interface WatchedGroup {
@@ -11,7 +11,7 @@
   readonly group: AssignedGroup
 }
 
-/** What one node watches. */
+/** The groups and service workers that one node watches. */
 export interface WatchPlan {
   readonly groups: readonly WatchedGroup[]
   readonly services: readonly VmRecord[]
@@ -25,42 +25,42 @@
 }
 
 /**
- * Chooses what this node watches: rendezvous hashing over the living nodes of the subject's region, so that all
- * nodes agree without talking. The VMs of one group have the same watchers, since only who sees all members can
- * say that the group is complete.
+ * Chooses the groups and service workers that this node watches, by rendezvous hashing over the living nodes of their
+ * region, so that all nodes agree without exchanging messages. The VMs of one group have the same watchers, since only
+ * a watcher of all members can tell that the group is complete.
  */
 export function planWatches (input: WatchPlanInput): WatchPlan {
   const watchersByRegion = new Map<RegionId, readonly NodeId[]>()
-  const isMine = (key: string, region: RegionId): boolean => {
-    const nodes = watchersByRegion.get(region) ?? watchersOf(input, region)
+  const isWatchedBySelf = (key: string, region: RegionId): boolean => {
+    const nodes = watchersByRegion.get(region) ?? eligibleWatchers(input, region)
     watchersByRegion.set(region, nodes)
     return rendezvousOrder(key, nodes).slice(0, WATCHERS_PER_SUBJECT).includes(input.self.node)
   }
   const groups = input.assignments.flatMap((assignment) => assignment.groups
-    .filter((group) => isMine(`group/${group.group}`, assignment.region))
+    .filter((group) => isWatchedBySelf(`group/${group.group}`, assignment.region))
     .map((group) => ({ assignment, group })))
   const services = input.vmLists
     .flatMap((list) => list.vms)
-    .filter((record) => record.role === VmRole.Service && isMine(`vm/${record.vm}`, record.region))
+    .filter((record) => record.role === VmRole.Service && isWatchedBySelf(`vm/${record.vm}`, record.region))
   return { groups, services }
 }
 
 /**
- * The nodes that may watch a region's VMs. A node that drains counts itself until it stops, while the others
- * already leave it out: for that time there is one watcher more, never one less. A region without nodes is
- * watched from outside.
+ * The nodes that may watch a region's VMs. A draining node includes itself until it stops, while the other nodes already
+ * leave it out, so that a draining node causes an extra watcher for a while and never a missing one. A region without
+ * nodes of its own is watched by the nodes of all other regions.
  */
-function watchersOf (input: WatchPlanInput, region: RegionId): readonly NodeId[] {
-  const able = input.members.filter((member) => isAble(member) || member.node === input.self.node)
-  const inside = able.filter((member) => member.region === region)
-  return (inside.length > 0 ? inside : able).map((member) => member.node)
+function eligibleWatchers (input: WatchPlanInput, region: RegionId): readonly NodeId[] {
+  const eligible = input.members.filter((member) => isEligible(member) || member.node === input.self.node)
+  const inside = eligible.filter((member) => member.region === region)
+  return (inside.length > 0 ? inside : eligible).map((member) => member.node)
 }
 
-function isAble (member: NodeMember): boolean {
+function isEligible (member: NodeMember): boolean {
   return member.state === NodeState.Alive || member.state === NodeState.Suspect
 }
 
-/** The VMs that the platform's list says will be taken away. */
+/** The VMs that the platform's list marks as leaving. */
 export function leavingVms (vmLists: readonly VmListDocument[]): ReadonlySet<VmId> {
   const leaving = vmLists.flatMap((list) => list.vms).filter((record) => record.state === VmListState.Leaving)
   return new Set(leaving.map((record) => record.vm))
--- a/packages/dotterelspur-node/src/process/Node.ts
+++ b/packages/dotterelspur-node/src/process/Node.ts
@@ -59,7 +59,7 @@
 
 /** Registers the settings listener and starts the store follower before the fleet, which reads team settings from its first step. */
 function startRoles ({ follower, teams, fleet }: NodeParts): void {
-  teams.registerListener(() => { fleet.nudge() })
+  teams.registerListener(() => { fleet.triggerControllers() })
   follower.start()
   fleet.start()
 }
