--- a/packages/dotterelspur-mesh/src/connection/Transport.ts
+++ b/packages/dotterelspur-mesh/src/connection/Transport.ts
@@ -169,8 +169,8 @@
 
 function refusalFromBody (body: string): Refusal {
   const [reason, detail] = body.split(': ')
-  const known = Object.values(RefusalReason).find((value) => value === reason)
-  return { reason: known ?? RefusalReason.Unreachable, detail: detail ?? body }
+  const knownReason = Object.values(RefusalReason).find((value) => value === reason)
+  return { reason: knownReason ?? RefusalReason.Unreachable, detail: detail ?? body }
 }
 
 const MAX_BODY_LENGTH = 1024
--- a/packages/dotterelspur-mesh/src/request/CallLink.ts
+++ b/packages/dotterelspur-mesh/src/request/CallLink.ts
@@ -44,7 +44,7 @@
   /** Called once the caller has read the call's last event or stopped reading; cancels the call if it still runs. */
   release (call: OutgoingCall): void {
     call.cancel('the caller stopped reading')
-    this.calls.delete(call.call)
+    this.calls.delete(call.callId)
     this.idleSinceMs = this.nowMs()
   }
 
--- a/packages/dotterelspur-mesh/src/request/OutgoingCall.ts
+++ b/packages/dotterelspur-mesh/src/request/OutgoingCall.ts
@@ -8,7 +8,7 @@
   private isEnded = false
   private consumed = 0
 
-  constructor (private readonly connection: Connection, readonly call: number, private readonly creditWindow: number) {}
+  constructor (private readonly connection: Connection, readonly callId: number, private readonly creditWindow: number) {}
 
   deliver (message: unknown): void {
     this.push({ kind: CallEventKind.Message, message })
@@ -25,7 +25,7 @@
   /** Asks the peer to stop; effects that the call has had until then are not undone. */
   cancel (reason: string): void {
     if (this.isEnded) return
-    this.connection.sendCall({ kind: FrameKind.CallCancel, call: this.call })
+    this.connection.sendCall({ kind: FrameKind.CallCancel, call: this.callId })
     this.fail({ kind: MeshErrorKind.Interrupted, reason })
   }
 
@@ -54,7 +54,7 @@
   private noteConsumed (): void {
     this.consumed += 1
     if (this.isEnded || this.consumed < this.creditWindow / 2) return
-    this.connection.sendCall({ kind: FrameKind.CallCredit, call: this.call, credit: this.consumed })
+    this.connection.sendCall({ kind: FrameKind.CallCredit, call: this.callId, credit: this.consumed })
     this.consumed = 0
   }
 }
--- a/packages/dotterelspur-mesh/src/request/ServedCall.ts
+++ b/packages/dotterelspur-mesh/src/request/ServedCall.ts
@@ -8,7 +8,7 @@
   private readonly abort = new AbortController()
   private wakeForCredit: (() => void) | undefined
 
-  constructor (private readonly connection: Connection, private readonly call: number, private credit: number) {}
+  constructor (private readonly connection: Connection, private readonly callId: number, private credit: number) {}
 
   async run (handler: CallHandler, request: unknown, from: NodeId): Promise<void> {
     try {
@@ -36,11 +36,11 @@
       const step = await messages.next()
       if (this.abort.signal.aborted) break
       if (step.done === true) {
-        this.connection.sendCall({ kind: FrameKind.CallEnd, call: this.call })
+        this.connection.sendCall({ kind: FrameKind.CallEnd, call: this.callId })
         return
       }
       this.credit -= 1
-      const sent = this.connection.sendCall({ kind: FrameKind.CallMessage, call: this.call, message: step.value })
+      const sent = this.connection.sendCall({ kind: FrameKind.CallMessage, call: this.callId, message: step.value })
       if (sent === SendResult.TooLarge) this.fail(MeshErrorKind.Rejected, 'a message exceeds the maximum frame size')
       if (sent !== SendResult.Sent) break
     }
@@ -57,6 +57,6 @@
 
   private fail (error: MeshErrorKind, reason: string): void {
     if (this.abort.signal.aborted) return
-    this.connection.sendCall({ kind: FrameKind.CallError, call: this.call, error, reason: reason.slice(0, MAX_REASON_LENGTH) })
+    this.connection.sendCall({ kind: FrameKind.CallError, call: this.callId, error, reason: reason.slice(0, MAX_REASON_LENGTH) })
   }
 }
--- a/packages/dotterelspur/src/request/dispatch/__tests__/unit/DeadlineHistory.test.ts
+++ b/packages/dotterelspur/src/request/dispatch/__tests__/unit/DeadlineHistory.test.ts
@@ -19,7 +19,7 @@
 }
 
 /** First attempts of callers, and some retries with 65 to 85 % of the caller's first deadline. */
-function judge (budgets: Budgets, seed: number): Classification {
+function classify (budgets: Budgets, seed: number): Classification {
   const random = createRandom(seed)
   const history = new DeadlineHistory()
   const counts: Classification = { firstAsRetry: 0, first: 0, retryDetected: 0, retries: 0 }
@@ -47,7 +47,7 @@
       // Guards against first attempts that are refused as if they were late in any case, and a demand of models that is
       // never learned: callers have budgets of their own, and each that stated less than the longest one observed was
       // classified as a retry.
-      const counts = [1, 2, 3, 4, 5].map((seed) => judge(budgets, seed))
+      const counts = [1, 2, 3, 4, 5].map((seed) => classify(budgets, seed))
       const sum = (count: (verdict: Classification) => number): number => counts.reduce((total, verdict) => total + count(verdict), 0)
       for (const { firstAsRetry, first } of counts) expect(firstAsRetry / first).to.be.below(0.03)
       expect(sum(({ retryDetected }) => retryDetected) / sum(({ retries }) => retries)).to.be.at.least(minDetectedShare)
