--- a/packages/dotterelspur-node/src/process/Node.ts
+++ b/packages/dotterelspur-node/src/process/Node.ts
@@ -78,9 +78,9 @@
 }
 
 function createDrainRequest (): DrainRequest {
-  let settle: () => void = () => {}
-  const promise = new Promise<void>((resolve) => { settle = resolve })
-  return { promise, request: () => { settle() } }
+  let resolveRequest: () => void = () => {}
+  const promise = new Promise<void>((resolve) => { resolveRequest = resolve })
+  return { promise, request: () => { resolveRequest() } }
 }
 
 function startAdmin (loaded: LoadedSettings, parts: NodeParts, ports: NodePorts, drainSelf: (reason: string) => void): Promise<AdminServer> {
--- a/packages/dotterelspur-node/src/process/admin/AdminScope.ts
+++ b/packages/dotterelspur-node/src/process/admin/AdminScope.ts
@@ -38,7 +38,7 @@
   const owners = teams.entries().filter((entry) => tokenMatches(token, entry.settings?.operatorTokenHashes ?? []))
   if (isFleet) return success(FLEET)
   // A hash listed by two teams is rejected, because the team that the token belongs to is ambiguous.
-  if (owners.length !== 1) return failed(unauthorized('unknown token'))
+  if (owners.length !== 1) return failed(unauthorized('the token is not known'))
   return success({ kind: AdminScopeKind.Team, team: owners[0]!.team })
 }
 
--- a/packages/dotterelspur-node/src/process/admin/fleetRoutes.ts
+++ b/packages/dotterelspur-node/src/process/admin/fleetRoutes.ts
@@ -66,7 +66,7 @@
 }
 
 function listGroups (request: AdminRequest, context: AdminContext): Result<GroupList, AdminError> {
-  const groups = createGroupRows(context).filter((line) => canView(request.scope, line.team))
+  const groups = createGroupRows(context).filter((row) => canView(request.scope, row.team))
   return success({ ...meshSourceFields(context.backend), groups: [...groups] })
 }
 
@@ -93,12 +93,12 @@
 /** The platform's list of VMs, joined with the assignments and the service presence; only the latter two while the list can't be read. */
 async function listEndpoints (_request: AdminRequest, { backend }: AdminContext): Promise<Result<EndpointList, AdminError>> {
   const drained = drainedTargets(backend.mesh)
-  const lines = new Map<string, EndpointRow>()
-  for (const line of [...createAssignedRows(backend.mesh), ...createServiceRows(backend.mesh)]) lines.set(line.vm, line)
+  const rows = new Map<string, EndpointRow>()
+  for (const row of [...createAssignedRows(backend.mesh), ...createServiceRows(backend.mesh)]) rows.set(row.vm, row)
   const listing = await backend.vms.list()
   for (const record of listing.ok ? listing.value.vms : []) {
-    const assigned = lines.get(record.vm)
-    lines.set(record.vm, {
+    const assigned = rows.get(record.vm)
+    rows.set(record.vm, {
       vm: record.vm,
       role: record.role,
       listState: record.state,
@@ -112,7 +112,7 @@
       drained: false
     })
   }
-  const endpoints = [...lines.values()].map((line) => ({ ...line, drained: drained.has(line.vm) }))
+  const endpoints = [...rows.values()].map((row) => ({ ...row, drained: drained.has(row.vm) }))
   return success({ listed: listing.ok, endpoints: endpoints.sort((left, right) => left.vm < right.vm ? -1 : 1) })
 }
 
@@ -140,7 +140,7 @@
   const { backend, teams } = context
   const { self } = backend.mesh
   const groups = createGroupRows(context)
-  const serving = groups.filter((line) => line.serving).length
+  const serving = groups.filter((row) => row.serving).length
   return success({
     ...meshSourceFields(backend),
     node: self.node,
@@ -151,7 +151,7 @@
     ready: backend.readiness().ready,
     peerContactAgeMs: finiteOrNull(backend.mesh.peerContactAgeMs()),
     nodes: countBy(backend.mesh.members(), (member) => member.state),
-    groups: { serving, notServing: groups.length - serving, byState: countBy(groups, (line) => line.state) },
+    groups: { serving, notServing: groups.length - serving, byState: countBy(groups, (row) => row.state) },
     teams: teams.entries().length,
     leases: leasesOf(backend.mesh).filter((lease) => !lease.released).length,
     drains: drainedTargets(backend.mesh).size
--- a/packages/dotterelspur-platform/src/request/readProcedure.ts
+++ b/packages/dotterelspur-platform/src/request/readProcedure.ts
@@ -21,7 +21,7 @@
 type PlatformResponse = Extract<PlatformReply, { kind: ReplyKind.Response }>
 
 /** Parses a response. `versionAtRequest` is the highest store version that this process had observed when it sent the request. */
-type ResponseParser<Value> = (reply: PlatformResponse, askedAtVersion: number) => Result<Value, StoreError>
+type ResponseParser<Value> = (reply: PlatformResponse, versionAtRequest: number) => Result<Value, StoreError>
 
 /** Reads a key. When the response is older than the state that this process has observed, the observed state is returned. */
 export function * getProcedure<Body> (key: string, context: ProcedureContext): Procedure<PlatformEffect, Result<StoredObject<Body>, StoreError>> {
@@ -32,7 +32,7 @@
 /** Lists a prefix. A listing older than the version observed when the request was sent is stale, and the request is retried. */
 export function * listProcedure<Body> (prefix: string, context: ProcedureContext): Procedure<PlatformEffect, Result<ObjectListing<Body>, StoreError>> {
   const request: PlatformRequest = { callKind: CallKind.Read, method: HttpMethod.Get, path: listPath(prefix) }
-  return yield * readProcedure(request, context, (reply, askedAtVersion) => parseListResponse<Body>(reply, askedAtVersion, context.seen))
+  return yield * readProcedure(request, context, (reply, versionAtRequest) => parseListResponse<Body>(reply, versionAtRequest, context.seen))
 }
 
 /** Sends a read, and retries it while the platform is unavailable, up to the maximum number of attempts. */
--- a/packages/dotterelspur-settings/src/process/SettingsText.ts
+++ b/packages/dotterelspur-settings/src/process/SettingsText.ts
@@ -15,7 +15,7 @@
 
 /** One `[section]` with its entries, before validation. */
 export interface TextSection {
-  /** The words between the brackets, joined by single spaces. */
+  /** The keyword and the names between the brackets, joined by single spaces. */
   readonly name: string
   readonly line: number
   readonly entries: readonly TextEntry[]
@@ -30,7 +30,7 @@
 const CONTROL_PATTERN = /[\u0000-\u0008\u000b-\u001f\u007f-\u009f\u2028\u2029]/
 const SURROGATE_PATTERN = /\p{Surrogate}/u
 
-const SECTION_GRAMMAR = 'a section as [word], [word name] or [word name name]; names of letters, digits and . _ : / -'
+const SECTION_GRAMMAR = 'a section as [keyword], [keyword name] or [keyword name name]; names of letters, digits and . _ : / -'
 const KEY_GRAMMAR = 'a key of lower-case letters, digits and hyphens, at most 64'
 const LINE_GRAMMAR = '[section], key = value, or a comment that starts with ; or #'
 
