--- a/packages/dotterelspur-fleet/src/process/LeaseKeeper.ts
+++ b/packages/dotterelspur-fleet/src/process/LeaseKeeper.ts
@@ -1,7 +1,7 @@
 import {
-  ChallengeKind, decideChallenge, isExpired, LEASE_PREFIX, LeaseEffectKind, LeaseLoss, leaseKey, LeaseResultKind, mayOrder, NO_SIGHTING, observeAbsence, observeLease,
+  ChallengeKind, decideChallenge, isExpired, LEASE_PREFIX, LeaseEffectKind, LeaseLoss, leaseKey, LeaseResultKind, mayOrder, NO_LEASE_OBSERVATION, observeAbsence, observeLease,
   raiseFencingFloor, renewalDueAtMs, renewLease, runProcedure, StoreErrorKind, suspendTerm, takeLease, type EffectHandlers, type FailureDomainId, type LeaseEffect,
-  type LeaseObject, type LeaseSighting, type LeaseTerm, type MeshDocument, type ObjectStore, type StoredObject
+  type LeaseObject, type LeaseObservation, type LeaseTerm, type MeshDocument, type ObjectStore, type StoredObject
 } from 'dotterelspur'
 import type { FleetOptions } from './FleetOptions.js'
 import type { FleetTiming } from './FleetTiming.js'
@@ -19,7 +19,7 @@
 
 /** Runs one failure domain's lease on one node: watches it, takes it, renews it, gives it up. */
 export class LeaseKeeper {
-  private sighting: LeaseSighting = NO_SIGHTING
+  private sighting: LeaseObservation = NO_LEASE_OBSERVATION
   private held: LeaseTerm | null = null
   private running: Promise<void> | null = null
   private readAtMs = -Infinity
@@ -129,12 +129,12 @@
     const result = await runProcedure(take, this.handlers())
     if (result.kind === LeaseResultKind.Held) return this.begin(result.term)
     if (result.observed !== null) this.observe(result.observed)
-    if (result.error.kind === StoreErrorKind.Conflict && result.error.currentVersion === null) this.sighting = { ...this.sighting, version: 0, firstSeenAtMs: nowMs }
+    if (result.error.kind === StoreErrorKind.Conflict && result.error.currentVersion === null) this.sighting = { ...this.sighting, version: 0, firstObservedAtMs: nowMs }
     this.backOff()
   }
 
   private async readIfDue (nowMs: number): Promise<void> {
-    const newestMs = Math.max(this.readAtMs, this.sighting.firstSeenAtMs ?? -Infinity)
+    const newestMs = Math.max(this.readAtMs, this.sighting.firstObservedAtMs ?? -Infinity)
     if (nowMs - newestMs < this.timing.leaseReadIntervalMs) return
     this.readAtMs = nowMs
     const read = await this.store.get<LeaseObject>(leaseKey(this.failureDomain))
@@ -161,7 +161,7 @@
     this.held = null
     if (term === null) return
     this.sighting = raiseFencingFloor(this.sighting, term.fencing)
-    if (this.sighting.version < term.version) this.sighting = { ...this.sighting, version: term.version, lease: this.ownLease(term), firstSeenAtMs: this.options.clock.nowMs() }
+    if (this.sighting.version < term.version) this.sighting = { ...this.sighting, version: term.version, lease: this.ownLease(term), firstObservedAtMs: this.options.clock.nowMs() }
     this.listener.lost(this.failureDomain, loss)
   }
 
--- a/packages/dotterelspur-gateway/src/process/FleetLease.ts
+++ b/packages/dotterelspur-gateway/src/process/FleetLease.ts
@@ -1,7 +1,7 @@
 import {
-  ChallengeKind, composeLease, decideChallenge, isExpired, LeaseEffectKind, leaseKey, LeaseLoss, LeaseResultKind, mayOrder, NO_SIGHTING, observeAbsence, observeLease, raiseFencingFloor,
+  ChallengeKind, composeLease, decideChallenge, isExpired, LeaseEffectKind, leaseKey, LeaseLoss, LeaseResultKind, mayOrder, NO_LEASE_OBSERVATION, observeAbsence, observeLease, raiseFencingFloor,
   ReadFreshness, renewalDueAtMs, renewLease, runProcedure, StoreErrorKind, suspendTerm, takeLease,
-  type Clock, type EffectHandlers, type LeaseEffect, type LeaseIdentity, type LeaseObject, type LeaseSighting, type LeaseTerm, type LeaseTiming, type ObjectStore, type Random, type StoredObject, type Teardown
+  type Clock, type EffectHandlers, type LeaseEffect, type LeaseIdentity, type LeaseObject, type LeaseObservation, type LeaseTerm, type LeaseTiming, type ObjectStore, type Random, type StoredObject, type Teardown
 } from 'dotterelspur'
 import { LogKind, type DecisionLog } from './DecisionLog.js'
 
@@ -49,7 +49,7 @@
 
 /** Acquires, renews, observes and releases the fleet's lease; `step` is called several times a second. */
 export class FleetLease {
-  private sighting: LeaseSighting = NO_SIGHTING
+  private sighting: LeaseObservation = NO_LEASE_OBSERVATION
   private held: LeaseTerm | null = null
   /** Fencing number of this node's last term if it expired; null once another node is known to have taken over. */
   private lapsedFencing: number | null = null
@@ -83,7 +83,7 @@
 
   /** Whether the store has returned the lease or confirmed that there is none. */
   get isKnown (): boolean {
-    return this.sighting.firstSeenAtMs !== null
+    return this.sighting.firstObservedAtMs !== null
   }
 
   /** Registers a listener that runs once the state of the lease is known. */
@@ -196,7 +196,7 @@
   }
 
   private async challenge (nowMs: number): Promise<void> {
-    const decision = decideChallenge(this.sighting, { ...this.self, rank: 0, hasOneLife: true }, FLEET_LEASE_TIMING, nowMs)
+    const decision = decideChallenge(this.sighting, { ...this.self, rank: 0, isSingleInstance: true }, FLEET_LEASE_TIMING, nowMs)
     if (decision.kind === ChallengeKind.Wait) {
       this.challengeAtMs = null
       return await this.readLease(nowMs)
@@ -227,7 +227,7 @@
   private async readLease (nowMs: number): Promise<void> {
     if (nowMs < this.nextReadAtMs) return
     this.nextReadAtMs = nowMs + READ_INTERVAL_MS
-    const freshness = this.sighting.firstSeenAtMs === null ? ReadFreshness.Newest : ReadFreshness.MayBeStale
+    const freshness = this.sighting.firstObservedAtMs === null ? ReadFreshness.Newest : ReadFreshness.MayBeStale
     const read = await this.store.get<LeaseObject>(leaseKey(FLEET_LEASE_NAME), freshness)
     if (read.ok) this.observe(read.value)
     else if (read.error.kind === StoreErrorKind.NotFound) this.setSighting(observeAbsence(this.sighting, this.clock.nowMs()))
@@ -240,7 +240,7 @@
     this.setSighting(observeLease(this.sighting, stored.version, stored.body, this.clock.nowMs()))
   }
 
-  private setSighting (sighting: LeaseSighting): void {
+  private setSighting (sighting: LeaseObservation): void {
     const wasKnown = this.isKnown
     this.sighting = sighting
     if (wasKnown || !this.isKnown) return
@@ -252,7 +252,7 @@
     this.held = null
     if (term === null) return
     this.lapsedFencing = reason === LeaseLoss.Expired ? term.fencing : null
-    this.sighting = raiseFencingFloor({ ...this.sighting, firstSeenAtMs: this.clock.nowMs() }, term.fencing)
+    this.sighting = raiseFencingFloor({ ...this.sighting, firstObservedAtMs: this.clock.nowMs() }, term.fencing)
     this.nextReadAtMs = 0
     this.log.write(LogKind.LeaseLost, { fencing: term.fencing, reason })
   }
--- a/packages/dotterelspur-mesh/src/connection/recordCodec.ts
+++ b/packages/dotterelspur-mesh/src/connection/recordCodec.ts
@@ -1,4 +1,4 @@
-import { EvidenceKind, MemberHealth, type EvidenceBody, type FullLine, type GroupPresence, type LoadReport, type MemberRecord, type MeshDocument, type ServicePresence, type ShortLine } from 'dotterelspur'
+import { EvidenceKind, MemberHealth, type EvidenceBody, type FullEvidence, type GroupPresence, type LoadReport, type MemberRecord, type MeshDocument, type ServicePresence, type LoadUpdate } from 'dotterelspur'
 import type { FieldReader } from './FieldReader.js'
 
 const HEALTHS = [MemberHealth.Alive, MemberHealth.Suspect, MemberHealth.Dead, MemberHealth.Left]
@@ -86,12 +86,12 @@
   }
 }
 
-export function writeFullLine (line: FullLine): unknown[] {
+export function writeFullLine (line: FullEvidence): unknown[] {
   const body = line.body.kind === EvidenceKind.Group ? writeGroup(line.body.presence) : writeService(line.body.presence)
   return [line.index, line.watcher, line.body.kind, body]
 }
 
-export function readFullLine (fields: FieldReader): FullLine {
+export function readFullLine (fields: FieldReader): FullEvidence {
   const index = fields.integer('index')
   const watcher = fields.text('watcher')
   const kind = fields.oneOf('kind', [EvidenceKind.Group, EvidenceKind.Service])
@@ -101,11 +101,11 @@
   return { index, watcher, body }
 }
 
-export function writeShortLine (line: ShortLine): unknown[] {
+export function writeShortLine (line: LoadUpdate): unknown[] {
   return [line.index, line.ageMs, line.running, line.waiting, line.cachePercent, line.loadAgeMs]
 }
 
-export function readShortLine (fields: FieldReader): ShortLine {
+export function readShortLine (fields: FieldReader): LoadUpdate {
   return {
     index: fields.integer('index'),
     ageMs: fields.integer('ageMs'),
--- a/packages/dotterelspur-mesh/src/process/Mesh.ts
+++ b/packages/dotterelspur-mesh/src/process/Mesh.ts
@@ -202,7 +202,7 @@
     return {
       members: this.machine.members().length,
       documents: this.machine.documents.size,
-      evidenceLines: this.machine.lineCount,
+      evidenceLines: this.machine.evidenceCount,
       gossipLinks: this.machine.linkCount,
       callLinks: this.client.linkCount,
       runningCalls: this.server.runningCalls
--- a/packages/dotterelspur-node/src/process/NodeParts.ts
+++ b/packages/dotterelspur-node/src/process/NodeParts.ts
@@ -112,7 +112,7 @@
     clock,
     random,
     seeds: () => [...settings.mesh.seeds, ...knownNodeAddresses(mesh)],
-    timing: { beatIntervalMs: settings.timing.gossipIntervalMs }
+    timing: { heartbeatIntervalMs: settings.timing.gossipIntervalMs }
   })
   return mesh
 }
--- a/packages/dotterelspur/src/__tests__/MeshWorld.ts
+++ b/packages/dotterelspur/src/__tests__/MeshWorld.ts
@@ -74,7 +74,7 @@
   readonly frames = new Map<FrameKind, number>()
   seeds: string[] = []
   /** Whether frames and dials get from one node to another. What a cut holds up arrives after it ends. */
-  reaches: (from: WorldNode, to: WorldNode) => boolean = () => true
+  canReach: (from: WorldNode, to: WorldNode) => boolean = () => true
   /** Called after each event at a node. */
   observe: (node: WorldNode) => void = () => {}
   private readonly delayMs: (random: Random) => number
@@ -101,7 +101,7 @@
     return this.nodes[index]!
   }
 
-  living (): WorldNode[] {
+  runningNodes (): WorldNode[] {
     return this.nodes.filter((node) => node.running)
   }
 
@@ -205,7 +205,7 @@
   private arrive (pipe: Pipe, frame: GossipFrame, delayMs: number): void {
     this.clock.registerTimer(delayMs, () => {
       if (!pipe.open) return
-      if (!this.reaches(pipe.from, pipe.to)) return this.arrive(pipe, frame, TICK_MS)
+      if (!this.canReach(pipe.from, pipe.to)) return this.arrive(pipe, frame, TICK_MS)
       this.deliver(pipe.to, () => {
         if (pipe.open) this.run(pipe.to, pipe.to.machine.receive(pipe.toLink, frame, this.clock.nowMs()))
       })
@@ -218,7 +218,7 @@
     const { incarnation } = node
     this.clock.registerTimer(this.delayMs(this.random) * 2, () => {
       if (node.incarnation !== incarnation) return
-      const reached = target !== undefined && target !== node && target.running && !target.paused && this.reaches(node, target) && this.reaches(target, node)
+      const reached = target !== undefined && target !== node && target.running && !target.paused && this.canReach(node, target) && this.canReach(target, node)
       if (reached) return this.connect(node, target)
       this.deliver(node, () => this.run(node, node.machine.dialFailed(address, this.clock.nowMs())))
     })
--- a/packages/dotterelspur/src/__tests__/unit/Lease.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Lease.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai'
 import {
   beginTerm, ChallengeKind, createRandom, decideChallenge, DEFAULT_LEASE_TIMING, failed, isExpired, LeaseEffectKind, LeaseLoss, LeaseResultKind, mayOrder,
-  NO_SIGHTING, observeAbsence, observeLease, observeOwnLease, pick, raiseFencingFloor, rankCandidates, renewLease, runProcedure, StoreErrorKind, success,
-  suspendTerm, takeLease, type LeaseEffect, type LeaseObject, type LeaseSighting, type Result, type StoredObject, type StoreError
+  NO_LEASE_OBSERVATION, observeAbsence, observeLease, observeOwnLease, pick, raiseFencingFloor, rankCandidates, renewLease, runProcedure, StoreErrorKind, success,
+  suspendTerm, takeLease, type LeaseEffect, type LeaseObject, type LeaseObservation, type Result, type StoredObject, type StoreError
 } from '../../index.js'
 
 const TIMING = DEFAULT_LEASE_TIMING
@@ -14,8 +14,8 @@
   }
 }
 
-function makeSighting (fields: Partial<LeaseObject> = {}, version = 10, atMs = 1_000): LeaseSighting {
-  return observeLease(NO_SIGHTING, version, makeLease(fields), atMs)
+function makeSighting (fields: Partial<LeaseObject> = {}, version = 10, atMs = 1_000): LeaseObservation {
+  return observeLease(NO_LEASE_OBSERVATION, version, makeLease(fields), atMs)
 }
 
 /** How the stand-in answers one write or read. */
@@ -68,7 +68,7 @@
     { title: 'waits a whole TTL of its own clock for a held lease', sighting: makeSighting(), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
     { title: 'waits longer at a lower rank', sighting: makeSighting(), rank: 2, openAtMs: 1_000 + TIMING.ttlMs + 2 * TIMING.staggerMs },
     { title: 'takes a released lease at once', sighting: makeSighting({ released: true }), rank: 0, openAtMs: 1_000 },
-    { title: 'takes a lease that never was at once', sighting: observeAbsence(NO_SIGHTING, 1_000), rank: 0, openAtMs: 1_000 },
+    { title: 'takes a lease that never was at once', sighting: observeAbsence(NO_LEASE_OBSERVATION, 1_000), rank: 0, openAtMs: 1_000 },
     { title: 'takes back what it wrote itself and thought lost', sighting: makeSighting({ holder: 'node-a', holderIncarnation: 1 }), rank: 0, openAtMs: 1_000 },
     { title: 'does not take over from its own earlier incarnation early', sighting: makeSighting({ holder: 'node-a', holderIncarnation: 0 }), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
     { title: 'honours a longer TTL of the holder', sighting: makeSighting({ ttlMs: 20_000 }), rank: 0, openAtMs: 21_000 }
@@ -90,7 +90,7 @@
 
   it('starts its count again at each renewal, and takes no lower fencing number than any it has seen', () => {
     const renewed = observeLease(makeSighting(), 11, makeLease({ renewal: 1 }), 3_000)
-    expect(renewed.firstSeenAtMs).to.equal(3_000)
+    expect(renewed.firstObservedAtMs).to.equal(3_000)
     const decision = decideChallenge(raiseFencingFloor(renewed, 40), { ...SELF, rank: 0 }, TIMING, 3_000 + TIMING.ttlMs)
     expect(decision).to.include({ fencing: 41 })
   })
--- a/packages/dotterelspur/src/__tests__/unit/MeshMachine.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/MeshMachine.test.ts
@@ -17,7 +17,7 @@
 }
 
 function others (world: MeshWorld, ...excluded: WorldNode[]): WorldNode[] {
-  return world.living().filter((node) => !excluded.includes(node))
+  return world.runningNodes().filter((node) => !excluded.includes(node))
 }
 
 describe('MeshMachine: membership', () => {
@@ -70,7 +70,7 @@
   it('does not suspect a node over one broken path', () => {
     const world = createSettledWorld({ nodes: 12 })
     const [left, right] = [world.node(0), world.node(3)]
-    world.reaches = (from, to) => !((from === left && to === right) || (from === right && to === left))
+    world.canReach = (from, to) => !((from === left && to === right) || (from === right && to === left))
     const states = new Set<NodeState | undefined>()
     world.observe = (node) => { for (const member of node.machine.members()) states.add(member.state) }
     world.pass(30_000)
@@ -108,10 +108,10 @@
 
   it('joins two halves again that had called each other dead', () => {
     const world = createSettledWorld({ nodes: 12, failureDomains: 4, regions: 2 })
-    world.reaches = (from, to) => from.region === to.region
+    world.canReach = (from, to) => from.region === to.region
     world.pass(120_000)
     expect(world.node(0).stateOf('n1')).to.equal(NodeState.Dead)
-    world.reaches = () => true
+    world.canReach = () => true
     const whole = (): boolean => world.nodes.every((node) => node.machine.members().every((member) => member.state === NodeState.Alive))
     expect(world.passUntil(whole, 60_000)).to.be.lessThan(60_000)
   })
@@ -161,11 +161,11 @@
   it('keeps the newest version when a cut off node returns with an older one', () => {
     const world = createSettledWorld({ nodes: 9 })
     const cut = world.node(3)
-    world.reaches = (from, to) => from !== cut && to !== cut
+    world.canReach = (from, to) => from !== cut && to !== cut
     world.offer(cut, createWorldDocument('teams/tradeline', 4))
     world.offer(world.node(0), createWorldDocument('teams/tradeline', 6))
     world.pass(10_000)
-    world.reaches = () => true
+    world.canReach = () => true
     expect(world.passUntil(() => world.nodes.every((node) => node.versionOf('teams/tradeline') === 6), 60_000)).to.be.lessThan(Infinity)
   })
 
--- a/packages/dotterelspur/src/__tests__/unit/MeshProperties.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/MeshProperties.test.ts
@@ -43,7 +43,7 @@
 
 function createRandomWorld (seed: number, cut: Set<WorldNode>): MeshWorld {
   const world = new MeshWorld({ nodes: NODES, failureDomains: 4, regions: 2, seed, delayMs: (random) => random.next() ** 4 * 400 })
-  world.reaches = (from, to) => cut.has(from) === cut.has(to)
+  world.canReach = (from, to) => cut.has(from) === cut.has(to)
   return world
 }
 
--- a/packages/dotterelspur/src/__tests__/unit/PresenceTable.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/PresenceTable.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai'
 import { EvidenceKind, type GroupPresence } from '../../index.js'
-import { LineSource, type LineUpdate, PresenceTable } from '../../connection/mesh/PresenceTable.js'
+import { EvidenceSource, type EvidenceUpdate, PresenceTable } from '../../connection/mesh/PresenceTable.js'
 import { createDatedPresence } from '../MeshWorld.js'
 
-function createUpdate (watcher: string, originMs: number, change: Partial<GroupPresence> = {}): LineUpdate {
-  return { watcher, originMs, source: LineSource.Cell, body: { kind: EvidenceKind.Group, presence: createDatedPresence('g', originMs, originMs, change) } }
+function createUpdate (watcher: string, originMs: number, change: Partial<GroupPresence> = {}): EvidenceUpdate {
+  return { watcher, originMs, source: EvidenceSource.Cell, body: { kind: EvidenceKind.Group, presence: createDatedPresence('g', originMs, originMs, change) } }
 }
 
-function createTable (...arrivals: Array<{ readonly atMs: number, readonly update: LineUpdate }>): PresenceTable {
+function createTable (...arrivals: Array<{ readonly atMs: number, readonly update: EvidenceUpdate }>): PresenceTable {
   const table = new PresenceTable(10_000, 16)
   for (const { atMs, update } of arrivals) table.merge([update], atMs)
   return table
--- a/packages/dotterelspur/src/connection/mesh/SyncSchedule.ts
+++ b/packages/dotterelspur/src/connection/mesh/AntiEntropy.ts
@@ -1,4 +1,4 @@
-import type { DocumentSpread } from './DocumentSpread.js'
+import type { DocumentDissemination } from './DocumentDissemination.js'
 import type { DocumentTable } from './DocumentTable.js'
 import { FrameKind } from './Frame.js'
 import type { GossipLink } from './GossipLink.js'
@@ -10,7 +10,7 @@
  * Anti-entropy: a link on which digests keep differing starts a comparison. Pushed changes reach most nodes
  * within the grace, so comparisons are rare; one runs at a time, so that a returning region starts no storm.
  */
-export class SyncSchedule {
+export class AntiEntropy {
   private nextMembersMs = 0
   private nextDocumentsMs = 0
 
@@ -19,7 +19,7 @@
     private readonly timing: MeshTiming,
     private readonly membership: MembershipTable,
     private readonly documents: DocumentTable,
-    private readonly spread: DocumentSpread
+    private readonly documentDissemination: DocumentDissemination
   ) {}
 
   /** Notes whether the digests in a peer's beat equal this node's. */
@@ -47,7 +47,7 @@
     const joining = this.documents.size === 0
     const link = links.find((candidate) => this.isDue(candidate.documentsDifferSinceMs, joining, nowMs))
     if (link === undefined) return
-    this.spread.compare(link.id)
+    this.documentDissemination.compare(link.id)
     link.documentsDifferSinceMs = undefined
     this.nextDocumentsMs = nowMs + this.timing.syncIntervalMs
   }
--- a/packages/dotterelspur/src/connection/mesh/DialPlan.ts
+++ b/packages/dotterelspur/src/connection/mesh/DialScheduler.ts
@@ -20,7 +20,7 @@
  * Decides when to dial whom. Waits double after each failure and are drawn with jitter: when a whole fleet
  * restarts, or a region comes back, the dials spread out instead of arriving together.
  */
-export class DialPlan {
+export class DialScheduler {
   private states: ReadonlyMap<string, DialState> = new Map()
   private nextRejoinAtMs = 0
 
--- a/packages/dotterelspur/src/connection/mesh/DocumentSpread.ts
+++ b/packages/dotterelspur/src/connection/mesh/DocumentDissemination.ts
@@ -4,10 +4,10 @@
 import type { LinkId, Outbox } from './MeshEffect.js'
 import type { MeshLimits, MeshTiming } from './MeshTiming.js'
 
-interface Wanted {
+interface PendingFetch {
   readonly version: number
-  readonly askedOf: LinkId
-  readonly askedAtMs: number
+  readonly requestedFrom: LinkId
+  readonly requestedAtMs: number
   /** Links whose peers also hold it, to ask next. */
   readonly others: ReadonlySet<LinkId>
 }
@@ -16,8 +16,8 @@
  * Spreads documents: a change is announced by key and version on every link at once, and its body is fetched
  * once, from the first peer that announced it. What an announcement misses, the comparison of digests finds.
  */
-export class DocumentSpread {
-  private readonly wanted = new Map<string, Wanted>()
+export class DocumentDissemination {
+  private readonly wanted = new Map<string, PendingFetch>()
 
   constructor (private readonly table: DocumentTable, private readonly outbox: Outbox, private readonly timing: MeshTiming, private readonly limits: MeshLimits) {}
 
@@ -41,7 +41,7 @@
   }
 
   /** A peer holds these: asks for what is newer, unless another peer was asked a moment ago. */
-  learn (link: LinkId, versions: readonly DocumentVersion[], nowMs: number): void {
+  fetchNewer (link: LinkId, versions: readonly DocumentVersion[], nowMs: number): void {
     const keys: string[] = []
     for (const { key, version } of versions) {
       if (version <= this.table.versionOf(key)) continue
@@ -51,17 +51,17 @@
         continue
       }
       if (wanted === undefined && this.wanted.size >= this.limits.documents) continue
-      this.wanted.set(key, { version, askedOf: link, askedAtMs: nowMs, others: new Set() })
+      this.wanted.set(key, { version, requestedFrom: link, requestedAtMs: nowMs, others: new Set() })
       keys.push(key)
     }
-    this.ask(link, keys)
+    this.request(link, keys)
   }
 
   /** Asks again, of another peer, what did not come in time. */
   retry (links: ReadonlySet<LinkId>, nowMs: number): void {
     const keysByLink = new Map<LinkId, string[]>()
     for (const [key, wanted] of this.wanted) {
-      const waiting = links.has(wanted.askedOf) && nowMs - wanted.askedAtMs < this.timing.wantTimeoutMs
+      const waiting = links.has(wanted.requestedFrom) && nowMs - wanted.requestedAtMs < this.timing.documentFetchTimeoutMs
       if (waiting) continue
       const next = [...wanted.others].find((link) => links.has(link))
       if (next === undefined) {
@@ -70,10 +70,10 @@
       }
       const others = new Set(wanted.others)
       others.delete(next)
-      this.wanted.set(key, { version: wanted.version, askedOf: next, askedAtMs: nowMs, others })
+      this.wanted.set(key, { version: wanted.version, requestedFrom: next, requestedAtMs: nowMs, others })
       keysByLink.set(next, [...keysByLink.get(next) ?? [], key])
     }
-    for (const [link, keys] of keysByLink) this.ask(link, keys)
+    for (const [link, keys] of keysByLink) this.request(link, keys)
   }
 
   /** Answers a peer that wants documents, one frame each, since a body may be large. */
@@ -94,7 +94,7 @@
     for (const page of pages(versions, this.limits.entriesPerFrame)) this.outbox.send(link, { kind: FrameKind.DocumentVersions, versions: page })
   }
 
-  private ask (link: LinkId, keys: readonly string[]): void {
+  private request (link: LinkId, keys: readonly string[]): void {
     for (const page of pages(keys, this.limits.entriesPerFrame)) this.outbox.send(link, { kind: FrameKind.Want, keys: page })
   }
 }
--- a/packages/dotterelspur/src/connection/mesh/DocumentTable.ts
+++ b/packages/dotterelspur/src/connection/mesh/DocumentTable.ts
@@ -67,7 +67,7 @@
       pending.set(document.key, document)
       taken.push(document)
     }
-    if (taken.some((document) => document.deleted)) this.forgetOldDeletions(pending, buckets)
+    if (taken.some((document) => document.deleted)) this.pruneDeletions(pending, buckets)
     if (taken.length > 0) this.commit(pending, buckets)
     return taken
   }
@@ -82,7 +82,7 @@
       .map(({ key, version }) => ({ key, version }))
   }
 
-  private forgetOldDeletions (pending: Map<string, MeshDocument>, buckets: number[]): void {
+  private pruneDeletions (pending: Map<string, MeshDocument>, buckets: number[]): void {
     const deletions = [...pending.values()].filter((document) => document.deleted)
     const excess = deletions.length - this.deletionCapacity
     if (excess <= 0) return
--- a/packages/dotterelspur/src/connection/mesh/EvidenceExchange.ts
+++ b/packages/dotterelspur/src/connection/mesh/EvidenceExchange.ts
@@ -1,13 +1,13 @@
 import type { NodeId } from '../../process/ids.js'
 import type { GroupPresence, ServicePresence } from '../../process/Presence.js'
-import { type BeatContent, composeBeat, readBeat, travelsOn } from './BeatExchange.js'
-import { EvidenceKind, type BeatFrame } from './Frame.js'
+import { type HeartbeatContent, composeHeartbeat, readHeartbeat, isSentOn } from './Heartbeat.js'
+import { EvidenceKind, type HeartbeatFrame } from './Frame.js'
 import type { GossipLink } from './GossipLink.js'
 import type { LinkTable } from './LinkTable.js'
 import type { Outbox } from './MeshEffect.js'
 import type { MeshLimits, MeshTiming } from './MeshTiming.js'
 import { LinkScope, type OverlayPlan } from './OverlayPlan.js'
-import { type EvidenceLine, LineSource, type LineUpdate, PresenceTable } from './PresenceTable.js'
+import { type EvidenceRecord, EvidenceSource, type EvidenceUpdate, PresenceTable } from './PresenceTable.js'
 
 /** Sends beats with evidence and takes in those that arrive; keeps the table of evidence and the last contact with the store. */
 export class EvidenceExchange {
@@ -15,7 +15,7 @@
   private storeContactAtMs = -Infinity
 
   constructor (private readonly links: LinkTable, private readonly outbox: Outbox, private readonly timing: MeshTiming, limits: MeshLimits) {
-    this.table = new PresenceTable(timing.evidenceKeepMs, limits.evidenceLines)
+    this.table = new PresenceTable(timing.evidenceRetentionMs, limits.evidenceRecords)
   }
 
   get storeContactMs (): number {
@@ -28,35 +28,35 @@
 
   /** Replaces what this node itself watches. */
   publish (watcher: NodeId, groups: readonly GroupPresence[], services: readonly ServicePresence[], plan: OverlayPlan, digests: Digests, nowMs: number): void {
-    const own = (body: LineUpdate['body']): LineUpdate => ({ watcher, body, originMs: nowMs - body.presence.ageMs, source: LineSource.Own })
+    const own = (body: EvidenceUpdate['body']): EvidenceUpdate => ({ watcher, body, originMs: nowMs - body.presence.ageMs, source: EvidenceSource.Own })
     const updates = [
       ...groups.map((presence) => own({ kind: EvidenceKind.Group, presence })),
       ...services.map((presence) => own({ kind: EvidenceKind.Service, presence }))
     ]
-    this.push(this.table.replaceOwn(watcher, updates, nowMs), plan, digests, nowMs)
+    this.pushDegraded(this.table.replaceOwn(watcher, updates, nowMs), plan, digests, nowMs)
   }
 
-  receive (link: GossipLink, beat: BeatFrame, plan: OverlayPlan, digests: Digests, nowMs: number): void {
-    const { updates, storeContactMs } = readBeat(link, beat, nowMs)
+  receive (link: GossipLink, beat: HeartbeatFrame, plan: OverlayPlan, digests: Digests, nowMs: number): void {
+    const { updates, storeContactMs } = readHeartbeat(link, beat, nowMs)
     this.noteStoreContact(storeContactMs)
-    this.push(this.table.merge(updates, nowMs), plan, digests, nowMs)
+    this.pushDegraded(this.table.merge(updates, nowMs), plan, digests, nowMs)
   }
 
-  sendBeat (link: GossipLink, plan: OverlayPlan, digests: Digests, nowMs: number): void {
+  sendHeartbeat (link: GossipLink, plan: OverlayPlan, digests: Digests, nowMs: number): void {
     const relays = this.activeRelays(plan, nowMs)
-    const lines = link.scope === LinkScope.OtherRegion ? [] : [...this.table.all()].filter((line) => travelsOn(line, link, relays))
-    const content: BeatContent = { ...digests, storeContactMs: this.storeContactAtMs }
-    this.outbox.send(link.id, composeBeat(link, lines, content, nowMs))
-    link.nextBeatAtMs = nowMs + this.timing.beatIntervalMs
+    const lines = link.scope === LinkScope.OtherRegion ? [] : [...this.table.all()].filter((line) => isSentOn(line, link, relays))
+    const content: HeartbeatContent = { ...digests, storeContactMs: this.storeContactAtMs }
+    this.outbox.send(link.id, composeHeartbeat(link, lines, content, nowMs))
+    link.nextHeartbeatAtMs = nowMs + this.timing.heartbeatIntervalMs
   }
 
   /** A turn for the worse does not wait for the next beat. */
-  private push (worse: readonly EvidenceLine[], plan: OverlayPlan, digests: Digests, nowMs: number): void {
+  private pushDegraded (worse: readonly EvidenceRecord[], plan: OverlayPlan, digests: Digests, nowMs: number): void {
     if (worse.length === 0) return
     const relays = this.activeRelays(plan, nowMs)
     for (const link of this.links.all()) {
-      const concerned = link.scope !== LinkScope.OtherRegion && worse.some((line) => travelsOn(line, link, relays))
-      if (concerned) this.sendBeat(link, plan, digests, nowMs)
+      const concerned = link.scope !== LinkScope.OtherRegion && worse.some((line) => isSentOn(line, link, relays))
+      if (concerned) this.sendHeartbeat(link, plan, digests, nowMs)
     }
   }
 
@@ -72,4 +72,4 @@
 }
 
 /** The digests that every beat carries. */
-export type Digests = Pick<BeatContent, 'membersDigest' | 'documentsDigest'>
+export type Digests = Pick<HeartbeatContent, 'membersDigest' | 'documentsDigest'>
--- a/packages/dotterelspur/src/connection/mesh/NeighborWatch.ts
+++ b/packages/dotterelspur/src/connection/mesh/FailureDetector.ts
@@ -6,11 +6,11 @@
 import type { MeshTiming } from './MeshTiming.js'
 import { isLiving, MemberHealth, type MemberRecord } from './MemberRecord.js'
 
-const HELPERS = 3
+const INDIRECT_PROBE_PEERS = 3
 const ISOLATION_HOLD_MS = 30_000
-const MAX_PATIENCE = 8
+const MAX_TIMEOUT_FACTOR = 8
 
-interface Watched {
+interface WatchedNeighbor {
   readonly incarnation: number
   readonly revision: number
   /** When the neighbour was last known to live, by its frames or by another node's word. */
@@ -18,15 +18,15 @@
   readonly linkedBefore: boolean
   readonly probingSinceMs: number | undefined
   /** Doubles with each refutation that came without a working link: then the path is broken, not the neighbour. */
-  readonly patience: number
+  readonly timeoutFactor: number
 }
 
 /**
  * Watches the wanted neighbours. One that falls silent is asked about through others first: a broken link
  * between two nodes must not make either of them suspect. Only when nobody hears it does it become suspect.
  */
-export class NeighborWatch {
-  private watched = new Map<NodeId, Watched>()
+export class FailureDetector {
+  private watched = new Map<NodeId, WatchedNeighbor>()
   private heardAnyAtMs: number
 
   constructor (private readonly outbox: Outbox, private readonly random: Random, private readonly timing: MeshTiming, private readonly recordOf: (node: NodeId) => MemberRecord | undefined, nowMs: number) {
@@ -36,7 +36,7 @@
   /** Returns the neighbours that become suspect now. */
   tick (neighbors: readonly MemberRecord[], links: ReadonlyMap<NodeId, GossipLink>, nowMs: number): MemberRecord[] {
     for (const link of links.values()) this.heardAnyAtMs = Math.max(this.heardAnyAtMs, link.heardAtMs)
-    const pending = new Map<NodeId, Watched>()
+    const pending = new Map<NodeId, WatchedNeighbor>()
     const suspects: MemberRecord[] = []
     for (const record of neighbors) {
       const watched = this.observe(record, links.get(record.node), nowMs)
@@ -55,29 +55,29 @@
   }
 
   /** Another node heard the neighbour `heardAgeMs` before it answered. */
-  vouch (node: NodeId, incarnation: number, heardAgeMs: number, nowMs: number): void {
+  confirmAlive (node: NodeId, incarnation: number, heardAgeMs: number, nowMs: number): void {
     const watched = this.watched.get(node)
     if (watched === undefined || watched.incarnation !== incarnation || heardAgeMs >= this.timing.silenceMs) return
     this.watched.set(node, { ...watched, aliveAtMs: nowMs, probingSinceMs: undefined })
   }
 
-  private observe (record: MemberRecord, link: GossipLink | undefined, nowMs: number): Watched {
+  private observe (record: MemberRecord, link: GossipLink | undefined, nowMs: number): WatchedNeighbor {
     const known = this.watched.get(record.node)
     const heardAtMs = link?.heardAtMs ?? -Infinity
     const { incarnation, revision } = record
     if (known === undefined || known.incarnation !== incarnation) {
-      return { incarnation, revision, aliveAtMs: nowMs, linkedBefore: link !== undefined, probingSinceMs: undefined, patience: 1 }
+      return { incarnation, revision, aliveAtMs: nowMs, linkedBefore: link !== undefined, probingSinceMs: undefined, timeoutFactor: 1 }
     }
-    if (heardAtMs > known.aliveAtMs) return { ...known, revision, aliveAtMs: heardAtMs, linkedBefore: true, probingSinceMs: undefined, patience: 1 }
-    if (revision > known.revision) return { ...known, revision, aliveAtMs: nowMs, probingSinceMs: undefined, patience: Math.min(MAX_PATIENCE, known.patience * 2) }
+    if (heardAtMs > known.aliveAtMs) return { ...known, revision, aliveAtMs: heardAtMs, linkedBefore: true, probingSinceMs: undefined, timeoutFactor: 1 }
+    if (revision > known.revision) return { ...known, revision, aliveAtMs: nowMs, probingSinceMs: undefined, timeoutFactor: Math.min(MAX_TIMEOUT_FACTOR, known.timeoutFactor * 2) }
     return { ...known, linkedBefore: known.linkedBefore || link !== undefined }
   }
 
-  private judge (record: MemberRecord, watched: Watched, links: ReadonlyMap<NodeId, GossipLink>, nowMs: number): Watched | undefined {
-    const allowedMs = watched.patience * (watched.linkedBefore ? this.timing.silenceMs : this.timing.connectGraceMs)
-    if (nowMs - watched.aliveAtMs < allowedMs || this.holdsBack(nowMs)) return watched
+  private judge (record: MemberRecord, watched: WatchedNeighbor, links: ReadonlyMap<NodeId, GossipLink>, nowMs: number): WatchedNeighbor | undefined {
+    const allowedMs = watched.timeoutFactor * (watched.linkedBefore ? this.timing.silenceMs : this.timing.connectGraceMs)
+    if (nowMs - watched.aliveAtMs < allowedMs || this.isLikelyIsolated(nowMs)) return watched
     if (watched.probingSinceMs === undefined) {
-      this.askOthers(record, links, nowMs)
+      this.sendIndirectProbes(record, links, nowMs)
       return { ...watched, probingSinceMs: nowMs }
     }
     if (nowMs - watched.probingSinceMs < this.timing.indirectProbeMs) return watched
@@ -88,20 +88,20 @@
    * A node that hears nobody may itself be the one that is cut off, and would call its whole fleet dead, which
    * every node would then have to refute when it returns. It holds its judgement for a bounded time.
    */
-  private holdsBack (nowMs: number): boolean {
-    if (this.watched.size <= HELPERS) return false
+  private isLikelyIsolated (nowMs: number): boolean {
+    if (this.watched.size <= INDIRECT_PROBE_PEERS) return false
     const silentMs = nowMs - this.heardAnyAtMs
     return silentMs >= this.timing.silenceMs && silentMs < ISOLATION_HOLD_MS
   }
 
-  private askOthers (record: MemberRecord, links: ReadonlyMap<NodeId, GossipLink>, nowMs: number): void {
+  private sendIndirectProbes (record: MemberRecord, links: ReadonlyMap<NodeId, GossipLink>, nowMs: number): void {
     const hearing = [...links.values()].filter((link) => link.peer !== record.node && nowMs - link.heardAtMs < this.timing.silenceMs)
     // Nodes of the same failure domain link to each other, so they are the ones to know.
     const isClose = (link: GossipLink): boolean => this.recordOf(link.peer)?.failureDomain === record.failureDomain
     const ranked = hearing
       .map((link) => ({ link, order: this.random.next() - (isClose(link) ? 1 : 0) }))
       .sort((left, right) => left.order - right.order)
-    for (const { link } of ranked.slice(0, HELPERS)) {
+    for (const { link } of ranked.slice(0, INDIRECT_PROBE_PEERS)) {
       this.outbox.send(link.id, { kind: FrameKind.ProbeAsk, target: record.node, incarnation: record.incarnation })
     }
   }
--- a/packages/dotterelspur/src/connection/mesh/Frame.ts
+++ b/packages/dotterelspur/src/connection/mesh/Frame.ts
@@ -39,14 +39,14 @@
   | { readonly kind: EvidenceKind.Service, readonly presence: ServicePresence }
 
 /** A line in full; `index` names it in later short lines on the same link. */
-export interface FullLine {
+export interface FullEvidence {
   readonly index: number
   readonly watcher: NodeId
   readonly body: EvidenceBody
 }
 
 /** What changes in every interval of a line that was sent in full before. */
-export interface ShortLine {
+export interface LoadUpdate {
   readonly index: number
   readonly ageMs: number
   readonly running: number
@@ -60,7 +60,7 @@
  * `echoSequence` with `echoHeldMs` says how long ago, on the sender's clock, it received that beat of the
  * receiver's. So the receiver can place the ages in it after the time at which it asked itself.
  */
-export interface BeatFrame {
+export interface HeartbeatFrame {
   readonly kind: FrameKind.Beat
   readonly sequence: number
   /** 0 when no beat of the receiver's has arrived yet. */
@@ -70,12 +70,12 @@
   readonly documentsDigest: number
   /** Age of the freshest contact with the store that the sender knows of; -1 for none. */
   readonly storeAgeMs: number
-  readonly full: readonly FullLine[]
-  readonly short: readonly ShortLine[]
+  readonly full: readonly FullEvidence[]
+  readonly short: readonly LoadUpdate[]
 }
 
 export type GossipFrame =
-  | BeatFrame
+  | HeartbeatFrame
   /** Member records that changed, or that a sync found newer. */
   | { readonly kind: FrameKind.Members, readonly records: readonly MemberRecord[] }
   /** All that the sender has; asks for what is newer at the receiver. */
--- a/packages/dotterelspur/src/connection/mesh/GossipLink.ts
+++ b/packages/dotterelspur/src/connection/mesh/GossipLink.ts
@@ -4,19 +4,19 @@
 import { LinkScope } from './OverlayPlan.js'
 
 /** Beats that may be echoed; an echo of an older one dates nothing. */
-const REMEMBERED_BEATS = 32
+const ECHOABLE_HEARTBEATS = 32
 /** Lines numbered on one link before the numbering starts anew. */
-export const LINE_INDEX_LIMIT = 65_536
+export const EVIDENCE_INDEX_LIMIT = 65_536
 
 /** What was last sent of a line on one link. */
-export interface SentLine {
+export interface SentEvidence {
   readonly index: number
   readonly body: EvidenceBody
   readonly originMs: number
 }
 
 /** What a number stands for in lines that come in on one link. */
-export interface NamedLine {
+export interface ReceivedEvidence {
   readonly watcher: NodeId
   readonly body: EvidenceBody
 }
@@ -27,11 +27,11 @@
   wanted = false
   unwantedSinceMs: number
   heardAtMs: number
-  nextBeatAtMs: number
+  nextHeartbeatAtMs: number
   membersDifferSinceMs: number | undefined
   documentsDifferSinceMs: number | undefined
-  readonly sentLines = new Map<string, SentLine>()
-  readonly namedLines = new Map<number, NamedLine>()
+  readonly sentEvidence = new Map<string, SentEvidence>()
+  readonly receivedEvidence = new Map<number, ReceivedEvidence>()
   private sequence = 0
   private readonly sentAtMs = new Map<number, number>()
   private receivedSequence = 0
@@ -46,14 +46,14 @@
   ) {
     this.heardAtMs = upSinceMs
     this.unwantedSinceMs = upSinceMs
-    this.nextBeatAtMs = upSinceMs
+    this.nextHeartbeatAtMs = upSinceMs
   }
 
   /** Numbers a beat that is sent now. */
   nextSequence (nowMs: number): number {
     this.sequence += 1
     this.sentAtMs.set(this.sequence, nowMs)
-    this.sentAtMs.delete(this.sequence - REMEMBERED_BEATS)
+    this.sentAtMs.delete(this.sequence - ECHOABLE_HEARTBEATS)
     return this.sequence
   }
 
--- a/packages/dotterelspur/src/connection/mesh/BeatExchange.ts
+++ b/packages/dotterelspur/src/connection/mesh/Heartbeat.ts
@@ -1,13 +1,13 @@
 import type { NodeId } from '../../process/ids.js'
-import { type BeatFrame, type EvidenceBody, EvidenceKind, FrameKind, type FullLine, type ShortLine } from './Frame.js'
-import { type GossipLink, LINE_INDEX_LIMIT } from './GossipLink.js'
+import { type HeartbeatFrame, type EvidenceBody, EvidenceKind, FrameKind, type FullEvidence, type LoadUpdate } from './Frame.js'
+import { type GossipLink, EVIDENCE_INDEX_LIMIT } from './GossipLink.js'
 import { LinkScope } from './OverlayPlan.js'
-import { type EvidenceLine, LineSource, type LineUpdate } from './PresenceTable.js'
+import { type EvidenceRecord, EvidenceSource, type EvidenceUpdate } from './PresenceTable.js'
 
 const PERCENT = 100
 
 /** What goes into a beat besides the link's own numbers. */
-export interface BeatContent {
+export interface HeartbeatContent {
   readonly membersDigest: number
   readonly documentsDigest: number
   /** When the store was last heard, on this node's clock; -Infinity for never. */
@@ -15,23 +15,23 @@
 }
 
 /** Composes the beat for a link, with those of `lines` that are fresher than what was sent on it before. */
-export function composeBeat (link: GossipLink, lines: readonly EvidenceLine[], content: BeatContent, nowMs: number): BeatFrame {
-  const full: FullLine[] = []
-  const short: ShortLine[] = []
+export function composeHeartbeat (link: GossipLink, lines: readonly EvidenceRecord[], content: HeartbeatContent, nowMs: number): HeartbeatFrame {
+  const full: FullEvidence[] = []
+  const short: LoadUpdate[] = []
   const echo = link.echo(nowMs)
   // Before anything can be echoed the peer could not date the lines, and would leave them out as if never sent.
   const datable = echo.sequence > 0
   for (const line of datable ? lines : []) {
-    const sent = link.sentLines.get(line.key)
+    const sent = link.sentEvidence.get(line.key)
     if (sent !== undefined && sent.originMs >= line.originMs && sent.body === line.body) continue
     if (sent !== undefined && differsInLoadOnly(sent.body, line.body)) {
-      short.push(shortLine(sent.index, line, nowMs))
-      link.sentLines.set(line.key, { ...sent, originMs: line.originMs })
+      short.push(composeLoadUpdate(sent.index, line, nowMs))
+      link.sentEvidence.set(line.key, { ...sent, originMs: line.originMs })
     } else {
-      const index = sent?.index ?? link.sentLines.size
-      if (index >= LINE_INDEX_LIMIT) continue
+      const index = sent?.index ?? link.sentEvidence.size
+      if (index >= EVIDENCE_INDEX_LIMIT) continue
       full.push({ index, watcher: line.watcher, body: withAge(line.body, Math.ceil(nowMs - line.originMs)) })
-      link.sentLines.set(line.key, { index, body: line.body, originMs: line.originMs })
+      link.sentEvidence.set(line.key, { index, body: line.body, originMs: line.originMs })
     }
   }
   return {
@@ -48,36 +48,36 @@
 }
 
 /** What a beat says, with its ages placed on this node's clock. */
-export interface ReadBeat {
-  readonly updates: readonly LineUpdate[]
+export interface ReceivedHeartbeat {
+  readonly updates: readonly EvidenceUpdate[]
   readonly storeContactMs: number
 }
 
 /** Reads a beat that arrived on `link`. Lines that can't be dated, or have no name yet, are left out: the next beat brings them. */
-export function readBeat (link: GossipLink, beat: BeatFrame, nowMs: number): ReadBeat {
+export function readHeartbeat (link: GossipLink, beat: HeartbeatFrame, nowMs: number): ReceivedHeartbeat {
   for (const line of beat.full) {
-    if (line.index < LINE_INDEX_LIMIT) link.namedLines.set(line.index, { watcher: line.watcher, body: line.body })
+    if (line.index < EVIDENCE_INDEX_LIMIT) link.receivedEvidence.set(line.index, { watcher: line.watcher, body: line.body })
   }
   link.noteReceived(beat.sequence, nowMs)
   const composedAfterMs = link.composedAfterMs(beat.echoSequence, beat.echoHeldMs)
   if (composedAfterMs === undefined) return { updates: [], storeContactMs: -Infinity }
-  const updates = link.scope === LinkScope.OtherRegion ? [] : datedLines(link, beat, composedAfterMs)
+  const updates = link.scope === LinkScope.OtherRegion ? [] : dateEvidence(link, beat, composedAfterMs)
   return { updates, storeContactMs: beat.storeAgeMs < 0 ? -Infinity : composedAfterMs - beat.storeAgeMs }
 }
 
-function datedLines (link: GossipLink, beat: BeatFrame, composedAfterMs: number): LineUpdate[] {
-  const source = link.scope === LinkScope.Cell ? LineSource.Cell : LineSource.OtherCell
-  const updates: LineUpdate[] = beat.full.map((line) =>
+function dateEvidence (link: GossipLink, beat: HeartbeatFrame, composedAfterMs: number): EvidenceUpdate[] {
+  const source = link.scope === LinkScope.Cell ? EvidenceSource.Cell : EvidenceSource.OtherCell
+  const updates: EvidenceUpdate[] = beat.full.map((line) =>
     ({ watcher: line.watcher, body: line.body, originMs: composedAfterMs - line.body.presence.ageMs, source }))
   for (const line of beat.short) {
-    const named = link.namedLines.get(line.index)
+    const named = link.receivedEvidence.get(line.index)
     if (named === undefined) continue
     updates.push({ watcher: named.watcher, body: withLoad(named.body, line), originMs: composedAfterMs - line.ageMs, source })
   }
   return updates
 }
 
-function shortLine (index: number, line: EvidenceLine, nowMs: number): ShortLine {
+function composeLoadUpdate (index: number, line: EvidenceRecord, nowMs: number): LoadUpdate {
   const { load } = line.body.presence
   return {
     index,
@@ -94,7 +94,7 @@
   return { kind: body.kind, presence: { ...body.presence, ageMs } }
 }
 
-function withLoad (body: EvidenceBody, line: ShortLine): EvidenceBody {
+function withLoad (body: EvidenceBody, line: LoadUpdate): EvidenceBody {
   const load = { ...body.presence.load, running: line.running, waiting: line.waiting, cacheUsed: line.cachePercent / PERCENT, ageMs: line.loadAgeMs }
   if (body.kind === EvidenceKind.Group) return { kind: body.kind, presence: { ...body.presence, load } }
   return { kind: body.kind, presence: { ...body.presence, load } }
@@ -117,8 +117,8 @@
  * cell; a relay passes what came from another cell on to its own cell; nothing goes further. So each line
  * reaches each node of the region once, in at most two hops.
  */
-export function travelsOn (line: EvidenceLine, link: GossipLink, relays: ReadonlySet<NodeId>): boolean {
-  if (line.source === LineSource.Cell) return false
+export function isSentOn (line: EvidenceRecord, link: GossipLink, relays: ReadonlySet<NodeId>): boolean {
+  if (line.source === EvidenceSource.Cell) return false
   if (link.scope === LinkScope.Cell) return true
-  return link.scope === LinkScope.OtherCell && line.source === LineSource.Own && relays.has(link.peer)
+  return link.scope === LinkScope.OtherCell && line.source === EvidenceSource.Own && relays.has(link.peer)
 }
--- a/packages/dotterelspur/src/connection/mesh/MemberSpread.ts
+++ b/packages/dotterelspur/src/connection/mesh/MemberDissemination.ts
@@ -1,5 +1,5 @@
 import type { NodeId } from '../../process/ids.js'
-import { pages } from './DocumentSpread.js'
+import { pages } from './DocumentDissemination.js'
 import { FrameKind } from './Frame.js'
 import type { LinkTable } from './LinkTable.js'
 import { isLiving, type MemberRecord } from './MemberRecord.js'
@@ -8,7 +8,7 @@
 import type { MeshLimits } from './MeshTiming.js'
 import { type OverlayPlan, planOverlay } from './OverlayPlan.js'
 
-interface WaitingRecord {
+interface PendingRecord {
   readonly record: MemberRecord
   /** The link that it came from; undefined when this node made or raised it. */
   readonly from: LinkId | undefined
@@ -19,10 +19,10 @@
  * tick and go out together: when a fleet starts or a region returns, they come by the hundred, and a frame for
  * each on every link would cost more processor time than all else.
  */
-export class MemberSpread {
+export class MemberDissemination {
   private current: OverlayPlan = { wanted: new Map(), relays: [] }
-  private planIsStale = false
-  private waiting: ReadonlyMap<NodeId, WaitingRecord> = new Map()
+  private isPlanStale = false
+  private waiting: ReadonlyMap<NodeId, PendingRecord> = new Map()
 
   constructor (private readonly table: MembershipTable, private readonly links: LinkTable, private readonly outbox: Outbox, private readonly limits: MeshLimits) {}
 
@@ -41,7 +41,7 @@
     const pending = new Map(this.waiting)
     for (const record of changed) pending.set(record.node, { record, from: record.node === this.table.self.node ? undefined : from })
     this.waiting = pending
-    this.planIsStale = true
+    this.isPlanStale = true
     this.outbox.membersChanged()
   }
 
@@ -61,8 +61,8 @@
 
   /** Plans once for all changes since the last time: when a fleet starts, they come by the hundred within one tick. */
   refreshPlan (): void {
-    if (!this.planIsStale) return
-    this.planIsStale = false
+    if (!this.isPlanStale) return
+    this.isPlanStale = false
     const { self } = this.table
     const living = this.table.records().filter((record) => isLiving(record) || record.node === self.node)
     this.current = planOverlay(self, living, this.limits)
--- a/packages/dotterelspur/src/connection/mesh/MeshMachine.ts
+++ b/packages/dotterelspur/src/connection/mesh/MeshMachine.ts
@@ -2,23 +2,23 @@
 import type { GroupPresence, ServicePresence } from '../../process/Presence.js'
 import type { Random } from '../../process/Random.js'
 import type { MeshDocument, NodeMember } from '../MeshApi.js'
-import { DialPlan, type DialTarget } from './DialPlan.js'
-import { DocumentSpread } from './DocumentSpread.js'
+import { DialScheduler, type DialTarget } from './DialScheduler.js'
+import { DocumentDissemination } from './DocumentDissemination.js'
 import { DocumentTable } from './DocumentTable.js'
 import { type Digests, EvidenceExchange } from './EvidenceExchange.js'
-import { FrameKind, type BeatFrame, type GossipFrame } from './Frame.js'
+import { FrameKind, type HeartbeatFrame, type GossipFrame } from './Frame.js'
 import { GossipLink } from './GossipLink.js'
 import { admitLink } from './LinkAdmission.js'
 import { LinkTable } from './LinkTable.js'
 import { compareMemberVersions, MemberHealth, type MemberRecord } from './MemberRecord.js'
-import { MemberSpread } from './MemberSpread.js'
+import { MemberDissemination } from './MemberDissemination.js'
 import { MembershipTable } from './MembershipTable.js'
 import { CloseReason, type LinkId, type MeshEffect, Outbox } from './MeshEffect.js'
 import type { MeshLimits, MeshTiming } from './MeshTiming.js'
-import { answerProbe, NeighborWatch } from './NeighborWatch.js'
+import { answerProbe, FailureDetector } from './FailureDetector.js'
 import { scopeOf } from './OverlayPlan.js'
 import { rejoinTargets } from './RejoinTargets.js'
-import { SyncSchedule } from './SyncSchedule.js'
+import { AntiEntropy } from './AntiEntropy.js'
 
 type FrameHandlers = {
   readonly [Kind in GossipFrame['kind']]: (link: GossipLink, frame: Extract<GossipFrame, { kind: Kind }>, nowMs: number) => void
@@ -41,44 +41,44 @@
   private readonly outbox = new Outbox()
   private readonly links = new LinkTable()
   private readonly membership: MembershipTable
-  private readonly memberSpread: MemberSpread
+  private readonly memberDissemination: MemberDissemination
   private readonly documentTable: DocumentTable
-  private readonly spread: DocumentSpread
+  private readonly documentDissemination: DocumentDissemination
   private readonly evidence: EvidenceExchange
-  private readonly sync: SyncSchedule
-  private readonly dials: DialPlan
-  private readonly neighbors: NeighborWatch
+  private readonly antiEntropy: AntiEntropy
+  private readonly dialScheduler: DialScheduler
+  private readonly failureDetector: FailureDetector
   private peerContactMs = -Infinity
   private lastTickMs: number
   private stopped = false
 
   private readonly handlers: FrameHandlers = {
-    [FrameKind.Beat]: (link, frame, nowMs) => this.onBeat(link, frame, nowMs),
-    [FrameKind.Members]: (link, frame, nowMs) => this.memberSpread.merge(frame.records, link.id, nowMs),
-    [FrameKind.MembersSync]: (link, frame) => this.memberSpread.send(link.id, this.membership.newerThan(frame.versions)),
-    [FrameKind.Announce]: (link, frame, nowMs) => this.spread.learn(link.id, frame.versions, nowMs),
-    [FrameKind.Want]: (link, frame) => this.spread.answer(link.id, frame.keys),
-    [FrameKind.Documents]: (link, frame) => { this.spread.take(frame.documents, this.links.ids, link.id) },
-    [FrameKind.DocumentsSync]: (link, frame) => this.spread.answerComparison(link.id, frame.buckets),
-    [FrameKind.DocumentVersions]: (link, frame, nowMs) => this.spread.learn(link.id, frame.versions, nowMs),
+    [FrameKind.Beat]: (link, frame, nowMs) => this.onHeartbeat(link, frame, nowMs),
+    [FrameKind.Members]: (link, frame, nowMs) => this.memberDissemination.merge(frame.records, link.id, nowMs),
+    [FrameKind.MembersSync]: (link, frame) => this.memberDissemination.send(link.id, this.membership.newerThan(frame.versions)),
+    [FrameKind.Announce]: (link, frame, nowMs) => this.documentDissemination.fetchNewer(link.id, frame.versions, nowMs),
+    [FrameKind.Want]: (link, frame) => this.documentDissemination.answer(link.id, frame.keys),
+    [FrameKind.Documents]: (link, frame) => { this.documentDissemination.take(frame.documents, this.links.ids, link.id) },
+    [FrameKind.DocumentsSync]: (link, frame) => this.documentDissemination.answerComparison(link.id, frame.buckets),
+    [FrameKind.DocumentVersions]: (link, frame, nowMs) => this.documentDissemination.fetchNewer(link.id, frame.versions, nowMs),
     [FrameKind.ProbeAsk]: (link, frame, nowMs) => {
       const target = this.membership.get(frame.target)
       answerProbe(this.outbox, link.id, target, this.links.byPeer.get(frame.target), nowMs)
     },
-    [FrameKind.ProbeReply]: (_link, frame, nowMs) => this.neighbors.vouch(frame.target, frame.incarnation, frame.heardAgeMs, nowMs),
+    [FrameKind.ProbeReply]: (_link, frame, nowMs) => this.failureDetector.confirmAlive(frame.target, frame.incarnation, frame.heardAgeMs, nowMs),
     [FrameKind.Leaving]: (link) => this.drop(link, CloseReason.Leaving)
   }
 
   constructor (private readonly options: MeshMachineOptions, nowMs: number) {
     const { self, timing, limits, random } = options
     this.membership = new MembershipTable(self, timing, limits, nowMs)
-    this.memberSpread = new MemberSpread(this.membership, this.links, this.outbox, limits)
+    this.memberDissemination = new MemberDissemination(this.membership, this.links, this.outbox, limits)
     this.documentTable = new DocumentTable(limits.documents, limits.deletions)
-    this.spread = new DocumentSpread(this.documentTable, this.outbox, timing, limits)
+    this.documentDissemination = new DocumentDissemination(this.documentTable, this.outbox, timing, limits)
     this.evidence = new EvidenceExchange(this.links, this.outbox, timing, limits)
-    this.sync = new SyncSchedule(this.outbox, timing, this.membership, this.documentTable, this.spread)
-    this.dials = new DialPlan(this.outbox, random, timing)
-    this.neighbors = new NeighborWatch(this.outbox, random, timing, (node) => this.membership.get(node), nowMs)
+    this.antiEntropy = new AntiEntropy(this.outbox, timing, this.membership, this.documentTable, this.documentDissemination)
+    this.dialScheduler = new DialScheduler(this.outbox, random, timing)
+    this.failureDetector = new FailureDetector(this.outbox, random, timing, (node) => this.membership.get(node), nowMs)
     this.lastTickMs = nowMs
   }
 
@@ -107,7 +107,7 @@
     return this.links.size
   }
 
-  get lineCount (): number {
+  get evidenceCount (): number {
     return this.evidence.table.size
   }
 
@@ -131,31 +131,31 @@
   /** To be called several times in each beat interval. */
   tick (nowMs: number): MeshEffect[] {
     if (this.stopped) return []
-    this.noticeOwnPause(nowMs)
-    this.memberSpread.forward(this.membership.expire(nowMs), undefined)
+    this.handleOwnPause(nowMs)
+    this.memberDissemination.forward(this.membership.expire(nowMs), undefined)
     this.evidence.table.expire(nowMs)
-    this.memberSpread.refreshPlan()
-    this.suspectSilent(nowMs)
-    this.tendLinks(nowMs)
+    this.memberDissemination.refreshPlan()
+    this.detectFailures(nowMs)
+    this.maintainLinks(nowMs)
     this.dial(nowMs)
-    this.spread.retry(this.links.ids, nowMs)
+    this.documentDissemination.retry(this.links.ids, nowMs)
     for (const link of this.links.all()) {
-      if (nowMs >= link.nextBeatAtMs) this.evidence.sendBeat(link, this.memberSpread.plan, this.digests(), nowMs)
+      if (nowMs >= link.nextHeartbeatAtMs) this.evidence.sendHeartbeat(link, this.memberDissemination.plan, this.digests(), nowMs)
     }
-    this.sync.tick(this.links.all(), nowMs)
-    this.memberSpread.flush()
+    this.antiEntropy.tick(this.links.all(), nowMs)
+    this.memberDissemination.flush()
     return this.outbox.take()
   }
 
   /** A link to `peer` is established and authenticated; `dialedAddress` is set when this node made it. */
   linkUp (id: LinkId, peer: MemberRecord, dialedAddress: string | undefined, nowMs: number): MeshEffect[] {
-    if (dialedAddress !== undefined) this.dials.connected(dialedAddress, nowMs)
+    if (dialedAddress !== undefined) this.dialScheduler.connected(dialedAddress, nowMs)
     const { limits, timing } = this.options
     const link = new GossipLink(id, peer.node, peer.incarnation, dialedAddress !== undefined, nowMs)
     const admission = admitLink(this.self.node, this.links, link, this.membership.get(peer.node), limits, timing, nowMs)
     if (admission.dropped !== undefined) this.drop(admission.dropped.link, admission.dropped.reason)
     if (admission.refused !== undefined) this.outbox.close(id, admission.refused)
-    else this.welcome(link, peer, nowMs)
+    else this.admit(link, peer, nowMs)
     return this.outbox.take()
   }
 
@@ -165,7 +165,7 @@
   }
 
   dialFailed (address: string, nowMs: number): MeshEffect[] {
-    this.dials.fail(address, nowMs)
+    this.dialScheduler.fail(address, nowMs)
     return this.outbox.take()
   }
 
@@ -181,12 +181,12 @@
 
   /** Takes documents in from outside the mesh. */
   offer (documents: readonly MeshDocument[]): { readonly taken: readonly MeshDocument[], readonly effects: MeshEffect[] } {
-    const taken = this.spread.take(documents, this.links.ids, undefined)
+    const taken = this.documentDissemination.take(documents, this.links.ids, undefined)
     return { taken, effects: this.outbox.take() }
   }
 
   publish (groups: readonly GroupPresence[], services: readonly ServicePresence[], nowMs: number): MeshEffect[] {
-    this.evidence.publish(this.self.node, groups, services, this.memberSpread.plan, this.digests(), nowMs)
+    this.evidence.publish(this.self.node, groups, services, this.memberDissemination.plan, this.digests(), nowMs)
     return this.outbox.take()
   }
 
@@ -195,30 +195,30 @@
   }
 
   announceDraining (nowMs: number): MeshEffect[] {
-    if (!this.self.draining) this.memberSpread.forward([this.membership.announce({ draining: true }, nowMs)], undefined)
+    if (!this.self.draining) this.memberDissemination.forward([this.membership.announce({ draining: true }, nowMs)], undefined)
     return this.outbox.take()
   }
 
   /** Says farewell on every link; nothing is done after it. */
   leave (nowMs: number): MeshEffect[] {
     if (this.stopped) return []
-    this.memberSpread.forward([this.membership.announce({ health: MemberHealth.Left }, nowMs)], undefined)
-    this.memberSpread.flush()
+    this.memberDissemination.forward([this.membership.announce({ health: MemberHealth.Left }, nowMs)], undefined)
+    this.memberDissemination.flush()
     for (const link of this.links.all()) this.outbox.send(link.id, { kind: FrameKind.Leaving })
     this.stopped = true
     return this.outbox.take()
   }
 
-  private welcome (link: GossipLink, peer: MemberRecord, nowMs: number): void {
+  private admit (link: GossipLink, peer: MemberRecord, nowMs: number): void {
     this.peerContactMs = nowMs
     this.links.add(link)
-    this.memberSpread.merge([peer], link.id, nowMs)
+    this.memberDissemination.merge([peer], link.id, nowMs)
     const known = this.membership.get(peer.node)
     // A peer that others hold dead or suspect learns it from the first node that it reaches, and refutes.
-    if (known !== undefined && compareMemberVersions(known, peer) > 0) this.memberSpread.send(link.id, [known])
-    this.memberSpread.refreshPlan()
+    if (known !== undefined && compareMemberVersions(known, peer) > 0) this.memberDissemination.send(link.id, [known])
+    this.memberDissemination.refreshPlan()
     this.classify(link, nowMs)
-    this.evidence.sendBeat(link, this.memberSpread.plan, this.digests(), nowMs)
+    this.evidence.sendHeartbeat(link, this.memberDissemination.plan, this.digests(), nowMs)
   }
 
   private drop (link: GossipLink, reason: CloseReason): void {
@@ -226,32 +226,32 @@
     this.outbox.close(link.id, reason)
   }
 
-  private onBeat (link: GossipLink, beat: BeatFrame, nowMs: number): void {
-    this.evidence.receive(link, beat, this.memberSpread.plan, this.digests(), nowMs)
-    this.sync.note(link, beat.membersDigest, beat.documentsDigest, nowMs)
+  private onHeartbeat (link: GossipLink, beat: HeartbeatFrame, nowMs: number): void {
+    this.evidence.receive(link, beat, this.memberDissemination.plan, this.digests(), nowMs)
+    this.antiEntropy.note(link, beat.membersDigest, beat.documentsDigest, nowMs)
     // The first beat of a link can't be answered by age until it is echoed: the echo need not wait for the interval.
-    if (beat.sequence === 1) this.evidence.sendBeat(link, this.memberSpread.plan, this.digests(), nowMs)
+    if (beat.sequence === 1) this.evidence.sendHeartbeat(link, this.memberDissemination.plan, this.digests(), nowMs)
   }
 
   private digests (): Digests {
     return { membersDigest: this.membership.digest, documentsDigest: this.documentTable.digest }
   }
 
-  private noticeOwnPause (nowMs: number): void {
+  private handleOwnPause (nowMs: number): void {
     if (nowMs - this.lastTickMs >= this.options.timing.ownPauseMs) {
-      this.neighbors.restart(nowMs)
+      this.failureDetector.restart(nowMs)
       this.membership.restartSuspicions(nowMs)
       for (const link of this.links.all()) link.heardAtMs = nowMs
     }
     this.lastTickMs = nowMs
   }
 
-  private suspectSilent (nowMs: number): void {
-    const wanted = [...this.memberSpread.plan.wanted.keys()].map((node) => this.membership.get(node)).filter((record) => record !== undefined)
-    this.memberSpread.merge(this.neighbors.tick(wanted, this.links.byPeer, nowMs), undefined, nowMs)
+  private detectFailures (nowMs: number): void {
+    const wanted = [...this.memberDissemination.plan.wanted.keys()].map((node) => this.membership.get(node)).filter((record) => record !== undefined)
+    this.memberDissemination.merge(this.failureDetector.tick(wanted, this.links.byPeer, nowMs), undefined, nowMs)
   }
 
-  private tendLinks (nowMs: number): void {
+  private maintainLinks (nowMs: number): void {
     const { linkTimeoutMs, unwantedLinkMs } = this.options.timing
     for (const link of this.links.all()) {
       this.classify(link, nowMs)
@@ -262,22 +262,22 @@
 
   private classify (link: GossipLink, nowMs: number): void {
     const peer = this.membership.get(link.peer)
-    if (peer !== undefined) link.scope = scopeOf(this.memberSpread.plan, this.self, peer)
-    const wanted = this.memberSpread.plan.wanted.has(link.peer)
+    if (peer !== undefined) link.scope = scopeOf(this.memberDissemination.plan, this.self, peer)
+    const wanted = this.memberDissemination.plan.wanted.has(link.peer)
     if (link.wanted && !wanted) link.unwantedSinceMs = nowMs
     link.wanted = wanted
   }
 
   private dial (nowMs: number): void {
     const targets: DialTarget[] = []
-    for (const node of this.memberSpread.plan.wanted.keys()) {
+    for (const node of this.memberDissemination.plan.wanted.keys()) {
       const record = this.membership.get(node)
       if (record !== undefined && !this.links.byPeer.has(node)) targets.push({ address: record.meshAddress, node })
     }
     const candidates = this.rejoinTargets()
-    this.dials.retain(new Set([...targets, ...candidates].map((target) => target.address)), nowMs)
-    this.dials.dialWanted(this.self.node, targets, nowMs)
-    this.dials.rejoin(candidates, this.links.size === 0, nowMs)
+    this.dialScheduler.retain(new Set([...targets, ...candidates].map((target) => target.address)), nowMs)
+    this.dialScheduler.dialWanted(this.self.node, targets, nowMs)
+    this.dialScheduler.rejoin(candidates, this.links.size === 0, nowMs)
   }
 
   private rejoinTargets (): DialTarget[] {
--- a/packages/dotterelspur/src/connection/mesh/MeshTiming.ts
+++ b/packages/dotterelspur/src/connection/mesh/MeshTiming.ts
@@ -3,7 +3,7 @@
 /** The mesh's times, in milliseconds. */
 export interface MeshTiming {
   /** Time between two beats on one link. */
-  readonly beatIntervalMs: number
+  readonly heartbeatIntervalMs: number
   /** A neighbour silent for this long is asked about through others. */
   readonly silenceMs: number
   /** A relay silent for this long is passed over: evidence may not wait until it is known to be dead, and a relay passed over in error costs only some lines sent twice. */
@@ -30,13 +30,13 @@
   /** A link that the plan does not want is closed by its dialer after this long. */
   readonly unwantedLinkMs: number
   /** A document that was asked of one peer and did not come is asked of another after this long. */
-  readonly wantTimeoutMs: number
+  readonly documentFetchTimeoutMs: number
   /** Digests that differ for this long start a comparison. */
   readonly mismatchGraceMs: number
   /** Least time between two comparisons of the same sort by one node. */
   readonly syncIntervalMs: number
   /** Evidence older than this is forgotten; longer than the evidence TTL so that its end can be seen. */
-  readonly evidenceKeepMs: number
+  readonly evidenceRetentionMs: number
   /** A gap of this length between two ticks is a pause of this process itself: silence during it proves nothing. */
   readonly ownPauseMs: number
 }
@@ -54,7 +54,7 @@
   readonly deletions: number
   readonly members: number
   /** Evidence lines held, of all watchers. */
-  readonly evidenceLines: number
+  readonly evidenceRecords: number
   /** Entries in one frame of any list. */
   readonly entriesPerFrame: number
 }
@@ -62,7 +62,7 @@
 const MINUTE_MS = 60_000
 
 export const DEFAULT_MESH_TIMING: MeshTiming = {
-  beatIntervalMs: DEFAULT_GOSSIP_INTERVAL_MS,
+  heartbeatIntervalMs: DEFAULT_GOSSIP_INTERVAL_MS,
   silenceMs: 1_500,
   relaySilenceMs: 1.5 * DEFAULT_GOSSIP_INTERVAL_MS,
   indirectProbeMs: 1_000,
@@ -76,20 +76,20 @@
   dialTimeoutMs: 5_000,
   rejoinIntervalMs: 5_000,
   unwantedLinkMs: 15_000,
-  wantTimeoutMs: 1_000,
+  documentFetchTimeoutMs: 1_000,
   mismatchGraceMs: 1_200,
   syncIntervalMs: 500,
-  evidenceKeepMs: 4 * DEFAULT_EVIDENCE_TTL_MS,
+  evidenceRetentionMs: 4 * DEFAULT_EVIDENCE_TTL_MS,
   ownPauseMs: 500
 }
 
-const RELAY_SILENCE_BEATS = 1.5
-const SILENCE_BEATS = 3
+const RELAY_SILENCE_HEARTBEATS = 1.5
+const SILENCE_HEARTBEATS = 3
 
 /** The times with some of them set. Silences that are not set follow the beat: they must outlast a lost one. */
-export function createMeshTiming (set: Partial<MeshTiming> = {}): MeshTiming {
-  const beatIntervalMs = set.beatIntervalMs ?? DEFAULT_MESH_TIMING.beatIntervalMs
-  return { ...DEFAULT_MESH_TIMING, relaySilenceMs: RELAY_SILENCE_BEATS * beatIntervalMs, silenceMs: SILENCE_BEATS * beatIntervalMs, ...set }
+export function createMeshTiming (overrides: Partial<MeshTiming> = {}): MeshTiming {
+  const heartbeatIntervalMs = overrides.heartbeatIntervalMs ?? DEFAULT_MESH_TIMING.heartbeatIntervalMs
+  return { ...DEFAULT_MESH_TIMING, relaySilenceMs: RELAY_SILENCE_HEARTBEATS * heartbeatIntervalMs, silenceMs: SILENCE_HEARTBEATS * heartbeatIntervalMs, ...overrides }
 }
 
 export const DEFAULT_MESH_LIMITS: MeshLimits = {
@@ -99,6 +99,6 @@
   documents: 20_000,
   deletions: 4_096,
   members: 8_192,
-  evidenceLines: 8_192,
+  evidenceRecords: 8_192,
   entriesPerFrame: 512
 }
--- a/packages/dotterelspur/src/connection/mesh/OverlayPlan.ts
+++ b/packages/dotterelspur/src/connection/mesh/OverlayPlan.ts
@@ -16,10 +16,10 @@
 export interface OverlayPlan {
   readonly wanted: ReadonlyMap<NodeId, LinkScope>
   /** For each other cell of the region the nodes to which this one sends its own evidence. */
-  readonly relays: readonly CellRelay[]
+  readonly relays: readonly CellRelays[]
 }
 
-export interface CellRelay {
+export interface CellRelays {
   readonly cell: readonly NodeId[]
   /** The relay, and the one that stands in while it is silent. */
   readonly relays: readonly NodeId[]
@@ -45,9 +45,9 @@
 
   planRegionLinks(self, regions, limits.linksPerRegionPair, wanted)
   for (const record of otherCells.flat()) {
-    if (relaysIn(record.node, ownCell).includes(self.node)) wanted.set(record.node, LinkScope.OtherCell)
+    if (relaysFor(record.node, ownCell).includes(self.node)) wanted.set(record.node, LinkScope.OtherCell)
   }
-  const relays = otherCells.map((cell) => ({ cell: cell.map((record) => record.node), relays: relaysIn(self.node, cell) }))
+  const relays = otherCells.map((cell) => ({ cell: cell.map((record) => record.node), relays: relaysFor(self.node, cell) }))
   for (const relay of relays.flatMap((each) => each.relays)) wanted.set(relay, LinkScope.OtherCell)
   for (const record of ownCell) wanted.set(record.node, LinkScope.Cell)
   wanted.delete(self.node)
@@ -78,7 +78,7 @@
  * lose it, each suspicion would have links made anew, and nodes that are too busy to make them in time would
  * become suspect in turn, without end. The standby covers for a silent relay meanwhile.
  */
-function relaysIn (node: NodeId, cell: readonly MemberRecord[]): NodeId[] {
+function relaysFor (node: NodeId, cell: readonly MemberRecord[]): NodeId[] {
   return rendezvousOrder(node, cell.map((record) => record.node)).slice(0, RELAYS_PER_CELL)
 }
 
--- a/packages/dotterelspur/src/connection/mesh/PresenceTable.ts
+++ b/packages/dotterelspur/src/connection/mesh/PresenceTable.ts
@@ -3,34 +3,34 @@
 import { EvidenceKind, type EvidenceBody } from './Frame.js'
 
 /** By which way a line came: what this node probed itself, from its own cell, or from another cell of its region. */
-export enum LineSource {
+export enum EvidenceSource {
   Own = 'own',
   Cell = 'cell',
   OtherCell = 'other-cell'
 }
 
 /** One watcher's word on one group or worker, with times on this node's clock. */
-export interface EvidenceLine {
+export interface EvidenceRecord {
   readonly key: string
   readonly watcher: NodeId
   readonly body: EvidenceBody
-  readonly source: LineSource
+  readonly source: EvidenceSource
   /** The oldest probe was asked at or after this time. */
   readonly originMs: number
   /** When this node learned that the watcher's word had turned for the worse; -Infinity while it is good. */
-  readonly worseSinceMs: number
+  readonly degradedSinceMs: number
 }
 
 /** A line as it arrives. */
-export interface LineUpdate {
+export interface EvidenceUpdate {
   readonly watcher: NodeId
   readonly body: EvidenceBody
   readonly originMs: number
-  readonly source: LineSource
+  readonly source: EvidenceSource
 }
 
 /** Key of a line: its subject and its watcher. */
-export function lineKey (watcher: NodeId, body: EvidenceBody): string {
+export function evidenceKey (watcher: NodeId, body: EvidenceBody): string {
   return `${subjectOf(body)}\u0000${watcher}`
 }
 
@@ -40,7 +40,7 @@
 }
 
 /** Whether work may be sent there by this evidence. */
-export function isGood (body: EvidenceBody): boolean {
+export function isAvailable (body: EvidenceBody): boolean {
   const whole = body.kind === EvidenceKind.Group ? body.presence.complete : body.presence.present
   return whole && !body.presence.leaving
 }
@@ -51,54 +51,54 @@
 
 /** Evidence of this node's region, one line for each subject and watcher. */
 export class PresenceTable {
-  private lines: ReadonlyMap<string, EvidenceLine> = new Map()
+  private records: ReadonlyMap<string, EvidenceRecord> = new Map()
 
-  constructor (private readonly keepMs: number, private readonly capacity: number) {}
+  constructor (private readonly retentionMs: number, private readonly capacity: number) {}
 
-  all (): Iterable<EvidenceLine> {
-    return this.lines.values()
+  all (): Iterable<EvidenceRecord> {
+    return this.records.values()
   }
 
   get size (): number {
-    return this.lines.size
+    return this.records.size
   }
 
-  get (key: string): EvidenceLine | undefined {
-    return this.lines.get(key)
+  get (key: string): EvidenceRecord | undefined {
+    return this.records.get(key)
   }
 
   /** Takes in lines that are fresher than those held; returns those that turned for the worse. */
-  merge (updates: readonly LineUpdate[], nowMs: number): EvidenceLine[] {
-    const pending = new Map(this.lines)
-    const worse: EvidenceLine[] = []
+  merge (updates: readonly EvidenceUpdate[], nowMs: number): EvidenceRecord[] {
+    const pending = new Map(this.records)
+    const worse: EvidenceRecord[] = []
     for (const update of updates) {
       const line = this.accept(pending, update, nowMs)
       if (line === undefined) continue
-      const turned = line.worseSinceMs === nowMs && pending.get(line.key)?.worseSinceMs !== nowMs
+      const turned = line.degradedSinceMs === nowMs && pending.get(line.key)?.degradedSinceMs !== nowMs
       pending.set(line.key, line)
       if (turned) worse.push(line)
     }
-    this.lines = pending
+    this.records = pending
     return worse
   }
 
   /** Replaces this node's own lines: subjects that it watches no more are dropped. */
-  replaceOwn (watcher: NodeId, updates: readonly LineUpdate[], nowMs: number): EvidenceLine[] {
-    const kept = new Set(updates.map((update) => lineKey(watcher, update.body)))
-    const pending = new Map(this.lines)
-    for (const line of this.lines.values()) {
-      if (line.source === LineSource.Own && !kept.has(line.key)) pending.delete(line.key)
+  replaceOwn (watcher: NodeId, updates: readonly EvidenceUpdate[], nowMs: number): EvidenceRecord[] {
+    const kept = new Set(updates.map((update) => evidenceKey(watcher, update.body)))
+    const pending = new Map(this.records)
+    for (const line of this.records.values()) {
+      if (line.source === EvidenceSource.Own && !kept.has(line.key)) pending.delete(line.key)
     }
-    this.lines = pending
+    this.records = pending
     return this.merge(updates, nowMs)
   }
 
   expire (nowMs: number): void {
-    const pending = new Map(this.lines)
-    for (const line of this.lines.values()) {
-      if (nowMs - line.originMs > this.keepMs) pending.delete(line.key)
+    const pending = new Map(this.records)
+    for (const line of this.records.values()) {
+      if (nowMs - line.originMs > this.retentionMs) pending.delete(line.key)
     }
-    if (pending.size !== this.lines.size) this.lines = pending
+    if (pending.size !== this.records.size) this.records = pending
   }
 
   groups (nowMs: number): GroupPresence[] {
@@ -109,29 +109,29 @@
     return this.best(nowMs).flatMap((body) => body.kind === EvidenceKind.Service ? [body.presence] : [])
   }
 
-  private accept (pending: ReadonlyMap<string, EvidenceLine>, update: LineUpdate, nowMs: number): EvidenceLine | undefined {
-    const key = lineKey(update.watcher, update.body)
+  private accept (pending: ReadonlyMap<string, EvidenceRecord>, update: EvidenceUpdate, nowMs: number): EvidenceRecord | undefined {
+    const key = evidenceKey(update.watcher, update.body)
     const held = pending.get(key)
     if (held === undefined && pending.size >= this.capacity) return undefined
-    if (held !== undefined && held.originMs >= update.originMs && !turnsWorse(held, update.body)) return undefined
-    if (held !== undefined && isFromBeforeTurn(held, update)) return undefined
-    return { ...update, key, worseSinceMs: worseSince(held, update.body, nowMs) }
+    if (held !== undefined && held.originMs >= update.originMs && !isDegradation(held, update.body)) return undefined
+    if (held !== undefined && predatesDegradation(held, update)) return undefined
+    return { ...update, key, degradedSinceMs: degradedSince(held, update.body, nowMs) }
   }
 
   private best (nowMs: number): EvidenceBody[] {
-    const bySubject = new Map<string, EvidenceLine[]>()
-    for (const line of this.lines.values()) {
+    const bySubject = new Map<string, EvidenceRecord[]>()
+    for (const line of this.records.values()) {
       const subject = subjectOf(line.body)
       const lines = bySubject.get(subject)
       if (lines === undefined) bySubject.set(subject, [line])
       else lines.push(line)
     }
-    return [...bySubject.values()].map((lines) => aged(decisiveLine(lines), nowMs))
+    return [...bySubject.values()].map((lines) => aged(selectRecord(lines), nowMs))
   }
 }
 
-function turnsWorse (held: EvidenceLine, body: EvidenceBody): boolean {
-  return isGood(held.body) && !isGood(body) && generationOf(body) >= generationOf(held.body)
+function isDegradation (held: EvidenceRecord, body: EvidenceBody): boolean {
+  return isAvailable(held.body) && !isAvailable(body) && generationOf(body) >= generationOf(held.body)
 }
 
 /**
@@ -139,14 +139,14 @@
  * probe, often older than that of the good word before it; a copy of that good word, come late over another
  * relay, would look fresher and hide the turn until the watcher's next word.
  */
-function isFromBeforeTurn (held: EvidenceLine, update: LineUpdate): boolean {
-  return isGood(update.body) && generationOf(update.body) === generationOf(held.body) && update.originMs <= held.worseSinceMs
+function predatesDegradation (held: EvidenceRecord, update: EvidenceUpdate): boolean {
+  return isAvailable(update.body) && generationOf(update.body) === generationOf(held.body) && update.originMs <= held.degradedSinceMs
 }
 
-function worseSince (held: EvidenceLine | undefined, body: EvidenceBody, nowMs: number): number {
-  if (isGood(body)) return -Infinity
-  if (held === undefined || isGood(held.body)) return nowMs
-  return generationOf(held.body) === generationOf(body) ? held.worseSinceMs : nowMs
+function degradedSince (held: EvidenceRecord | undefined, body: EvidenceBody, nowMs: number): number {
+  if (isAvailable(body)) return -Infinity
+  if (held === undefined || isAvailable(held.body)) return nowMs
+  return generationOf(held.body) === generationOf(body) ? held.degradedSinceMs : nowMs
 }
 
 /**
@@ -154,17 +154,17 @@
  * evidence counts when all of it was asked for after the latest turn for the worse was learned: a member
  * may have died after one watcher's probe and before the other's, and the fresher line alone would hide it.
  */
-function decisiveLine (lines: readonly EvidenceLine[]): EvidenceLine {
+function selectRecord (lines: readonly EvidenceRecord[]): EvidenceRecord {
   const generation = Math.max(...lines.map((line) => generationOf(line.body)))
   const current = lines.filter((line) => generationOf(line.body) === generation)
-  const worseSinceMs = Math.max(...current.map((line) => line.worseSinceMs))
+  const worseSinceMs = Math.max(...current.map((line) => line.degradedSinceMs))
   const freshest = current.reduce((best, line) => line.originMs > best.originMs ? line : best)
-  const good = current.filter((line) => isGood(line.body) && line.originMs > worseSinceMs)
+  const good = current.filter((line) => isAvailable(line.body) && line.originMs > worseSinceMs)
   if (good.length > 0) return good.reduce((best, line) => line.originMs > best.originMs ? line : best)
-  return current.find((line) => line.worseSinceMs === worseSinceMs && !isGood(line.body)) ?? freshest
+  return current.find((line) => line.degradedSinceMs === worseSinceMs && !isAvailable(line.body)) ?? freshest
 }
 
-function aged (line: EvidenceLine, nowMs: number): EvidenceBody {
+function aged (line: EvidenceRecord, nowMs: number): EvidenceBody {
   const ageMs = nowMs - line.originMs
   if (line.body.kind === EvidenceKind.Group) return { kind: EvidenceKind.Group, presence: { ...line.body.presence, ageMs } }
   return { kind: EvidenceKind.Service, presence: { ...line.body.presence, ageMs } }
--- a/packages/dotterelspur/src/connection/mesh/RejoinTargets.ts
+++ b/packages/dotterelspur/src/connection/mesh/RejoinTargets.ts
@@ -1,5 +1,5 @@
 import { NODE_PREFIX, type NodeObject } from '../../version/PlatformObjects.js'
-import type { DialTarget } from './DialPlan.js'
+import type { DialTarget } from './DialScheduler.js'
 import type { DocumentTable } from './DocumentTable.js'
 import { isLiving, MemberHealth, type MemberRecord } from './MemberRecord.js'
 
--- a/packages/dotterelspur/src/process/lease/LeaseHolder.ts
+++ b/packages/dotterelspur/src/process/lease/LeaseHolder.ts
@@ -71,12 +71,12 @@
 }
 
 /** Notes a renewal before it is sent. */
-export function noteSent (term: LeaseTerm, sent: PendingRenewal): LeaseTerm {
+export function addPendingRenewal (term: LeaseTerm, sent: PendingRenewal): LeaseTerm {
   return { ...term, pending: [...term.pending, sent] }
 }
 
 /** Forgets a renewal that certainly did not take effect. */
-export function noteNotWritten (term: LeaseTerm, renewal: number): LeaseTerm {
+export function removePendingRenewal (term: LeaseTerm, renewal: number): LeaseTerm {
   return { ...term, pending: term.pending.filter((sent) => sent.renewal !== renewal) }
 }
 
--- a/packages/dotterelspur/src/process/lease/LeaseProcedures.ts
+++ b/packages/dotterelspur/src/process/lease/LeaseProcedures.ts
@@ -3,7 +3,7 @@
 import { StoreErrorKind, type StoredObject, type StoreError } from '../ObjectStore.js'
 import { perform, type Effect, type Procedure } from '../Procedure.js'
 import type { Result } from '../Result.js'
-import { beginTerm, isExpired, LeaseLoss, noteNotWritten, noteSent, observeOwnLease, type LeaseTerm } from './LeaseHolder.js'
+import { beginTerm, isExpired, LeaseLoss, removePendingRenewal, addPendingRenewal, observeOwnLease, type LeaseTerm } from './LeaseHolder.js'
 import type { LeaseTiming } from './LeaseTiming.js'
 
 export enum LeaseEffectKind {
@@ -90,16 +90,16 @@
   if (isExpired(term, timing, sentAtMs)) return { kind: LeaseResultKind.Lost, loss: LeaseLoss.Expired, observed: null }
   const { failureDomain, fencing } = term
   const body = composeLease({ failureDomain, holder: self.node, holderIncarnation: self.incarnation, fencing, renewal }, timing, released)
-  const sent = noteSent(term, { renewal, sentAtMs })
+  const sent = addPendingRenewal(term, { renewal, sentAtMs })
   const written = yield * perform<WriteLeaseEffect>({ kind: LeaseEffectKind.Write, key, body, expectedVersion: term.version })
-  if (written.ok) return settle(sent, written.value, released)
-  if (!needsReadBack(written.error)) return { kind: LeaseResultKind.Held, term: noteNotWritten(sent, renewal), error: written.error }
+  if (written.ok) return resolveRenewal(sent, written.value, released)
+  if (!needsReadBack(written.error)) return { kind: LeaseResultKind.Held, term: removePendingRenewal(sent, renewal), error: written.error }
   const read = yield * perform<ReadLeaseEffect>({ kind: LeaseEffectKind.Read, key })
   if (!read.ok) return { kind: LeaseResultKind.Held, term: sent, error: read.error }
-  return settle(sent, read.value, released, written.error)
+  return resolveRenewal(sent, read.value, released, written.error)
 }
 
-function settle (term: LeaseTerm, stored: StoredObject<LeaseObject>, released: boolean, error: StoreError | null = null): RenewResult {
+function resolveRenewal (term: LeaseTerm, stored: StoredObject<LeaseObject>, released: boolean, error: StoreError | null = null): RenewResult {
   const observed = stored.deleted ? LeaseLoss.Taken : observeOwnLease(term, stored.version, stored.body)
   if (typeof observed === 'string') return { kind: LeaseResultKind.Lost, loss: observed, observed: stored }
   if (released && stored.body.released) return { kind: LeaseResultKind.Lost, loss: LeaseLoss.Released, observed: stored }
