--- a/packages/dotterelspur-mesh/src/__tests__/unit/meshFixture.ts
+++ b/packages/dotterelspur-mesh/src/__tests__/unit/meshFixture.ts
@@ -13,7 +13,7 @@
 
 /** Times short enough for a test; nothing is asserted about them. */
 export const FAST_TIMING = {
-  beatIntervalMs: 50, silenceMs: 500, relaySilenceMs: 300, indirectProbeMs: 200, connectGraceMs: 1_000, suspicionMs: 600, linkTimeoutMs: 1_500, dialDeferMs: 100, rejoinIntervalMs: 200, mismatchGraceMs: 100, syncIntervalMs: 50
+  heartbeatIntervalMs: 50, silenceMs: 500, relaySilenceMs: 300, indirectProbeMs: 200, connectGraceMs: 1_000, suspicionMs: 600, linkTimeoutMs: 1_500, dialDeferMs: 100, rejoinIntervalMs: 200, mismatchGraceMs: 100, syncIntervalMs: 50
 }
 
 /** Options of one node on loopback; `seeds` is shared, so that a fleet finds itself. */
--- a/packages/dotterelspur/src/__tests__/MeshWorld.ts
+++ b/packages/dotterelspur/src/__tests__/MeshWorld.ts
@@ -5,7 +5,7 @@
 
 const TICK_MS = 100
 
-/** Shape of a fleet: nodes are dealt to failure domains in turn, failure domains to regions. */
+/** Shape of a fleet: nodes are assigned to failure domains round robin, failure domains to regions likewise. */
 export interface WorldOptions {
   readonly nodes: number
   readonly failureDomains?: number
@@ -14,7 +14,7 @@
   readonly delayMs?: (random: Random) => number
   readonly timing?: Partial<MeshTiming>
   readonly limits?: Partial<MeshLimits>
-  /** Seeds that each node draws for itself; without, all have the same three. */
+  /** Number of seeds that each node draws at random; if unset, all nodes have the same three. */
   readonly seedsPerNode?: number
 }
 
@@ -28,14 +28,14 @@
   lastArrivalMs: number
 }
 
-/** One node of the world: a machine, and whether its process runs. */
+/** One simulated node: its state machine and the state of its process. */
 export class WorldNode {
   machine: MeshMachine
   running = true
   paused = false
   incarnation = 1
   readonly pipes = new Map<LinkId, Pipe>()
-  /** Events that wait for a paused process. */
+  /** Events queued while the process is paused. */
   backlog: Array<() => void> = []
   dials = 0
   seeds: readonly string[] = []
@@ -64,7 +64,7 @@
   }
 }
 
-/** A network of mesh machines in memory, moved by a manual clock: delays, partitions, pauses, kills and restarts. */
+/** Simulates a network of mesh machines in memory with a manual clock: delays, partitions, pauses, kills and restarts. */
 export class MeshWorld {
   readonly clock = new ManualClock(1_000)
   readonly random: Random
@@ -73,7 +73,7 @@
   readonly nodes: WorldNode[] = []
   readonly frames = new Map<FrameKind, number>()
   seeds: string[] = []
-  /** Whether frames and dials get from one node to another. What a cut holds up arrives after it ends. */
+  /** Whether frames and dials get from one node to another. Frames held up by a partition arrive after it ends. */
   canReach: (from: WorldNode, to: WorldNode) => boolean = () => true
   /** Called after each event at a node. */
   observe: (node: WorldNode) => void = () => {}
@@ -109,7 +109,7 @@
     this.clock.advance(durationMs)
   }
 
-  /** Lets time pass until something holds at a whole interval; returns how long it took, Infinity if it did not in time. */
+  /** Advances the clock in ticks until `holds` returns true; returns the time taken, or Infinity if `boundMs` passed first. */
   passUntil (holds: () => boolean, boundMs: number): number {
     for (let passedMs = 0; passedMs <= boundMs; passedMs += TICK_MS) {
       if (holds()) return passedMs
@@ -138,7 +138,7 @@
     node.paused = true
   }
 
-  /** The process goes on where it was: what arrived meanwhile is handled after its overdue timer. */
+  /** Continues the process: its overdue timer runs first, then the events that arrived during the pause. */
   resume (node: WorldNode): void {
     node.paused = false
     this.tick(node)
@@ -147,7 +147,7 @@
     for (const event of backlog) event()
   }
 
-  /** Ends the process; its connections are reset. */
+  /** Terminates the process; its connections are reset. */
   kill (node: WorldNode): void {
     node.running = false
     node.paused = false
@@ -163,7 +163,7 @@
     this.startTicks(node)
   }
 
-  /** Handles an event at a node now, or when its process goes on. */
+  /** Runs an event at a node now, or when its paused process resumes. */
   private deliver (node: WorldNode, event: () => void): void {
     if (!node.running) return
     if (node.paused) node.backlog.push(() => this.deliver(node, event))
@@ -253,7 +253,7 @@
   return { key, version, body: `${key}@${version}`, deleted: false }
 }
 
-/** Evidence whose true time is in it: `running` carries the millisecond at which the oldest probe was asked. */
+/** Evidence that contains its true time: `running` holds the millisecond at which the oldest probe was sent. */
 export function createDatedPresence (group: string, askedAtMs: number, nowMs: number, change: Partial<GroupPresence> = {}): GroupPresence {
   return { group, fabricDomain: 'f', failureDomain: 'd0', formation: 1, complete: true, leaving: false, ageMs: nowMs - askedAtMs, load: { running: askedAtMs, waiting: 0, capacity: 4, cacheUsed: 0, ageMs: 0 }, ...change }
 }
--- a/packages/dotterelspur/src/__tests__/unit/Clock.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Clock.test.ts
@@ -18,7 +18,7 @@
 })
 
 describe('createRandom', () => {
-  it('repeats its sequence for the same seed and differs for another', () => {
+  it('produces the same sequence for the same seed and a different one for another seed', () => {
     const draw = (seed: number): number[] => {
       const random = createRandom(seed)
       return Array.from({ length: 8 }, () => random.next())
@@ -30,7 +30,7 @@
 })
 
 describe('rendezvousOrder', () => {
-  it('moves only the keys that a lost member held', () => {
+  it('moves only the keys of a removed member', () => {
     const members = ['a', 'b', 'c', 'd', 'e']
     const keys = Array.from({ length: 200 }, (_, index) => `key-${index}`)
     for (const key of keys) {
@@ -52,7 +52,7 @@
 })
 
 describe('parseRequestId', () => {
-  it('reads what formatRequestId writes and refuses keys that callers chose', () => {
+  it('parses ids made by formatRequestId and rejects keys chosen by callers', () => {
     const id = formatRequestId('node-a.17', 1_700_000_000_000, 'abcDEF12')
     expect(parseRequestId(id)).to.deep.equal({ home: 'node-a.17', node: 'node-a', incarnation: 17, issuedWallMs: 1_700_000_000_000, random: 'abcDEF12' })
     expect(parseRequestId('loan-4711')).to.equal(undefined)
--- a/packages/dotterelspur/src/__tests__/unit/DocumentTable.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/DocumentTable.test.ts
@@ -10,7 +10,7 @@
 }
 
 describe('DocumentTable', () => {
-  it('takes only what is newer, deletions included', () => {
+  it('stores only newer versions, including deletions', () => {
     const table = new DocumentTable(10, 10)
     expect(table.merge([createLiving('a', 3)])).to.have.length(1)
     expect(table.merge([createLiving('a', 3), createLiving('a', 2)])).to.have.length(0)
@@ -21,11 +21,11 @@
   })
 
   /*
-   * Symptom: after some weeks a new team's settings are in force nowhere.
-   * Sequence: drains of VMs are written and deleted, day after day; every deletion stays, and a node that starts gets them all from its peers.
-   * Cause: deletions without a bound fill the table, and new documents find no room.
+   * Guards against the settings of a new team being in force on no node after some weeks. Drains of VMs are written and
+   * deleted every day, and a node that starts receives all deletions from its peers; without a bound the deletions fill
+   * the table, and new documents are rejected.
    */
-  it('keeps room for new documents however many were deleted before', () => {
+  it('has capacity for new documents however many were deleted before', () => {
     const table = new DocumentTable(20, 8)
     for (let version = 1; version <= 200; version += 2) {
       table.merge([createLiving(`drains/vm-${version}`, version)])
@@ -35,7 +35,7 @@
     expect(table.size).to.equal(9)
   })
 
-  it('comes to the same documents and digest in whatever order they arrive', () => {
+  it('converges to the same documents and digest in whatever order documents arrive', () => {
     const documents = Array.from({ length: 60 }, (_, index) => index % 3 === 0 ? createLiving(`k${index}`, index + 1) : createDeletion(`k${index}`, index + 1))
     const tables = [1, 2, 3].map((seed) => {
       const random = createRandom(seed)
--- a/packages/dotterelspur/src/__tests__/unit/EvidenceExchange.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/EvidenceExchange.test.ts
@@ -6,7 +6,7 @@
 const PROBE_INTERVAL_MS = 500
 const PROBE_MS = 20
 
-/** A settled region whose watchers publish each probe interval, each in its own phase. */
+/** A settled region whose watchers publish every probe interval, each with its own phase offset. */
 function createWatchedWorld (nodes: number, groups: number, seed = 3): { readonly world: MeshWorld, readonly watchersOf: (group: string) => readonly string[] } {
   const world = new MeshWorld({ nodes, failureDomains: 3, seed })
   const names = world.nodes.map((node) => node.name)
@@ -37,7 +37,7 @@
 }
 
 describe('EvidenceExchange', () => {
-  it('brings every group of the region to every node, well within the time for which evidence serves', () => {
+  it('delivers evidence of every group of the region to every node, one probe interval before the evidence TTL at the latest', () => {
     const { world } = createWatchedWorld(12, 12)
     expect(world.nodes.map((node) => node.machine.groupPresence(world.clock.nowMs()).length)).to.deep.equal(new Array(12).fill(12))
     for (const node of world.nodes) {
@@ -46,11 +46,11 @@
   })
 
   /*
-   * Symptom: a group is unknown at a node for as long as its watcher says nothing new.
-   * Sequence: a watcher publishes before a new link's first beats have been exchanged.
-   * Cause: lines in a beat that echoes nothing can't be dated and are left out, but counted as sent.
+   * Guards against a group being unknown at a node until its watcher publishes again. It happens when a watcher publishes
+   * before the first heartbeats of a new link: the receiver can't date evidence in a heartbeat that echoes nothing and
+   * discards it, while the sender counts it as sent.
    */
-  it('brings a word that was published before the links were made', () => {
+  it('delivers evidence that was published before the links were established', () => {
     const world = new MeshWorld({ nodes: 4, failureDomains: 1 })
     world.publish(world.node(0), [createDatedPresence('g', world.clock.nowMs(), world.clock.nowMs())])
     world.pass(5_000)
@@ -58,9 +58,9 @@
   })
 
   /*
-   * Symptom: healthy groups are out of service at some nodes for a second or two.
-   * Sequence: a node pauses that relays the evidence of those groups' watchers to its cell.
-   * Cause: a watcher with one link into that cell finds another way only when the relay has been suspected.
+   * Guards against healthy groups being out of service at some nodes for a second or two. It happens when a node pauses
+   * that relays the evidence of the groups' watchers to its cell, if a watcher has only one link into that cell and
+   * changes the relay only after it has been suspected.
    */
   const checkPauses = (seed: number): void => {
     const { world, watchersOf } = createWatchedWorld(12, 12, seed)
--- a/packages/dotterelspur/src/__tests__/unit/Lease.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Lease.test.ts
@@ -18,10 +18,10 @@
   return observeLease(NO_LEASE_OBSERVATION, version, makeLease(fields), atMs)
 }
 
-/** How the stand-in answers one write or read. */
+/** How the fake store responds to one write or read. */
 enum Fault { None, ReplyLost, Down, Stale }
 
-/** A store with one key, whose faults are used up in order. */
+/** A fake store with one key, which applies one of `faults` to each call, in order. */
 function makeStore (faults: Fault[] = []) {
   const history: Array<StoredObject<LeaseObject>> = []
   let nowMs = 5_000
@@ -65,12 +65,12 @@
 
 describe('LeaseChallenger', () => {
   const cases = [
-    { title: 'waits a whole TTL of its own clock for a held lease', sighting: makeSighting(), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
+    { title: 'waits a whole TTL on its own clock for a held lease', sighting: makeSighting(), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
     { title: 'waits longer at a lower rank', sighting: makeSighting(), rank: 2, openAtMs: 1_000 + TIMING.ttlMs + 2 * TIMING.staggerMs },
     { title: 'takes a released lease at once', sighting: makeSighting({ released: true }), rank: 0, openAtMs: 1_000 },
-    { title: 'takes a lease that never was at once', sighting: observeAbsence(NO_LEASE_OBSERVATION, 1_000), rank: 0, openAtMs: 1_000 },
-    { title: 'takes back what it wrote itself and thought lost', sighting: makeSighting({ holder: 'node-a', holderIncarnation: 1 }), rank: 0, openAtMs: 1_000 },
-    { title: 'does not take over from its own earlier incarnation early', sighting: makeSighting({ holder: 'node-a', holderIncarnation: 0 }), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
+    { title: 'takes a lease that never existed at once', sighting: observeAbsence(NO_LEASE_OBSERVATION, 1_000), rank: 0, openAtMs: 1_000 },
+    { title: 'takes a lease again at once that the same process wrote', sighting: makeSighting({ holder: 'node-a', holderIncarnation: 1 }), rank: 0, openAtMs: 1_000 },
+    { title: 'waits a whole TTL for a lease of its own earlier incarnation', sighting: makeSighting({ holder: 'node-a', holderIncarnation: 0 }), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
     { title: 'honours a longer TTL of the holder', sighting: makeSighting({ ttlMs: 20_000 }), rank: 0, openAtMs: 21_000 }
   ]
   for (const { title, sighting, rank, openAtMs } of cases) {
@@ -81,14 +81,14 @@
     })
   }
 
-  it('is not set back by an answer from the past, nor by a lease that seems gone', () => {
+  it('ignores outdated reads and the absence of a lease that was observed before', () => {
     const sighting = makeSighting()
     expect(observeLease(sighting, 9, makeLease({ fencing: 3 }), 2_000)).to.equal(sighting)
     expect(observeLease(sighting, 10, makeLease(), 2_000)).to.equal(sighting)
     expect(observeAbsence(sighting, 2_000)).to.equal(sighting)
   })
 
-  it('starts its count again at each renewal, and takes no lower fencing number than any it has seen', () => {
+  it('restarts the TTL count at each renewal, and uses a higher fencing number than any observed', () => {
     const renewed = observeLease(makeSighting(), 11, makeLease({ renewal: 1 }), 3_000)
     expect(renewed.firstObservedAtMs).to.equal(3_000)
     const decision = decideChallenge(raiseFencingFloor(renewed, 40), { ...SELF, rank: 0 }, TIMING, 3_000 + TIMING.ttlMs)
@@ -97,7 +97,7 @@
 })
 
 describe('LeaseHolder', () => {
-  it('stops ordering a margin before its TTL, counted from when it sent', async () => {
+  it('stops sending orders one margin before its TTL ends, counted from when the write was sent', async () => {
     const { term } = await makeHeld()
     const stopMs = term.sentAtMs + TIMING.ttlMs - TIMING.marginMs
     expect(mayOrder(term, TIMING, stopMs - 1)).to.equal(true)
@@ -106,7 +106,7 @@
     expect(isExpired(term, TIMING, term.sentAtMs + TIMING.ttlMs)).to.equal(true)
   })
 
-  it('stops ordering before any observer can have seen the lease for a whole TTL', () => {
+  it('stops sending orders before any other node can have observed the lease for a whole TTL', () => {
     const random = createRandom(11)
     for (let round = 0; round < 500; round++) {
       const sentAtMs = random.integer(10_000)
@@ -118,14 +118,14 @@
     }
   })
 
-  // Symptom: a holder gives up a lease that it holds, and its domain has no controller for a whole TTL.
-  // Sequence: a renewal takes effect, its answer is lost; the next one is refused since the version has moved.
-  // Cause: the refusal looks like another node's write unless it is read back and told by its number.
+  // Guards against a holder that gives up a lease which it still holds, so that its domain has no controller for a whole
+  // TTL. It happens when a renewal takes effect but its response is lost: the next renewal is refused because the version
+  // has changed, which looks like another node's write unless the lease is read back and the renewal number compared.
   const renewalCases = [
-    { title: 'counts a renewal whose answer was lost from when it was sent', faults: [Fault.ReplyLost], held: true, renewed: true },
-    { title: 'keeps the term, unrenewed, when the read back fails too', faults: [Fault.ReplyLost, Fault.Down], held: true, renewed: false },
+    { title: 'counts the TTL of a renewal whose response was lost from when it was sent', faults: [Fault.ReplyLost], held: true, renewed: true },
+    { title: 'keeps the term, unrenewed, if reading back fails too', faults: [Fault.ReplyLost, Fault.Down], held: true, renewed: false },
     { title: 'keeps the term, unrenewed, while the store is down', faults: [Fault.Down], held: true, renewed: false },
-    { title: 'is not moved by a read back from the past', faults: [Fault.ReplyLost, Fault.Stale], held: true, renewed: false }
+    { title: 'ignores an outdated version when reading back', faults: [Fault.ReplyLost, Fault.Stale], held: true, renewed: false }
   ]
   for (const { title, faults, held, renewed } of renewalCases) {
     it(title, async () => {
@@ -142,7 +142,7 @@
     })
   }
 
-  it('recognises its own earlier renewal behind a refused one', async () => {
+  it('recognizes its own earlier renewal as the cause of a conflict', async () => {
     const { store, term } = await makeHeld([Fault.ReplyLost, Fault.Down])
     const unknown = await runProcedure(renewLease(term, SELF, TIMING), store.handlers)
     const sentAtMs = store.now()
@@ -153,14 +153,14 @@
     if (result.kind === LeaseResultKind.Held) expect(result.term).to.include({ sentAtMs, version: 2, renewal: 2 })
   })
 
-  it('ends the term when it finds another\'s write', async () => {
+  it('ends the term when it finds another process\'s write', async () => {
     const { store, term } = await makeHeld()
     store.put(makeLease({ fencing: 2 }))
     const result = await runProcedure(renewLease(term, SELF, TIMING), store.handlers)
     expect(result).to.include({ kind: LeaseResultKind.Lost, loss: LeaseLoss.Taken })
   })
 
-  it('sends nothing once its own TTL is over', async () => {
+  it('writes nothing once its own TTL has expired', async () => {
     const { store, term } = await makeHeld()
     store.advance(TIMING.ttlMs)
     const result = await runProcedure(renewLease(term, SELF, TIMING), store.handlers)
@@ -168,10 +168,10 @@
     expect(store.latest()!.version).to.equal(1)
   })
 
-  // Symptom: a node that was stopped for a while orders though another node has the lease.
-  // Sequence: the holder stops for longer than the margin; wakes; its next step is an order.
-  // Cause: what it knew of its lease is as old as the stop; only a renewal that is sent afterwards proves it.
-  it('orders nothing after a pause until a renewal sent afterwards got through', async () => {
+  // Guards against a paused node sending orders although another node holds the lease. It happens when the holder pauses
+  // for longer than the margin and sends an order right after it resumes: its state of the lease is as old as the pause,
+  // and only a renewal sent afterwards proves that it still holds the lease.
+  it('sends no orders after a pause until a renewal sent afterwards succeeds', async () => {
     const { store, term } = await makeHeld()
     store.advance(TIMING.renewMs)
     const suspended = suspendTerm(term, store.now())
@@ -183,7 +183,7 @@
     expect(result.kind === LeaseResultKind.Held && mayOrder(result.term, TIMING, store.now())).to.equal(true)
   })
 
-  it('gives a lease up so that the next may take it at once', async () => {
+  it('releases a lease so that the next holder can take it at once', async () => {
     const { store, term } = await makeHeld([Fault.ReplyLost])
     const result = await runProcedure(renewLease(term, SELF, TIMING, true), store.handlers)
     expect(result).to.include({ kind: LeaseResultKind.Lost, loss: LeaseLoss.Released })
@@ -192,10 +192,9 @@
 })
 
 describe('takeLease', () => {
-  // Symptom: two nodes decide for one failure domain.
-  // Sequence: two challengers see the same version for a TTL and write at the same time.
-  // Cause: the loser's answer was lost, so it can't tell from the answer who won.
-  it('lets one of two challengers win, whichever answers are lost', async () => {
+  // Guards against two lease holders for one failure domain. Two challengers observe the same version for a TTL and write
+  // at the same time; if the response to the second write is lost, its sender can't tell from it which write succeeded.
+  it('lets at most one of two challengers take the lease, whichever responses are lost', async () => {
     const random = createRandom(3)
     for (let round = 0; round < 50; round++) {
       const store = makeStore(Array.from({ length: 4 }, () => pick(random, [Fault.None, Fault.ReplyLost, Fault.Stale])!))
--- a/packages/dotterelspur/src/__tests__/unit/MeshMachine.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/MeshMachine.test.ts
@@ -7,7 +7,7 @@
 function createSettledWorld (options: ConstructorParameters<typeof MeshWorld>[0]): MeshWorld {
   const world = new MeshWorld(options)
   const settledMs = world.passUntil(() => world.nodes.every((node) => node.machine.members().length === world.nodes.length), SETTLE_MS)
-  expect(settledMs, 'all nodes know each other').to.be.lessThan(Infinity)
+  expect(settledMs, 'every node has all others as members').to.be.lessThan(Infinity)
   world.pass(5_000)
   return world
 }
@@ -21,7 +21,7 @@
 }
 
 describe('MeshMachine: membership', () => {
-  it('joins a fleet of several regions and links no node to all others', () => {
+  it('forms a fleet of several regions in which no node is linked to all others', () => {
     const world = createSettledWorld({ nodes: 84, failureDomains: 12, regions: 3 })
     world.pass(20_000)
     const degrees = world.nodes.map((node) => node.machine.linkCount)
@@ -29,7 +29,7 @@
     expect(world.nodes.every((node) => node.machine.members().every((member) => member.state === NodeState.Alive))).to.equal(true)
   })
 
-  it('calls a killed node dead everywhere', () => {
+  it('declares a killed node dead on every node', () => {
     const world = createSettledWorld({ nodes: 12 })
     world.kill(world.node(5))
     const tookMs = world.passUntil(() => others(world).every((node) => node.stateOf('n5') === NodeState.Dead), 15_000)
@@ -37,11 +37,11 @@
   })
 
   /*
-   * Symptom: a node that only paused is taken out of service for good, or its return confuses its peers.
-   * Sequence: the process stops for 4 s, is suspected, and goes on as if nothing had happened.
-   * Cause: silence can't be told from death. The suspect must be able to refute, with a word that outranks the claim.
+   * Guards against a node that only paused being taken out of service for good. Its process pauses for 4 s, is suspected,
+   * and continues. Peers can't distinguish a pause from a crash, so the suspect must be able to refute the suspicion
+   * with a higher revision.
    */
-  it('suspects a paused node, which refutes when it wakes', () => {
+  it('suspects a paused node, which refutes the suspicion when it resumes', () => {
     const world = createSettledWorld({ nodes: 12 })
     const target = world.node(4)
     world.pause(target)
@@ -51,7 +51,7 @@
     expect(target.machine.self.incarnation).to.equal(1)
   })
 
-  it('takes back a node that woke after it had been called dead', () => {
+  it('accepts a node again that resumed after it had been declared dead', () => {
     const world = createSettledWorld({ nodes: 12 })
     const target = world.node(4)
     world.pause(target)
@@ -63,11 +63,10 @@
   })
 
   /*
-   * Symptom: a healthy node flaps between alive and suspect.
-   * Sequence: the path between two nodes breaks while both reach all others.
-   * Cause: one silent link judged alone. Others that still hear the node must be asked before it is suspected.
+   * Guards against a healthy node flapping between alive and suspect. It happens when the path between two nodes breaks
+   * while both reach all others, if one silent link is enough for a suspicion: other nodes must be probed first.
    */
-  it('does not suspect a node over one broken path', () => {
+  it('does not suspect a node because of one broken path', () => {
     const world = createSettledWorld({ nodes: 12 })
     const [left, right] = [world.node(0), world.node(3)]
     world.canReach = (from, to) => !((from === left && to === right) || (from === right && to === left))
@@ -77,7 +76,7 @@
     expect(states).to.deep.equal(new Set([NodeState.Alive]))
   })
 
-  it('knows a restart by its higher incarnation, whatever was said of the old one', () => {
+  it('recognizes a restarted node by its higher incarnation, whatever state its former incarnation had', () => {
     const world = createSettledWorld({ nodes: 9 })
     world.kill(world.node(2))
     world.pass(10_000)
@@ -86,7 +85,7 @@
     expect(world.passUntil(() => world.nodes.every(back), SETTLE_MS)).to.be.lessThan(Infinity)
   })
 
-  it('keeps a draining node draining through a suspicion', () => {
+  it('keeps the draining state of a node that is suspected', () => {
     const world = createSettledWorld({ nodes: 9 })
     const target = world.node(3)
     world.drain(target)
@@ -99,14 +98,14 @@
     expect(seenBy(others(world, target), target)).to.deep.equal(new Set([NodeState.Draining]))
   })
 
-  it('forgets the dead after a bound', () => {
+  it('removes dead nodes after the tombstone time', () => {
     const world = createSettledWorld({ nodes: 6, timing: { tombstoneMs: 20_000 } })
     world.kill(world.node(5))
     world.pass(60_000)
     expect(others(world).map((node) => node.machine.members().length)).to.deep.equal([5, 5, 5, 5, 5])
   })
 
-  it('joins two halves again that had called each other dead', () => {
+  it('rejoins two halves of a fleet that had declared each other dead', () => {
     const world = createSettledWorld({ nodes: 12, failureDomains: 4, regions: 2 })
     world.canReach = (from, to) => from.region === to.region
     world.pass(120_000)
@@ -117,11 +116,11 @@
   })
 
   /*
-   * Symptom: when a whole fleet restarts, its nodes dial each other so often that none comes up.
-   * Sequence: every process ends and starts again at once.
-   * Cause: dials without growing, jittered waits, and both ends of each pair dialing at the same moment.
+   * Guards against a dial storm: when every process of a fleet restarts at once, the nodes dial each other so often that
+   * none becomes ready. It happens without exponential backoff and jitter, and if both ends of each pair dial at the same
+   * time.
    */
-  it('starts no storm of dials when every node restarts', () => {
+  it('starts no dial storm when every node restarts', () => {
     const world = createSettledWorld({ nodes: 60, failureDomains: 6, regions: 2 })
     for (const node of world.nodes) node.dials = 0
     for (const node of world.nodes) world.restart(node)
@@ -135,7 +134,7 @@
 })
 
 describe('MeshMachine: documents', () => {
-  it('spreads a change to every node within a few hops, its body once', () => {
+  it('disseminates a change to every node within a few hops and sends its body to each node once', () => {
     const world = createSettledWorld({ nodes: 84, failureDomains: 12, regions: 3 })
     world.frames.clear()
     world.offer(world.node(7), createWorldDocument('teams/tradeline', 5))
@@ -143,7 +142,7 @@
     expect(world.frames.get(FrameKind.Documents)).to.equal(world.nodes.length - 1)
   })
 
-  it('gives a node that starts while the store is out the highest versions that its peers hold', () => {
+  it('gives a node that starts during a store outage the highest versions that its peers hold', () => {
     const world = createSettledWorld({ nodes: 6 })
     world.offer(world.node(0), createWorldDocument('teams/tradeline', 3))
     world.offer(world.node(1), createWorldDocument('teams/tradeline', 9))
@@ -154,11 +153,11 @@
   })
 
   /*
-   * Symptom: settings fall back to an older version after a partition.
-   * Sequence: a node is cut off with version 4; the others go to 6; the cut ends, and its late frames arrive.
-   * Cause: what arrives last is not what is newest. Only the version decides.
+   * Guards against settings falling back to an older version after a partition. A node is isolated with version 4 while
+   * the others go to version 6; the partition ends, and the delayed frames of the isolated node arrive last. The version
+   * must decide which document is newer, not the order of arrival.
    */
-  it('keeps the newest version when a cut off node returns with an older one', () => {
+  it('keeps the newest version when an isolated node returns with an older one', () => {
     const world = createSettledWorld({ nodes: 9 })
     const cut = world.node(3)
     world.canReach = (from, to) => from !== cut && to !== cut
@@ -169,7 +168,7 @@
     expect(world.passUntil(() => world.nodes.every((node) => node.versionOf('teams/tradeline') === 6), 60_000)).to.be.lessThan(Infinity)
   })
 
-  it('says through every hop how old the last contact with the store is', () => {
+  it('reports the age of the last contact with the store over several hops', () => {
     const world = createSettledWorld({ nodes: 24, failureDomains: 6, regions: 3 })
     world.noteStoreContact(world.node(0))
     const contactMs = world.clock.nowMs()
--- a/packages/dotterelspur/src/__tests__/unit/MeshProperties.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/MeshProperties.test.ts
@@ -31,7 +31,7 @@
   thenMs: fc.integer({ min: 0, max: 4_000 })
 }), { minLength: 5, maxLength: 25 })
 
-/** What each kind of step does to a node of the world. */
+/** Applies each kind of step to a simulated node. */
 const ACTIONS: Readonly<Record<StepKind, (world: MeshWorld, node: WorldNode, step: Step, cut: Set<WorldNode>) => void>> = {
   [StepKind.Offer]: (world, node, step) => { if (!node.paused) world.offer(node, createWorldDocument(KEYS[step.key]!, step.version)) },
   [StepKind.Cut]: (_world, node, _step, cut) => { cut.add(node) },
@@ -53,7 +53,7 @@
 }
 
 describe('Mesh under random faults', () => {
-  it('never lowers a version, and all nodes come to hold the same', function () {
+  it('never lowers a version, and all nodes converge to the same versions', function () {
     this.timeout(60_000)
     fc.assert(fc.property(steps, fc.nat(1_000), (sequence, seed) => {
       const cut = new Set<WorldNode>()
@@ -80,11 +80,11 @@
   })
 
   /*
-   * Symptom: a group is dispatched to on evidence that looks fresh but is from before its VM died.
-   * Sequence: a watcher's word reaches a relay, the relay's process stops for seconds, wakes, and passes the word on.
-   * Cause: an age counted from when a message arrived leaves out how long it waited on the way.
+   * Guards against requests being dispatched to a group on evidence that looks fresh but is from before its VM died.
+   * It happens when evidence reaches a relay whose process pauses for seconds and then forwards it, if the age is counted
+   * from the arrival of the message and leaves out the time that it spent on the way.
    */
-  it('never shows evidence fresher than it is, whatever pauses and delays occur on the way', function () {
+  it('never reports evidence as younger than it is, whatever pauses and delays occur on the way', function () {
     this.timeout(60_000)
     let checks = 0
     fc.assert(fc.property(steps, fc.nat(1_000), (sequence, seed) => {
@@ -113,6 +113,6 @@
       endFaults(world, cut)
       world.pass(5_000)
     }), RUNS)
-    expect(checks, 'lines looked at').to.be.greaterThan(10_000)
+    expect(checks, 'number of evidence records checked').to.be.greaterThan(10_000)
   })
 })
--- a/packages/dotterelspur/src/connection/EngineApi.ts
+++ b/packages/dotterelspur/src/connection/EngineApi.ts
@@ -2,7 +2,7 @@
 import type { LoadReport, VmStatus } from '../process/Presence.js'
 import type { Result } from '../process/Result.js'
 
-/** A member of a group as orders name it. Rank 0 leads: it takes the group's requests. */
+/** A member of a group as identified in orders. Rank 0 is the head: it receives the group's requests. */
 export interface GroupMember {
   readonly vm: VmId
   readonly incarnation: number
@@ -10,17 +10,17 @@
 }
 
 export enum OrderKind {
-  /** Become a member of a group at a formation: load what is missing, then be ready. */
+  /** Become a member of a group at a formation: load the missing weights, then become ready. */
   Form = 'form',
-  /** Load a model beside what runs, without serving it: a planned replacement loads first. */
+  /** Load a model in addition to the running one, without serving it, so that a planned replacement starts with its weights loaded. */
   Preload = 'preload',
-  /** Finish what runs, take nothing new. */
+  /** Finish running requests and accept no new ones. */
   Drain = 'drain',
-  /** Leave the group and be idle; what is loaded may stay loaded. */
+  /** Leave the group and become idle; loaded weights may stay in memory. */
   Release = 'release'
 }
 
-/** An order to one VM's engine. It is idempotent: the same order again changes nothing. */
+/** An order to one VM's engine. Orders are idempotent. */
 export type EngineOrder =
   | {
     readonly kind: OrderKind.Form
@@ -37,20 +37,20 @@
   | { readonly kind: OrderKind.Drain, readonly group: GroupId, readonly formation: number }
   | { readonly kind: OrderKind.Release, readonly group: GroupId, readonly formation: number }
 
-/** Requests are served in this order by engines and queues. */
+/** Priority of a request. Engines and queues serve requests in the order of these values. */
 export enum PriorityClass {
   Interactive = 'interactive',
   Standard = 'standard',
   Bulk = 'bulk'
 }
 
-/** A model request as it is sent to the leader of a group. */
+/** A model request as sent to the head of a group. */
 export interface GenerateRequest {
   readonly requestId: RequestId
-  /** Rises with each attempt at the same request id. */
+  /** Increases with each attempt at the same request id. */
   readonly attempt: number
   readonly group: GroupId
-  /** The engine refuses, without running anything, unless it is at this formation. */
+  /** An engine at another formation refuses the request without running anything. */
   readonly formation: number
   readonly model: ModelId
   readonly version: ModelVersion
@@ -58,18 +58,18 @@
   readonly prompt: string
   readonly maxTokens: number
   readonly priority: PriorityClass
-  /** Sampling seed: engines are deterministic for the same model, version, prompt and seed. */
+  /** Sampling seed: the output of engines is deterministic for the same model, version, prompt and seed. */
   readonly seed: number
-  /** Tokens that the caller already has: generation restarts after them. */
+  /** Number of tokens that the caller already has: generation continues after them. */
   readonly resumeOffset: number
-  /** What was generated before `resumeOffset`. */
+  /** The text generated before `resumeOffset`. */
   readonly resumeText: string
   readonly idempotencyKey: string | null
 }
 
 export enum ChunkKind {
   Tokens = 'tokens',
-  /** The explicit end mark. A stream without one is not whole. */
+  /** Explicitly marks the end. A stream without it is incomplete. */
   End = 'end'
 }
 
@@ -88,11 +88,11 @@
   Running = 'running',
   Whole = 'whole',
   Cancelled = 'cancelled',
-  /** The engine knows nothing of the request id: it did not run here since the engine's start. */
+  /** The engine has no record of the request id: the request has not run on it since the engine's start. */
   Absent = 'absent'
 }
 
-/** What an engine remembers of a request id. */
+/** The state of a request id as recorded by an engine. */
 export interface StreamStatus {
   readonly requestId: RequestId
   readonly state: StreamState
@@ -105,7 +105,7 @@
   Evicted = 'evicted'
 }
 
-/** An engine's cache changed. Events come late, and a jump in `sequence` means that some were lost. */
+/** A change of an engine's cache. Events arrive with a delay, and a gap in `sequence` means that some were lost. */
 export interface CacheEvent {
   readonly sequence: number
   readonly kind: CacheEventKind
@@ -118,21 +118,21 @@
 }
 
 export enum EndpointErrorKind {
-  /** No connection was made, or the endpoint refused before running: nothing ran and nothing will. */
+  /** No connection was established, or the endpoint refused the request before running it: it has not run and will not run. */
   NotRun = 'not-run',
-  /** The endpoint refused because it is elsewhere: other group, formation, model or version. Nothing ran. */
+  /** The endpoint refused because it is at another group, formation, model or version. Nothing ran. */
   WrongFormation = 'wrong-formation',
-  /** The endpoint refused an order whose fencing number is too low. */
+  /** The endpoint refused an order because its fencing number is too low. */
   Fenced = 'fenced',
-  /** The endpoint is full or leaving. Nothing ran. */
+  /** The endpoint refused because it is at capacity or leaving. Nothing ran. */
   Refused = 'refused',
-  /** The request may have been taken: the connection broke, or no answer came in time. */
+  /** The request may have been accepted: the connection broke, or there was no response in time. */
   Ambiguous = 'ambiguous',
-  /** The stream broke off, had a gap, or carried another request's chunks. */
+  /** The stream was interrupted, had a gap, or contained another request's chunks. */
   Broken = 'broken',
-  /** The endpoint ran it and answered that it failed. */
+  /** The endpoint ran the request and responded that it failed. */
   Failed = 'failed',
-  /** The answer does not follow the contract. */
+  /** The response violates the contract. */
   Malformed = 'malformed'
 }
 
@@ -156,30 +156,30 @@
   | { readonly kind: StreamEventKind.Chunk, readonly chunk: GenerateChunk }
   | { readonly kind: StreamEventKind.Error, readonly error: EndpointError }
 
-/** Model engines as the system uses them; one adapter implements it, docs/contracts/engine.md describes it. */
+/** Model engines as the system uses them; implemented by one adapter and specified in docs/contracts/engine.md. */
 export interface EngineApi {
-  /** Asks for a VM's presence. Cheap; made twice a second. */
+  /** Sends a presence probe to a VM. Cheap; sent twice a second. */
   probe (address: string, timeoutMs: number): Promise<Result<VmStatus, EndpointError>>
-  /** Sends an order with the fencing number of the lease under which it was decided. */
+  /** Sends an order with the fencing number of the lease under which the order was decided. */
   order (address: string, order: EngineOrder, fencing: number, timeoutMs: number): Promise<Result<VmStatus, EndpointError>>
   /**
-   * Runs a request; the events end with an End chunk or an Error. Aborting the signal closes the connection,
-   * and the engine cancels what runs. The consumer's pace reaches the engine's connection as backpressure.
+   * Runs a request; the events end with an End chunk or an Error. Aborting the signal closes the connection, and the
+   * engine cancels the request. A slow consumer causes backpressure on the engine's connection.
    */
   generate (address: string, request: GenerateRequest, signal: AbortSignal): AsyncIterable<StreamEvent>
-  /** Follows a stream that runs or has ended, from an offset. */
+  /** Reads a running or finished stream from an offset. */
   resume (address: string, requestId: RequestId, attempt: number, offset: number, signal: AbortSignal): AsyncIterable<StreamEvent>
   lookup (address: string, requestId: RequestId, timeoutMs: number): Promise<Result<StreamStatus, EndpointError>>
   cancel (address: string, requestId: RequestId, timeoutMs: number): Promise<Result<StreamStatus, EndpointError>>
   cacheEvents (address: string, afterSequence: number, timeoutMs: number): Promise<Result<CacheEventPage, EndpointError>>
 }
 
-/** A call to a plain service, passed through. */
+/** A call that is passed through to a plain service. */
 export interface ServiceRequest {
   readonly requestId: RequestId
   readonly attempt: number
   readonly method: string
-  /** Path and query below the service's own root. */
+  /** Path and query relative to the service's root. */
   readonly path: string
   readonly contentType: string | null
   readonly body: Uint8Array
@@ -199,9 +199,9 @@
   readonly load: LoadReport
 }
 
-/** Plain services as the system uses them; docs/contracts/service.md. */
+/** Plain services as the system uses them; specified in docs/contracts/service.md. */
 export interface ServiceApi {
   probe (address: string, timeoutMs: number): Promise<Result<ServiceStatus, EndpointError>>
-  /** The whole response, checked against its length; a short body is Broken, never a success. */
+  /** Returns the whole response, checked against its content length; a short body is a Broken error, never a success. */
   call (address: string, request: ServiceRequest, timeoutMs: number, signal: AbortSignal): Promise<Result<ServiceResponse, EndpointError>>
 }
--- a/packages/dotterelspur/src/connection/MeshApi.ts
+++ b/packages/dotterelspur/src/connection/MeshApi.ts
@@ -5,18 +5,21 @@
 
 export enum NodeState {
   Alive = 'alive',
-  /** Did not answer some peers; treated as alive until it is dead or refutes. */
+  /** Did not respond to some peers; treated as alive until it is declared dead or refutes the suspicion. */
   Suspect = 'suspect',
   Dead = 'dead',
-  /** Serves what it has, is in no directory answer, and will exit. */
+  /** Finishes its current requests, is excluded from directory responses, and will exit. */
   Draining = 'draining',
   Left = 'left'
 }
 
-/** What every node knows of a node. A higher incarnation replaces a lower one; within one, later states win as the mesh's rules say. */
+/**
+ * A node as listed in every node's membership. A higher incarnation replaces a lower one; within one incarnation the
+ * mesh's rules determine which state is newer.
+ */
 export interface NodeMember {
   readonly node: NodeId
-  /** Set once by the process at start; a restart has a higher one. */
+  /** Set by the process at its start; a restarted process has a higher one. */
   readonly incarnation: number
   readonly region: RegionId
   readonly failureDomain: FailureDomainId
@@ -29,14 +32,14 @@
   readonly state: NodeState
 }
 
-/** The home that a member's request ids carry. */
+/** The home in the request ids that a member issues. */
 export function homeOf (member: Pick<NodeMember, 'node' | 'incarnation'>): HomeId {
   return `${member.node}.${member.incarnation}`
 }
 
 /**
- * A versioned value that all nodes come to hold: a copy of a platform object. The highest version wins, a
- * deletion is a version with `deleted` true, and versions never fall.
+ * A versioned value that is replicated to all nodes: a copy of a platform object. The highest version wins, a deletion
+ * is a version with `deleted` true, and versions never decrease.
  */
 export interface MeshDocument {
   /** The platform key, such as `teams/tradeline`. */
@@ -46,24 +49,24 @@
   readonly deleted: boolean
 }
 
-/** What one node says it has in force of a document. */
+/** The version of a document that one node reports to have in force. */
 export interface InForceReport {
   readonly node: NodeId
   readonly version: number
 }
 
 export enum MeshErrorKind {
-  /** No such node is known, or it is dead; nothing was sent. */
+  /** The node is not a member, or it is dead; nothing was sent. */
   UnknownNode = 'unknown-node',
-  /** The node has restarted under another incarnation; nothing was done. */
+  /** The node has restarted with another incarnation; nothing was executed. */
   WrongIncarnation = 'wrong-incarnation',
-  /** No connection could be made; nothing was sent. */
+  /** No connection could be established; nothing was sent. */
   Unreachable = 'unreachable',
-  /** It was sent, and the link broke or the time ran out before the reply. */
+  /** The call was sent, and the link broke or the call timed out before the reply. */
   Interrupted = 'interrupted',
-  /** The peer's queue is full; nothing was done. */
+  /** The peer's queue is full; nothing was executed. */
   Overloaded = 'overloaded',
-  /** The peer's handler refused or failed. */
+  /** The peer's handler refused the call or failed. */
   Rejected = 'rejected'
 }
 
@@ -75,7 +78,7 @@
 export enum CallEventKind {
   /** One message from the handler. */
   Message = 'message',
-  /** The handler finished; the explicit end mark of a call. */
+  /** The handler finished; explicitly marks the end of a call. */
   End = 'end',
   Error = 'error'
 }
@@ -85,12 +88,12 @@
   | { readonly kind: CallEventKind.End }
   | { readonly kind: CallEventKind.Error, readonly error: MeshError }
 
-/** Serves one kind of call: yields messages, ends or throws. `signal` aborts when the caller cancels or its link breaks. */
+/** Handles calls of one method: yields messages, then returns or throws. `signal` aborts if the caller cancels or its link breaks. */
 export type CallHandler = (request: unknown, from: NodeId, signal: AbortSignal) => AsyncIterable<unknown>
 
 /**
- * Node-to-node messaging as the other packages use it. Listeners run after a change is committed, with the
- * new snapshot already in place.
+ * Node-to-node messaging as the other packages use it. Listeners run after a change is committed, when the new snapshot
+ * is already available.
  */
 export interface MeshApi {
   readonly self: NodeMember
@@ -100,24 +103,24 @@
 
   document (key: string): MeshDocument | undefined
   documents (prefix: string): readonly MeshDocument[]
-  /** Takes a document in if its version is higher than the one held, and spreads it. Returns whether it was taken. */
+  /** Stores and disseminates a document if its version is higher than the stored one. Returns whether it was stored. */
   offerDocument (document: MeshDocument): boolean
   registerDocumentListener (prefix: string, listener: (document: MeshDocument) => void): Teardown
 
-  /** Replaces what this node, as watcher, says of the groups and services that it watches. A change for the worse is pushed at once. */
+  /** Replaces this node's own observations of the groups and services that it watches. A degradation is sent to peers at once. */
   publishPresence (groups: readonly GroupPresence[], services: readonly ServicePresence[]): void
-  /** The freshest evidence held of each group, with `ageMs` as of now on this node's clock, counted from when this node asked. */
+  /** The newest evidence of each group, with `ageMs` as of now on this node's clock, counted from when this node asked. */
   groupPresence (): readonly GroupPresence[]
   servicePresence (): readonly ServicePresence[]
 
-  /** Milliseconds since this node last heard the store, itself or through a peer (as the peer aged it). */
+  /** Milliseconds since the last contact with the store, of this node itself or of a peer (from the age that the peer reported). */
   storeContactAgeMs (): number
-  /** Tells the mesh that this node itself has just heard the store. */
+  /** Records that this node itself has just had contact with the store. */
   noteStoreContact (): void
-  /** Milliseconds since any peer answered; Infinity when there never was one, 0 when this node is alone by its settings. */
+  /** Milliseconds since the last frame from any peer; Infinity if there was none, 0 if the node has neither peers nor addresses of other nodes. */
   peerContactAgeMs (): number
 
-  /** Asks every living node which version of a document it has in force; those that don't answer in time are absent. */
+  /** Asks every living node which version of a document it has in force; nodes that don't respond in time are absent from the result. */
   inForce (key: string, timeoutMs: number): Promise<readonly InForceReport[]>
 
   /** Calls a handler on the process `home`; the events end with End or Error. */
@@ -129,5 +132,5 @@
   leave (): Promise<void>
 }
 
-/** What a call's single message or its error comes to, for calls that have exactly one. */
+/** The single message or the error of a call, for calls that yield exactly one message. */
 export type SingleReply = Result<unknown, MeshError>
--- a/packages/dotterelspur/src/connection/mesh/AntiEntropy.ts
+++ b/packages/dotterelspur/src/connection/mesh/AntiEntropy.ts
@@ -7,8 +7,9 @@
 import type { MeshTiming } from './MeshTiming.js'
 
 /**
- * Anti-entropy: a link on which digests keep differing starts a comparison. Pushed changes reach most nodes
- * within the grace, so comparisons are rare; one runs at a time, so that a returning region starts no storm.
+ * Anti-entropy: starts a comparison on a link whose digests keep differing. Pushed changes reach most nodes within the
+ * grace period, so comparisons are rare. Each node starts at most one of a kind per `syncIntervalMs`, so that a region
+ * that becomes reachable again does not cause a burst of comparisons.
  */
 export class AntiEntropy {
   private nextMembersMs = 0
@@ -22,7 +23,7 @@
     private readonly documentDissemination: DocumentDissemination
   ) {}
 
-  /** Notes whether the digests in a peer's beat equal this node's. */
+  /** Records whether the digests in a peer's heartbeat equal this node's. */
   note (link: GossipLink, membersDigest: number, documentsDigest: number, nowMs: number): void {
     link.membersDifferSinceMs = differsSince(link.membersDifferSinceMs, membersDigest === this.membership.digest, nowMs)
     link.documentsDifferSinceMs = differsSince(link.documentsDifferSinceMs, documentsDigest === this.documents.digest, nowMs)
--- a/packages/dotterelspur/src/connection/mesh/DialScheduler.ts
+++ b/packages/dotterelspur/src/connection/mesh/DialScheduler.ts
@@ -6,19 +6,19 @@
 interface DialState {
   readonly attempts: number
   readonly nextAtMs: number
-  /** Set while a dial is under way. */
+  /** Set while a dial is in progress. */
   readonly dialingSinceMs: number | undefined
 }
 
-/** A peer to dial; `node` is null for a seed whose name is not known yet. */
+/** A peer to dial; `node` is null for an address whose node id is unknown, such as a seed. */
 export interface DialTarget {
   readonly address: string
   readonly node: NodeId | null
 }
 
 /**
- * Decides when to dial whom. Waits double after each failure and are drawn with jitter: when a whole fleet
- * restarts, or a region comes back, the dials spread out instead of arriving together.
+ * Decides which peers to dial and when. Exponential backoff with jitter spreads the dials over time when a whole fleet
+ * restarts or a region becomes reachable again.
  */
 export class DialScheduler {
   private states: ReadonlyMap<string, DialState> = new Map()
@@ -26,7 +26,10 @@
 
   constructor (private readonly outbox: Outbox, private readonly random: Random, private readonly timing: MeshTiming) {}
 
-  /** Dials the wanted peers that are due. The peer with the lower id dials first, the other one only if no link comes. */
+  /**
+   * Dials the planned peers that are due. Of each pair the node with the lower id dials first; the other one dials only
+   * if no link is established in the meantime.
+   */
   dialWanted (self: NodeId, targets: readonly DialTarget[], nowMs: number): void {
     for (const target of targets) {
       const state = this.states.get(target.address)
@@ -38,7 +41,7 @@
     }
   }
 
-  /** Tries one of `candidates` now and then: dead nodes may live behind a partition that has ended. */
+  /** Dials a random candidate at intervals: nodes declared dead may be running behind a network partition that has ended. */
   rejoin (candidates: readonly DialTarget[], alone: boolean, nowMs: number): void {
     if (nowMs < this.nextRejoinAtMs) return
     const intervalMs = alone ? this.timing.dialBackoffMinMs : this.timing.rejoinIntervalMs
@@ -50,8 +53,8 @@
   }
 
   /**
-   * A dial became a link. The wait before the next dial still grows: a peer that accepts and closes at once
-   * would otherwise be dialed without pause. A link that outlasts the wait clears it.
+   * Records that a dial established a link. The backoff still grows: a peer that accepts and closes at once would
+   * otherwise be dialed continuously. A link that outlasts the backoff resets it.
    */
   connected (address: string, nowMs: number): void {
     this.fail(address, nowMs)
@@ -62,7 +65,7 @@
     this.set(address, { attempts, nextAtMs: nowMs + this.backoffMs(attempts), dialingSinceMs: undefined })
   }
 
-  /** Forgets targets that nobody asks for any more and whose wait is over, so that the table stays as small as the plan. */
+  /** Removes targets that are not in `addresses` and whose backoff is over, which bounds the table by the size of the plan. */
   retain (addresses: ReadonlySet<string>, nowMs: number): void {
     const kept = [...this.states].filter(([address, state]) => addresses.has(address) || state.dialingSinceMs !== undefined || state.nextAtMs > nowMs)
     if (kept.length !== this.states.size) this.states = new Map(kept)
--- a/packages/dotterelspur/src/connection/mesh/DocumentDissemination.ts
+++ b/packages/dotterelspur/src/connection/mesh/DocumentDissemination.ts
@@ -8,20 +8,20 @@
   readonly version: number
   readonly requestedFrom: LinkId
   readonly requestedAtMs: number
-  /** Links whose peers also hold it, to ask next. */
+  /** Other links whose peers hold the document; used for retries. */
   readonly others: ReadonlySet<LinkId>
 }
 
 /**
- * Spreads documents: a change is announced by key and version on every link at once, and its body is fetched
- * once, from the first peer that announced it. What an announcement misses, the comparison of digests finds.
+ * Disseminates documents: a change is announced by key and version on every link immediately, and a node fetches the
+ * body once, from the first peer that announced it. Missed announcements are found by comparing digests.
  */
 export class DocumentDissemination {
   private readonly wanted = new Map<string, PendingFetch>()
 
   constructor (private readonly table: DocumentTable, private readonly outbox: Outbox, private readonly timing: MeshTiming, private readonly limits: MeshLimits) {}
 
-  /** Takes documents in and announces the new ones on all links but the one they came from. */
+  /** Merges documents into the table and announces those that were newer on all links except `from`. */
   take (documents: readonly MeshDocument[], links: Iterable<LinkId>, from: LinkId | undefined): MeshDocument[] {
     const taken = this.table.merge(documents)
     for (const document of documents) {
@@ -40,7 +40,7 @@
     for (const page of pages(versions, this.limits.entriesPerFrame)) this.outbox.send(link, { kind: FrameKind.Announce, versions: page })
   }
 
-  /** A peer holds these: asks for what is newer, unless another peer was asked a moment ago. */
+  /** Requests from a peer those of its versions that are newer, unless another peer was already asked for them. */
   fetchNewer (link: LinkId, versions: readonly DocumentVersion[], nowMs: number): void {
     const keys: string[] = []
     for (const { key, version } of versions) {
@@ -57,7 +57,7 @@
     this.request(link, keys)
   }
 
-  /** Asks again, of another peer, what did not come in time. */
+  /** Requests documents whose fetch timed out from another peer. */
   retry (links: ReadonlySet<LinkId>, nowMs: number): void {
     const keysByLink = new Map<LinkId, string[]>()
     for (const [key, wanted] of this.wanted) {
@@ -76,7 +76,7 @@
     for (const [link, keys] of keysByLink) this.request(link, keys)
   }
 
-  /** Answers a peer that wants documents, one frame each, since a body may be large. */
+  /** Sends the requested documents to a peer, one frame each, since a body may be large. */
   answer (link: LinkId, keys: readonly string[]): void {
     for (const key of keys) {
       const document = this.table.get(key)
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Asks a peer whose digest differs for its versions in the buckets that differ. */
+  /** Asks a peer whose digest differs for its versions in the differing buckets. */
   compare (link: LinkId): void {
     this.outbox.send(link, { kind: FrameKind.DocumentsSync, buckets: this.table.buckets })
   }
@@ -99,7 +99,7 @@
   }
 }
 
-/** Cuts a list into pages of at most `size`. */
+/** Splits a list into pages of at most `size` items. */
 export function pages<Item> (items: readonly Item[], size: number): Item[][] {
   const result: Item[][] = []
   for (let start = 0; start < items.length; start += size) result.push(items.slice(start, start + size))
--- a/packages/dotterelspur/src/connection/mesh/DocumentTable.ts
+++ b/packages/dotterelspur/src/connection/mesh/DocumentTable.ts
@@ -7,7 +7,7 @@
   readonly version: number
 }
 
-/** Documents are compared in this many parts, so that a small difference costs few bytes. */
+/** Digests are compared in this many buckets, so that a small difference costs few bytes. */
 export const DIGEST_BUCKETS = 32
 
 interface Snapshot {
@@ -17,11 +17,11 @@
 }
 
 /**
- * Documents by key. Versions only rise: what is not newer than what is held changes nothing.
+ * Documents by key. Versions only increase: a document that is not newer than the stored one is ignored.
  *
- * Deletions are kept, or a peer that missed one would bring the document back; but only the newest
- * `deletionCapacity`. Without that bound the deletions of months, passed on from node to node, would fill the
- * table, and new documents would find no room. All nodes drop the lowest versions, so their digests stay equal.
+ * Deletions are kept, because a peer that missed one would restore the document; but only the newest
+ * `deletionCapacity`. Without that bound the deletions of months, copied from node to node, would fill the table, and
+ * new documents would be rejected. All nodes drop the lowest versions, so their digests stay equal.
  */
 export class DocumentTable {
   private snapshot: Snapshot = { documents: new Map(), buckets: new Array<number>(DIGEST_BUCKETS).fill(0), digest: 0 }
@@ -52,7 +52,7 @@
     return this.snapshot.documents.get(key)?.version ?? 0
   }
 
-  /** Takes in what is newer, all in one commit; returns it. */
+  /** Stores the documents that are newer, all in one commit; returns them. */
   merge (offered: readonly MeshDocument[]): MeshDocument[] {
     const pending = new Map(this.snapshot.documents)
     const buckets = [...this.snapshot.buckets]
@@ -72,7 +72,7 @@
     return taken
   }
 
-  /** Versions of all documents whose bucket hash differs from the peer's. */
+  /** Returns the versions of all documents in buckets whose hash differs from the peer's. */
   versionsInDifferingBuckets (peerBuckets: readonly number[]): DocumentVersion[] {
     return [...this.snapshot.documents.values()]
       .filter((document) => {
--- a/packages/dotterelspur/src/connection/mesh/EvidenceExchange.ts
+++ b/packages/dotterelspur/src/connection/mesh/EvidenceExchange.ts
@@ -9,7 +9,7 @@
 import { LinkScope, type OverlayPlan } from './OverlayPlan.js'
 import { type EvidenceRecord, EvidenceSource, type EvidenceUpdate, PresenceTable } from './PresenceTable.js'
 
-/** Sends beats with evidence and takes in those that arrive; keeps the table of evidence and the last contact with the store. */
+/** Sends and receives heartbeats with evidence; keeps the evidence table and the time of the last contact with the store. */
 export class EvidenceExchange {
   readonly table: PresenceTable
   private storeContactAtMs = -Infinity
@@ -26,7 +26,7 @@
     this.storeContactAtMs = Math.max(this.storeContactAtMs, atMs)
   }
 
-  /** Replaces what this node itself watches. */
+  /** Replaces this node's own observations. */
   publish (watcher: NodeId, groups: readonly GroupPresence[], services: readonly ServicePresence[], plan: OverlayPlan, digests: Digests, nowMs: number): void {
     const own = (body: EvidenceUpdate['body']): EvidenceUpdate => ({ watcher, body, originMs: nowMs - body.presence.ageMs, source: EvidenceSource.Own })
     const updates = [
@@ -44,32 +44,32 @@
 
   sendHeartbeat (link: GossipLink, plan: OverlayPlan, digests: Digests, nowMs: number): void {
     const relays = this.activeRelays(plan, nowMs)
-    const lines = link.scope === LinkScope.OtherRegion ? [] : [...this.table.all()].filter((line) => isSentOn(line, link, relays))
+    const records = link.scope === LinkScope.OtherRegion ? [] : [...this.table.all()].filter((record) => isSentOn(record, link, relays))
     const content: HeartbeatContent = { ...digests, storeContactMs: this.storeContactAtMs }
-    this.outbox.send(link.id, composeHeartbeat(link, lines, content, nowMs))
+    this.outbox.send(link.id, composeHeartbeat(link, records, content, nowMs))
     link.nextHeartbeatAtMs = nowMs + this.timing.heartbeatIntervalMs
   }
 
-  /** A turn for the worse does not wait for the next beat. */
-  private pushDegraded (worse: readonly EvidenceRecord[], plan: OverlayPlan, digests: Digests, nowMs: number): void {
-    if (worse.length === 0) return
+  /** Sends degraded records at once instead of with the next regular heartbeat. */
+  private pushDegraded (degraded: readonly EvidenceRecord[], plan: OverlayPlan, digests: Digests, nowMs: number): void {
+    if (degraded.length === 0) return
     const relays = this.activeRelays(plan, nowMs)
     for (const link of this.links.all()) {
-      const concerned = link.scope !== LinkScope.OtherRegion && worse.some((line) => isSentOn(line, link, relays))
-      if (concerned) this.sendHeartbeat(link, plan, digests, nowMs)
+      const isAffected = link.scope !== LinkScope.OtherRegion && degraded.some((record) => isSentOn(record, link, relays))
+      if (isAffected) this.sendHeartbeat(link, plan, digests, nowMs)
     }
   }
 
-  /** The relay of each other cell; where its link is down or silent, its standby, or any other node of that cell with a link. */
+  /** The relay of each other cell; if its link is down or silent, its standby, or else any node of that cell with a working link. */
   private activeRelays (plan: OverlayPlan, nowMs: number): Set<NodeId> {
-    const hears = (node: NodeId): boolean => {
+    const isHeard = (node: NodeId): boolean => {
       const link = this.links.byPeer.get(node)
       return link !== undefined && nowMs - link.heardAtMs < this.timing.relaySilenceMs
     }
-    const active = plan.relays.map(({ cell, relays }) => relays.find(hears) ?? cell.find(hears))
+    const active = plan.relays.map(({ cell, relays }) => relays.find(isHeard) ?? cell.find(isHeard))
     return new Set(active.filter((node) => node !== undefined))
   }
 }
 
-/** The digests that every beat carries. */
+/** The digests in every heartbeat. */
 export type Digests = Pick<HeartbeatContent, 'membersDigest' | 'documentsDigest'>
--- a/packages/dotterelspur/src/connection/mesh/FailureDetector.ts
+++ b/packages/dotterelspur/src/connection/mesh/FailureDetector.ts
@@ -13,17 +13,17 @@
 interface WatchedNeighbor {
   readonly incarnation: number
   readonly revision: number
-  /** When the neighbour was last known to live, by its frames or by another node's word. */
+  /** When the neighbour was last confirmed alive, by its own frames or by another node's probe reply. */
   readonly aliveAtMs: number
   readonly linkedBefore: boolean
   readonly probingSinceMs: number | undefined
-  /** Doubles with each refutation that came without a working link: then the path is broken, not the neighbour. */
+  /** Doubles with each refutation that arrives without a working link: then the path is broken, not the neighbour. */
   readonly timeoutFactor: number
 }
 
 /**
- * Watches the wanted neighbours. One that falls silent is asked about through others first: a broken link
- * between two nodes must not make either of them suspect. Only when nobody hears it does it become suspect.
+ * Detects failures of the planned neighbours. A silent neighbour is first probed indirectly through other nodes: a broken
+ * link between two nodes must not make either of them suspect. It becomes suspect only if no other node hears it.
  */
 export class FailureDetector {
   private watched = new Map<NodeId, WatchedNeighbor>()
@@ -33,7 +33,7 @@
     this.heardAnyAtMs = nowMs
   }
 
-  /** Returns the neighbours that become suspect now. */
+  /** Returns the neighbours that become suspect in this tick. */
   tick (neighbors: readonly MemberRecord[], links: ReadonlyMap<NodeId, GossipLink>, nowMs: number): MemberRecord[] {
     for (const link of links.values()) this.heardAnyAtMs = Math.max(this.heardAnyAtMs, link.heardAtMs)
     const pending = new Map<NodeId, WatchedNeighbor>()
@@ -48,13 +48,13 @@
     return suspects
   }
 
-  /** After a pause of this process nothing is known of the time in between: every count starts anew. */
+  /** Restarts all timeouts after a pause of this process, since silence during the pause proves nothing. */
   restart (nowMs: number): void {
     this.heardAnyAtMs = nowMs
     for (const [node, watched] of this.watched) this.watched.set(node, { ...watched, aliveAtMs: nowMs, probingSinceMs: undefined })
   }
 
-  /** Another node heard the neighbour `heardAgeMs` before it answered. */
+  /** Handles a probe reply: another node received a frame from the neighbour `heardAgeMs` before it replied. */
   confirmAlive (node: NodeId, incarnation: number, heardAgeMs: number, nowMs: number): void {
     const watched = this.watched.get(node)
     if (watched === undefined || watched.incarnation !== incarnation || heardAgeMs >= this.timing.silenceMs) return
@@ -85,8 +85,9 @@
   }
 
   /**
-   * A node that hears nobody may itself be the one that is cut off, and would call its whole fleet dead, which
-   * every node would then have to refute when it returns. It holds its judgement for a bounded time.
+   * Whether this node itself is probably isolated, since it receives frames from no peer. It then suspects nobody for a
+   * bounded time: otherwise it would declare its whole fleet dead, and every node would have to refute that when the
+   * connection returns.
    */
   private isLikelyIsolated (nowMs: number): boolean {
     if (this.watched.size <= INDIRECT_PROBE_PEERS) return false
@@ -96,7 +97,7 @@
 
   private sendIndirectProbes (record: MemberRecord, links: ReadonlyMap<NodeId, GossipLink>, nowMs: number): void {
     const hearing = [...links.values()].filter((link) => link.peer !== record.node && nowMs - link.heardAtMs < this.timing.silenceMs)
-    // Nodes of the same failure domain link to each other, so they are the ones to know.
+    // Nodes of the same failure domain have links to each other, so they can most often reply.
     const isClose = (link: GossipLink): boolean => this.recordOf(link.peer)?.failureDomain === record.failureDomain
     const ranked = hearing
       .map((link) => ({ link, order: this.random.next() - (isClose(link) ? 1 : 0) }))
@@ -107,7 +108,7 @@
   }
 }
 
-/** Answers another node's question about a neighbour, if this node has a link to it. */
+/** Replies to another node's indirect probe of a neighbour, if this node has a link to that neighbour. */
 export function answerProbe (outbox: Outbox, asker: LinkId, target: MemberRecord | undefined, link: GossipLink | undefined, nowMs: number): void {
   if (target === undefined || link === undefined || !isLiving(target) || link.incarnation !== target.incarnation) return
   const heardAgeMs = Math.ceil(nowMs - link.heardAtMs)
--- a/packages/dotterelspur/src/connection/mesh/Frame.ts
+++ b/packages/dotterelspur/src/connection/mesh/Frame.ts
@@ -7,7 +7,7 @@
 /** Nodes of different protocol versions refuse each other in the handshake. */
 export const MESH_PROTOCOL_VERSION = 1
 
-/** Numbers on the wire; never reused for another meaning within a protocol version. */
+/** Numbers on the wire; never reused for another meaning within a protocol version. The names are used as metric labels. */
 export enum FrameKind {
   Beat = 1,
   Members = 2,
@@ -33,19 +33,19 @@
   Service = 1
 }
 
-/** What one watcher says of one group or service worker. */
+/** One watcher's observation of one group or service worker. */
 export type EvidenceBody =
   | { readonly kind: EvidenceKind.Group, readonly presence: GroupPresence }
   | { readonly kind: EvidenceKind.Service, readonly presence: ServicePresence }
 
-/** A line in full; `index` names it in later short lines on the same link. */
+/** A complete evidence record; later load updates on the same link refer to it by `index`. */
 export interface FullEvidence {
   readonly index: number
   readonly watcher: NodeId
   readonly body: EvidenceBody
 }
 
-/** What changes in every interval of a line that was sent in full before. */
+/** The fields that change in every interval, for an evidence record that was sent in full before. */
 export interface LoadUpdate {
   readonly index: number
   readonly ageMs: number
@@ -56,19 +56,20 @@
 }
 
 /**
- * The regular exchange on a link. It is at once a request and an answer: `sequence` can be echoed, and
- * `echoSequence` with `echoHeldMs` says how long ago, on the sender's clock, it received that beat of the
- * receiver's. So the receiver can place the ages in it after the time at which it asked itself.
+ * The periodic message on a link. It is both a request and a response: the peer echoes `sequence`, and `echoSequence`
+ * with `echoHeldMs` states how long ago, on the sender's clock, the sender received that heartbeat of the receiver. So
+ * the receiver knows that this heartbeat was composed at least `echoHeldMs` after it sent its own, and dates the ages
+ * in it from there.
  */
 export interface HeartbeatFrame {
   readonly kind: FrameKind.Beat
   readonly sequence: number
-  /** 0 when no beat of the receiver's has arrived yet. */
+  /** 0 while the sender has received no heartbeat from the receiver. */
   readonly echoSequence: number
   readonly echoHeldMs: number
   readonly membersDigest: number
   readonly documentsDigest: number
-  /** Age of the freshest contact with the store that the sender knows of; -1 for none. */
+  /** Age of the most recent contact with the store, by the sender or through its peers; -1 for none. */
   readonly storeAgeMs: number
   readonly full: readonly FullEvidence[]
   readonly short: readonly LoadUpdate[]
@@ -76,21 +77,21 @@
 
 export type GossipFrame =
   | HeartbeatFrame
-  /** Member records that changed, or that a sync found newer. */
+  /** Member records that changed, or that a comparison found to be newer. */
   | { readonly kind: FrameKind.Members, readonly records: readonly MemberRecord[] }
-  /** All that the sender has; asks for what is newer at the receiver. */
+  /** Versions of all the sender's member records; requests those that are newer at the receiver. */
   | { readonly kind: FrameKind.MembersSync, readonly versions: readonly MemberVersion[] }
-  /** The sender holds these. */
+  /** Versions of documents that the sender holds. */
   | { readonly kind: FrameKind.Announce, readonly versions: readonly DocumentVersion[] }
   | { readonly kind: FrameKind.Want, readonly keys: readonly string[] }
   | { readonly kind: FrameKind.Documents, readonly documents: readonly MeshDocument[] }
-  /** Hashes of the sender's buckets; asks for the versions in those that differ. */
+  /** Hashes of the sender's buckets; requests the versions in the buckets that differ. */
   | { readonly kind: FrameKind.DocumentsSync, readonly buckets: readonly number[] }
   | { readonly kind: FrameKind.DocumentVersions, readonly versions: readonly DocumentVersion[] }
-  /** Asks whether the receiver hears `target`. */
+  /** Indirect probe: asks whether the receiver has a working link to `target`. */
   | { readonly kind: FrameKind.ProbeAsk, readonly target: NodeId, readonly incarnation: number }
   | { readonly kind: FrameKind.ProbeReply, readonly target: NodeId, readonly incarnation: number, readonly heardAgeMs: number }
-  /** The sender leaves for good; the link closes. */
+  /** The sender leaves the mesh; the link closes. */
   | { readonly kind: FrameKind.Leaving }
 
 export type CallFrame =
--- a/packages/dotterelspur/src/connection/mesh/GossipLink.ts
+++ b/packages/dotterelspur/src/connection/mesh/GossipLink.ts
@@ -3,25 +3,25 @@
 import type { EvidenceBody } from './Frame.js'
 import { LinkScope } from './OverlayPlan.js'
 
-/** Beats that may be echoed; an echo of an older one dates nothing. */
+/** Number of the last heartbeats sent whose times are kept; an echo of an older one gives no time reference. */
 const ECHOABLE_HEARTBEATS = 32
-/** Lines numbered on one link before the numbering starts anew. */
+/** Bound of the indexes of evidence records on one link. Records beyond it are not sent until a new link starts at 0. */
 export const EVIDENCE_INDEX_LIMIT = 65_536
 
-/** What was last sent of a line on one link. */
+/** The evidence record last sent on one link for one subject and watcher. */
 export interface SentEvidence {
   readonly index: number
   readonly body: EvidenceBody
   readonly originMs: number
 }
 
-/** What a number stands for in lines that come in on one link. */
+/** The evidence record to which an index refers in heartbeats received on one link. */
 export interface ReceivedEvidence {
   readonly watcher: NodeId
   readonly body: EvidenceBody
 }
 
-/** State of one established gossip link. It ends with the connection. */
+/** State of one established gossip link, for the lifetime of its connection. */
 export class GossipLink {
   scope: LinkScope = LinkScope.OtherRegion
   wanted = false
@@ -49,7 +49,7 @@
     this.nextHeartbeatAtMs = upSinceMs
   }
 
-  /** Numbers a beat that is sent now. */
+  /** Returns the sequence number of a heartbeat that is sent now, and records the time. */
   nextSequence (nowMs: number): number {
     this.sequence += 1
     this.sentAtMs.set(this.sequence, nowMs)
@@ -62,15 +62,15 @@
     this.receivedAtMs = nowMs
   }
 
-  /** What to echo: the last beat received and how long it has been held, rounded down so that ages come out older. */
+  /** Returns the last received sequence number and the time since then, rounded down so that ages are overestimated. */
   echo (nowMs: number): { readonly sequence: number, readonly heldMs: number } {
     return { sequence: this.receivedSequence, heldMs: Math.floor(nowMs - this.receivedAtMs) }
   }
 
   /**
-   * The earliest time, on this node's clock, at which the peer can have composed a beat with this echo. The
-   * peer received our beat after we sent it, and held it for `heldMs`; whatever delays came before or after
-   * only make the real time later. Undefined when the echoed beat isn't known: then nothing can be dated.
+   * The earliest time, on this node's clock, at which the peer can have composed a heartbeat with this echo. The peer
+   * received this node's heartbeat after it was sent, and held it for `heldMs`; network and scheduling delays only make
+   * the real time later. Undefined if the time of the echoed heartbeat is not stored: then no age can be converted.
    */
   composedAfterMs (echoSequence: number, heldMs: number): number | undefined {
     const sentAtMs = this.sentAtMs.get(echoSequence)
--- a/packages/dotterelspur/src/connection/mesh/Heartbeat.ts
+++ b/packages/dotterelspur/src/connection/mesh/Heartbeat.ts
@@ -6,32 +6,33 @@
 
 const PERCENT = 100
 
-/** What goes into a beat besides the link's own numbers. */
+/** The content of a heartbeat apart from the sequence numbers of its link. */
 export interface HeartbeatContent {
   readonly membersDigest: number
   readonly documentsDigest: number
-  /** When the store was last heard, on this node's clock; -Infinity for never. */
+  /** Time of the last contact with the store, on this node's clock; -Infinity if there was none. */
   readonly storeContactMs: number
 }
 
-/** Composes the beat for a link, with those of `lines` that are fresher than what was sent on it before. */
-export function composeHeartbeat (link: GossipLink, lines: readonly EvidenceRecord[], content: HeartbeatContent, nowMs: number): HeartbeatFrame {
+/** Composes the heartbeat for a link, with those of `records` that are newer than what was sent on the link before. */
+export function composeHeartbeat (link: GossipLink, records: readonly EvidenceRecord[], content: HeartbeatContent, nowMs: number): HeartbeatFrame {
   const full: FullEvidence[] = []
   const short: LoadUpdate[] = []
   const echo = link.echo(nowMs)
-  // Before anything can be echoed the peer could not date the lines, and would leave them out as if never sent.
-  const datable = echo.sequence > 0
-  for (const line of datable ? lines : []) {
-    const sent = link.sentEvidence.get(line.key)
-    if (sent !== undefined && sent.originMs >= line.originMs && sent.body === line.body) continue
-    if (sent !== undefined && differsInLoadOnly(sent.body, line.body)) {
-      short.push(composeLoadUpdate(sent.index, line, nowMs))
-      link.sentEvidence.set(line.key, { ...sent, originMs: line.originMs })
+  // A heartbeat that echoes nothing gives the peer no time reference: it would discard the evidence, which this node
+  // would count as sent.
+  const canBeDated = echo.sequence > 0
+  for (const record of canBeDated ? records : []) {
+    const sent = link.sentEvidence.get(record.key)
+    if (sent !== undefined && sent.originMs >= record.originMs && sent.body === record.body) continue
+    if (sent !== undefined && differsInLoadOnly(sent.body, record.body)) {
+      short.push(composeLoadUpdate(sent.index, record, nowMs))
+      link.sentEvidence.set(record.key, { ...sent, originMs: record.originMs })
     } else {
       const index = sent?.index ?? link.sentEvidence.size
       if (index >= EVIDENCE_INDEX_LIMIT) continue
-      full.push({ index, watcher: line.watcher, body: withAge(line.body, Math.ceil(nowMs - line.originMs)) })
-      link.sentEvidence.set(line.key, { index, body: line.body, originMs: line.originMs })
+      full.push({ index, watcher: record.watcher, body: withAge(record.body, Math.ceil(nowMs - record.originMs)) })
+      link.sentEvidence.set(record.key, { index, body: record.body, originMs: record.originMs })
     }
   }
   return {
@@ -47,41 +48,44 @@
   }
 }
 
-/** What a beat says, with its ages placed on this node's clock. */
+/** The content of a received heartbeat, with its ages converted to times on this node's clock. */
 export interface ReceivedHeartbeat {
   readonly updates: readonly EvidenceUpdate[]
   readonly storeContactMs: number
 }
 
-/** Reads a beat that arrived on `link`. Lines that can't be dated, or have no name yet, are left out: the next beat brings them. */
-export function readHeartbeat (link: GossipLink, beat: HeartbeatFrame, nowMs: number): ReceivedHeartbeat {
-  for (const line of beat.full) {
-    if (line.index < EVIDENCE_INDEX_LIMIT) link.receivedEvidence.set(line.index, { watcher: line.watcher, body: line.body })
+/**
+ * Reads a heartbeat received on `link`. Skips evidence whose time can't be determined, and load updates whose index is
+ * not yet assigned; the next heartbeat contains them.
+ */
+export function readHeartbeat (link: GossipLink, heartbeat: HeartbeatFrame, nowMs: number): ReceivedHeartbeat {
+  for (const record of heartbeat.full) {
+    if (record.index < EVIDENCE_INDEX_LIMIT) link.receivedEvidence.set(record.index, { watcher: record.watcher, body: record.body })
   }
-  link.noteReceived(beat.sequence, nowMs)
-  const composedAfterMs = link.composedAfterMs(beat.echoSequence, beat.echoHeldMs)
+  link.noteReceived(heartbeat.sequence, nowMs)
+  const composedAfterMs = link.composedAfterMs(heartbeat.echoSequence, heartbeat.echoHeldMs)
   if (composedAfterMs === undefined) return { updates: [], storeContactMs: -Infinity }
-  const updates = link.scope === LinkScope.OtherRegion ? [] : dateEvidence(link, beat, composedAfterMs)
-  return { updates, storeContactMs: beat.storeAgeMs < 0 ? -Infinity : composedAfterMs - beat.storeAgeMs }
+  const updates = link.scope === LinkScope.OtherRegion ? [] : dateEvidence(link, heartbeat, composedAfterMs)
+  return { updates, storeContactMs: heartbeat.storeAgeMs < 0 ? -Infinity : composedAfterMs - heartbeat.storeAgeMs }
 }
 
-function dateEvidence (link: GossipLink, beat: HeartbeatFrame, composedAfterMs: number): EvidenceUpdate[] {
+function dateEvidence (link: GossipLink, heartbeat: HeartbeatFrame, composedAfterMs: number): EvidenceUpdate[] {
   const source = link.scope === LinkScope.Cell ? EvidenceSource.Cell : EvidenceSource.OtherCell
-  const updates: EvidenceUpdate[] = beat.full.map((line) =>
-    ({ watcher: line.watcher, body: line.body, originMs: composedAfterMs - line.body.presence.ageMs, source }))
-  for (const line of beat.short) {
-    const named = link.receivedEvidence.get(line.index)
-    if (named === undefined) continue
-    updates.push({ watcher: named.watcher, body: withLoad(named.body, line), originMs: composedAfterMs - line.ageMs, source })
+  const updates: EvidenceUpdate[] = heartbeat.full.map((record) =>
+    ({ watcher: record.watcher, body: record.body, originMs: composedAfterMs - record.body.presence.ageMs, source }))
+  for (const record of heartbeat.short) {
+    const received = link.receivedEvidence.get(record.index)
+    if (received === undefined) continue
+    updates.push({ watcher: received.watcher, body: withLoad(received.body, record), originMs: composedAfterMs - record.ageMs, source })
   }
   return updates
 }
 
-function composeLoadUpdate (index: number, line: EvidenceRecord, nowMs: number): LoadUpdate {
-  const { load } = line.body.presence
+function composeLoadUpdate (index: number, record: EvidenceRecord, nowMs: number): LoadUpdate {
+  const { load } = record.body.presence
   return {
     index,
-    ageMs: Math.ceil(nowMs - line.originMs),
+    ageMs: Math.ceil(nowMs - record.originMs),
     running: load.running,
     waiting: load.waiting,
     cachePercent: Math.round(load.cacheUsed * PERCENT),
@@ -94,8 +98,8 @@
   return { kind: body.kind, presence: { ...body.presence, ageMs } }
 }
 
-function withLoad (body: EvidenceBody, line: LoadUpdate): EvidenceBody {
-  const load = { ...body.presence.load, running: line.running, waiting: line.waiting, cacheUsed: line.cachePercent / PERCENT, ageMs: line.loadAgeMs }
+function withLoad (body: EvidenceBody, record: LoadUpdate): EvidenceBody {
+  const load = { ...body.presence.load, running: record.running, waiting: record.waiting, cacheUsed: record.cachePercent / PERCENT, ageMs: record.loadAgeMs }
   if (body.kind === EvidenceKind.Group) return { kind: body.kind, presence: { ...body.presence, load } }
   return { kind: body.kind, presence: { ...body.presence, load } }
 }
@@ -113,12 +117,12 @@
 }
 
 /**
- * Whether a line goes out on a link. A watcher's own lines go to its cell and to one relay in each other
- * cell; a relay passes what came from another cell on to its own cell; nothing goes further. So each line
- * reaches each node of the region once, in at most two hops.
+ * Whether an evidence record is sent on a link. A watcher sends its own records to its cell and to one relay in each
+ * other cell; a relay forwards records from other cells to its own cell; no record is forwarded further. So each
+ * record reaches each node of the region once, in at most two hops.
  */
-export function isSentOn (line: EvidenceRecord, link: GossipLink, relays: ReadonlySet<NodeId>): boolean {
-  if (line.source === EvidenceSource.Cell) return false
+export function isSentOn (record: EvidenceRecord, link: GossipLink, relays: ReadonlySet<NodeId>): boolean {
+  if (record.source === EvidenceSource.Cell) return false
   if (link.scope === LinkScope.Cell) return true
-  return link.scope === LinkScope.OtherCell && line.source === EvidenceSource.Own && relays.has(link.peer)
+  return link.scope === LinkScope.OtherCell && record.source === EvidenceSource.Own && relays.has(link.peer)
 }
--- a/packages/dotterelspur/src/connection/mesh/LinkAdmission.ts
+++ b/packages/dotterelspur/src/connection/mesh/LinkAdmission.ts
@@ -5,7 +5,7 @@
 import { CloseReason } from './MeshEffect.js'
 import type { MeshLimits, MeshTiming } from './MeshTiming.js'
 
-/** What becomes of a new link, and which held one makes room for it. */
+/** Whether a new link is refused, and which existing link is closed in its favour. */
 export interface Admission {
   readonly refused: CloseReason | undefined
   readonly dropped: { readonly link: GossipLink, readonly reason: CloseReason } | undefined
@@ -13,7 +13,7 @@
 
 const ADMITTED: Admission = { refused: undefined, dropped: undefined }
 
-/** Decides on a new link to a peer of which `known` is held. */
+/** Decides whether to accept a new link; `known` is the membership record of its peer, if there is one. */
 export function admitLink (self: NodeId, links: LinkTable, link: GossipLink, known: MemberRecord | undefined, limits: MeshLimits, timing: MeshTiming, nowMs: number): Admission {
   if (known !== undefined && known.incarnation > link.incarnation) return { refused: CloseReason.OldIncarnation, dropped: undefined }
   const held = links.byPeer.get(link.peer)
@@ -29,9 +29,9 @@
 }
 
 /**
- * Of two links between the same two processes, whether the new one stays. Both ends must decide alike, or each
- * closes the other's: the link that the lower node id dialed stays, and of two by the same dialer the later,
- * since the dialer knows that its earlier one is gone.
+ * Whether the new one of two links between the same two processes is kept. Both ends must make the same decision, or
+ * each would close the link that the other keeps: the link dialed by the lower node id is kept, and of two links from
+ * the same dialer the later one, since the dialer knows that its earlier link is closed.
  */
 export function newLinkStays (self: NodeId, held: GossipLink, added: GossipLink): boolean {
   if (added.incarnation !== held.incarnation) return added.incarnation > held.incarnation
--- a/packages/dotterelspur/src/connection/mesh/LinkTable.ts
+++ b/packages/dotterelspur/src/connection/mesh/LinkTable.ts
@@ -2,7 +2,7 @@
 import type { GossipLink } from './GossipLink.js'
 import type { LinkId } from './MeshEffect.js'
 
-/** The established gossip links, one to each peer at most. */
+/** The established gossip links, at most one for each peer. */
 export class LinkTable {
   private byIdMap: ReadonlyMap<LinkId, GossipLink> = new Map()
   private byPeerMap: ReadonlyMap<NodeId, GossipLink> = new Map()
--- a/packages/dotterelspur/src/connection/mesh/MemberDissemination.ts
+++ b/packages/dotterelspur/src/connection/mesh/MemberDissemination.ts
@@ -10,14 +10,14 @@
 
 interface PendingRecord {
   readonly record: MemberRecord
-  /** The link that it came from; undefined when this node made or raised it. */
+  /** The link on which it was received; undefined if this node created or changed the record. */
   readonly from: LinkId | undefined
 }
 
 /**
- * Passes changes of members on, and keeps the plan of links that follows from them. Changes wait for the next
- * tick and go out together: when a fleet starts or a region returns, they come by the hundred, and a frame for
- * each on every link would cost more processor time than all else.
+ * Forwards member changes, and keeps the overlay plan that is computed from the members. Changes are batched until the
+ * next tick: when a fleet starts or a region becomes reachable again, hundreds arrive at once, and one frame for each on
+ * every link would cost more processor time than the rest of the mesh.
  */
 export class MemberDissemination {
   private current: OverlayPlan = { wanted: new Map(), relays: [] }
@@ -30,12 +30,12 @@
     return this.current
   }
 
-  /** Takes records in and forwards what was new. */
+  /** Merges records into the table and forwards those that were newer. */
   merge (records: readonly MemberRecord[], from: LinkId | undefined, nowMs: number): void {
     this.forward(this.table.merge(records, nowMs), from)
   }
 
-  /** Has changed records forwarded on every link but the one they came from. */
+  /** Queues changed records for every link except the one on which they were received. */
   forward (changed: readonly MemberRecord[], from: LinkId | undefined): void {
     if (changed.length === 0) return
     const pending = new Map(this.waiting)
@@ -45,7 +45,7 @@
     this.outbox.membersChanged()
   }
 
-  /** Sends what waits. */
+  /** Sends the queued records. */
   flush (): void {
     if (this.waiting.size === 0) return
     const waiting = [...this.waiting.values()]
@@ -59,7 +59,7 @@
     for (const page of pages(records, this.limits.entriesPerFrame)) this.outbox.send(link, { kind: FrameKind.Members, records: page })
   }
 
-  /** Plans once for all changes since the last time: when a fleet starts, they come by the hundred within one tick. */
+  /** Recomputes the plan once for all changes since the last call: when a fleet starts, hundreds arrive within one tick. */
   refreshPlan (): void {
     if (!this.isPlanStale) return
     this.isPlanStale = false
--- a/packages/dotterelspur/src/connection/mesh/MemberRecord.ts
+++ b/packages/dotterelspur/src/connection/mesh/MemberRecord.ts
@@ -2,7 +2,7 @@
 import { hashText } from '../../process/rendezvous.js'
 import { NodeState, type NodeMember } from '../MeshApi.js'
 
-/** What others found out about a node, in rising order: within one revision the higher replaces the lower. */
+/** A node's health as determined by its peers, in rising order: within one revision the higher value replaces the lower. */
 export enum MemberHealth {
   Alive = 0,
   Suspect = 1,
@@ -11,8 +11,8 @@
 }
 
 /**
- * A node as the mesh spreads it. `incarnation` names the process; `revision` is raised by that process alone,
- * to refute a suspicion or to say that it drains.
+ * A node's record as disseminated in the mesh. `incarnation` identifies the process; only that process raises
+ * `revision`, to refute a suspicion or to announce a change such as draining.
  */
 export interface MemberRecord {
   readonly node: NodeId
@@ -27,10 +27,10 @@
   readonly adminAddress: string
 }
 
-/** The part of a record that decides which of two is newer. */
+/** The fields of a record that determine which of two records is newer. */
 export type MemberVersion = Pick<MemberRecord, 'node' | 'incarnation' | 'revision' | 'health'>
 
-/** Positive when `left` is newer than `right`, 0 when both are the same. */
+/** Positive if `left` is newer than `right`, 0 if both are equal. */
 export function compareMemberVersions (left: MemberVersion, right: MemberVersion): number {
   return left.incarnation - right.incarnation || left.revision - right.revision || left.health - right.health
 }
@@ -42,7 +42,7 @@
   [MemberHealth.Left]: NodeState.Left
 }
 
-/** The state that other packages see. A draining node that is suspected stays draining: it must not return to the directory. */
+/** The state exposed to other packages. A suspected node that drains stays draining: it must not return to the directory. */
 export function stateOf (record: MemberRecord): NodeState {
   const living = record.health <= MemberHealth.Suspect
   return living && record.draining ? NodeState.Draining : STATE_OF_HEALTH[record.health]
@@ -61,12 +61,12 @@
   }
 }
 
-/** Alive or suspect: still to be linked to and counted. */
+/** Alive or suspect: the node still gets links and counts as a member. */
 export function isLiving (record: Pick<MemberRecord, 'health'>): boolean {
   return record.health <= MemberHealth.Suspect
 }
 
-/** Hash of a member's version; the exclusive or over all members is their digest. */
+/** Hash of a member's version; the digest is the exclusive or over all members. */
 export function hashMemberVersion (version: MemberVersion): number {
   return hashText(`${version.node}\u0000${version.incarnation}\u0000${version.revision}\u0000${version.health}`)
 }
--- a/packages/dotterelspur/src/connection/mesh/MembershipTable.ts
+++ b/packages/dotterelspur/src/connection/mesh/MembershipTable.ts
@@ -5,11 +5,11 @@
 
 interface HeldMember {
   readonly record: MemberRecord
-  /** When this node took the record in, on its own clock: suspicion and tombstones count from here. */
+  /** When this node stored the record, on its own clock: the suspicion and tombstone times count from here. */
   readonly sinceMs: number
 }
 
-/** The members that this node knows. Records only get newer; a claim about this node itself is refuted. */
+/** The members known to this node. Only newer records replace older ones; this node refutes claims that it is suspect or dead. */
 export class MembershipTable {
   private held: ReadonlyMap<NodeId, HeldMember> = new Map()
   private listed: readonly NodeMember[] = []
@@ -23,7 +23,7 @@
     return this.own
   }
 
-  /** Exclusive or of the hashes of all versions held: equal for two nodes that know the same. */
+  /** Exclusive or of the hashes of all stored versions: equal for two nodes with the same records. */
   get digest (): number {
     return this.currentDigest
   }
@@ -40,7 +40,7 @@
     return this.held.get(node)?.record
   }
 
-  /** Takes in what is newer. Returns the records that changed, this node's refutation included. */
+  /** Stores records that are newer. Returns the changed records, including a refutation by this node. */
   merge (records: readonly MemberRecord[], nowMs: number): MemberRecord[] {
     const pending = new Map(this.held)
     const changed: MemberRecord[] = []
@@ -54,14 +54,14 @@
     return changed
   }
 
-  /** Changes this node's own word of itself. */
+  /** Changes this node's own record and raises its revision. */
   announce (change: Partial<Pick<MemberRecord, 'draining' | 'health' | 'meshAddress'>>, nowMs: number): MemberRecord {
     this.own = { ...this.own, ...change, revision: this.own.revision + 1 }
     this.commit(new Map(this.held).set(this.own.node, { record: this.own, sinceMs: nowMs }))
     return this.own
   }
 
-  /** Suspects whose time to refute is over, and tombstones whose time is over; returns what became dead. */
+  /** Declares suspects dead whose time to refute is over, and removes expired tombstones; returns the records that became dead. */
   expire (nowMs: number): MemberRecord[] {
     const pending = new Map(this.held)
     const dead: MemberRecord[] = []
@@ -82,7 +82,7 @@
     return dead
   }
 
-  /** After a pause of this process: gives each suspect its whole time again, since its refutation may wait unread. */
+  /** After a pause of this process: restarts the time to refute of each suspect, since refutations may be in unread messages. */
   restartSuspicions (nowMs: number): void {
     const pending = new Map(this.held)
     for (const [node, member] of this.held) {
@@ -91,7 +91,7 @@
     this.held = pending
   }
 
-  /** Records that are newer than what a peer says it has, or that it does not name. */
+  /** Returns records that are newer than the peer's `versions` or absent from them. */
   newerThan (versions: readonly MemberVersion[]): MemberRecord[] {
     const peerHas = new Map(versions.map((version) => [version.node, version]))
     return this.records().filter((record) => {
@@ -108,8 +108,8 @@
   }
 
   /**
-   * Another node says that this one is suspect or dead, or remembers a later revision. This process lives, so
-   * it answers with a revision above the claim. A higher incarnation is not ours to refute.
+   * Refutes another node's claim that this process is suspect or dead, or has a later revision, with a revision above
+   * that of the claim. Doesn't refute a claim about another incarnation, since that is another process.
    */
   private refute (claim: MemberRecord): MemberRecord | undefined {
     if (claim.incarnation !== this.own.incarnation) return undefined
--- a/packages/dotterelspur/src/connection/mesh/MeshEffect.ts
+++ b/packages/dotterelspur/src/connection/mesh/MeshEffect.ts
@@ -2,7 +2,7 @@
 import type { MeshDocument } from '../MeshApi.js'
 import type { GossipFrame } from './Frame.js'
 
-/** Names one established link, for as long as it lasts. */
+/** Identifies one established link during its lifetime. */
 export type LinkId = number
 
 export enum MeshEffectKind {
@@ -13,7 +13,7 @@
   DocumentsChanged = 'documents-changed'
 }
 
-/** Why a link is closed; counted, and told to the peer. */
+/** Why a link is closed; counted in the metrics, and sent to the peer. */
 export enum CloseReason {
   Duplicate = 'duplicate',
   Silent = 'silent',
@@ -25,16 +25,16 @@
   QueueFull = 'queue-full'
 }
 
-/** What the machine asks its shell to do. */
+/** An action that the caller of the state machine has to perform. */
 export type MeshEffect =
   | { readonly kind: MeshEffectKind.Send, readonly link: LinkId, readonly frame: GossipFrame }
-  /** `node` is null for a seed whose name is not known yet. */
+  /** `node` is null for an address whose node id is unknown, such as a seed. */
   | { readonly kind: MeshEffectKind.Dial, readonly address: string, readonly node: NodeId | null }
   | { readonly kind: MeshEffectKind.Close, readonly link: LinkId, readonly reason: CloseReason }
   | { readonly kind: MeshEffectKind.MembersChanged }
   | { readonly kind: MeshEffectKind.DocumentsChanged, readonly documents: readonly MeshDocument[] }
 
-/** Collects effects while one event is handled; the shell takes them when the state is committed. */
+/** Collects the effects of one event; the caller of the state machine takes them once the state is committed. */
 export class Outbox {
   private effects: MeshEffect[] = []
 
--- a/packages/dotterelspur/src/connection/mesh/MeshMachine.ts
+++ b/packages/dotterelspur/src/connection/mesh/MeshMachine.ts
@@ -29,13 +29,14 @@
   readonly timing: MeshTiming
   readonly limits: MeshLimits
   readonly random: Random
-  /** Addresses of nodes that are known by other means. */
+  /** Addresses of nodes that are known from outside the mesh. */
   readonly seeds: () => readonly string[]
 }
 
 /**
- * The gossip of one node, without I/O: each event returns the effects that the shell is to run. Members,
- * documents and evidence are kept in tables of their own; this puts their exchange on the links together.
+ * The gossip protocol of one node as a state machine without I/O: each event returns the effects that the caller has to
+ * perform. Members, documents and evidence are kept in tables of their own; this class coordinates their exchange on
+ * the links.
  */
 export class MeshMachine {
   private readonly outbox = new Outbox()
@@ -86,7 +87,7 @@
     return this.membership.self
   }
 
-  /** Set once, when the node listens. */
+  /** Called once, when the node's listener is open. */
   setAddress (meshAddress: string, nowMs: number): void {
     this.membership.announce({ meshAddress }, nowMs)
   }
@@ -128,7 +129,7 @@
     return alone ? 0 : nowMs - this.peerContactMs
   }
 
-  /** To be called several times in each beat interval. */
+  /** To be called several times in each heartbeat interval. */
   tick (nowMs: number): MeshEffect[] {
     if (this.stopped) return []
     this.handleOwnPause(nowMs)
@@ -147,7 +148,7 @@
     return this.outbox.take()
   }
 
-  /** A link to `peer` is established and authenticated; `dialedAddress` is set when this node made it. */
+  /** Handles a new authenticated link to `peer`; `dialedAddress` is set if this node dialed it. */
   linkUp (id: LinkId, peer: MemberRecord, dialedAddress: string | undefined, nowMs: number): MeshEffect[] {
     if (dialedAddress !== undefined) this.dialScheduler.connected(dialedAddress, nowMs)
     const { limits, timing } = this.options
@@ -179,7 +180,7 @@
     return this.outbox.take()
   }
 
-  /** Takes documents in from outside the mesh. */
+  /** Merges documents from outside the mesh. */
   offer (documents: readonly MeshDocument[]): { readonly taken: readonly MeshDocument[], readonly effects: MeshEffect[] } {
     const taken = this.documentDissemination.take(documents, this.links.ids, undefined)
     return { taken, effects: this.outbox.take() }
@@ -199,7 +200,7 @@
     return this.outbox.take()
   }
 
-  /** Says farewell on every link; nothing is done after it. */
+  /** Announces on every link that this node leaves; later events have no effect. */
   leave (nowMs: number): MeshEffect[] {
     if (this.stopped) return []
     this.memberDissemination.forward([this.membership.announce({ health: MemberHealth.Left }, nowMs)], undefined)
@@ -214,7 +215,7 @@
     this.links.add(link)
     this.memberDissemination.merge([peer], link.id, nowMs)
     const known = this.membership.get(peer.node)
-    // A peer that others hold dead or suspect learns it from the first node that it reaches, and refutes.
+    // Sends a peer the newer record that others hold of it (suspect or dead), so that the peer can refute it.
     if (known !== undefined && compareMemberVersions(known, peer) > 0) this.memberDissemination.send(link.id, [known])
     this.memberDissemination.refreshPlan()
     this.classify(link, nowMs)
@@ -229,7 +230,7 @@
   private onHeartbeat (link: GossipLink, beat: HeartbeatFrame, nowMs: number): void {
     this.evidence.receive(link, beat, this.memberDissemination.plan, this.digests(), nowMs)
     this.antiEntropy.note(link, beat.membersDigest, beat.documentsDigest, nowMs)
-    // The first beat of a link can't be answered by age until it is echoed: the echo need not wait for the interval.
+    // The peer can send no evidence until its first heartbeat is echoed, so the echo doesn't wait for the interval.
     if (beat.sequence === 1) this.evidence.sendHeartbeat(link, this.memberDissemination.plan, this.digests(), nowMs)
   }
 
--- a/packages/dotterelspur/src/connection/mesh/MeshTiming.ts
+++ b/packages/dotterelspur/src/connection/mesh/MeshTiming.ts
@@ -1,61 +1,64 @@
 import { DEFAULT_EVIDENCE_TTL_MS, DEFAULT_GOSSIP_INTERVAL_MS } from '../../process/TimingDefaults.js'
 
-/** The mesh's times, in milliseconds. */
+/** Intervals and timeouts of the mesh, in milliseconds. */
 export interface MeshTiming {
-  /** Time between two beats on one link. */
+  /** Time between two heartbeats on one link. */
   readonly heartbeatIntervalMs: number
-  /** A neighbour silent for this long is asked about through others. */
+  /** A neighbour silent for this long is probed indirectly through other nodes. */
   readonly silenceMs: number
-  /** A relay silent for this long is passed over: evidence may not wait until it is known to be dead, and a relay passed over in error costs only some lines sent twice. */
+  /**
+   * A relay silent for this long is bypassed: evidence can't wait until the relay is declared dead, and bypassing a
+   * working relay only sends some evidence records twice.
+   */
   readonly relaySilenceMs: number
-  /** Without word through others for this long more, the neighbour becomes suspect. */
+  /** If no indirect probe is confirmed within this time, the neighbour becomes suspect. */
   readonly indirectProbeMs: number
-  /** A wanted neighbour to which no link could be made for this long is asked about through others. */
+  /** A planned neighbour to which no link was established for this long is probed indirectly through other nodes. */
   readonly connectGraceMs: number
   /** A suspect that does not refute within this time is dead. */
   readonly suspicionMs: number
-  /** A link is closed when its peer was silent for this long. */
+  /** A link whose peer was silent for this long is closed. */
   readonly linkTimeoutMs: number
   /** Records of dead and left nodes are kept for this long. */
   readonly tombstoneMs: number
-  /** First wait before a failed dial is repeated; doubles up to `dialBackoffMaxMs`, each drawn with jitter. */
+  /** Backoff after the first failed dial; doubles with each failure up to `dialBackoffMaxMs`, with jitter. */
   readonly dialBackoffMinMs: number
   readonly dialBackoffMaxMs: number
   /** The peer with the higher node id dials only after this long, so that pairs seldom dial each other at once. */
   readonly dialDeferMs: number
-  /** A dial that has not become a link by then has failed. */
+  /** A dial that has not established a link within this time has failed. */
   readonly dialTimeoutMs: number
-  /** Time between two tries to reach a node that is dead or only known from its object. */
+  /** Time between two attempts to reach a node that is dead or known only from its stored object. */
   readonly rejoinIntervalMs: number
-  /** A link that the plan does not want is closed by its dialer after this long. */
+  /** A link that is not in the overlay plan is closed by its dialer after this long. */
   readonly unwantedLinkMs: number
-  /** A document that was asked of one peer and did not come is asked of another after this long. */
+  /** A document that a peer did not deliver within this time is requested from another peer. */
   readonly documentFetchTimeoutMs: number
   /** Digests that differ for this long start a comparison. */
   readonly mismatchGraceMs: number
-  /** Least time between two comparisons of the same sort by one node. */
+  /** Minimum time between two comparisons of the same kind by one node. */
   readonly syncIntervalMs: number
-  /** Evidence older than this is forgotten; longer than the evidence TTL so that its end can be seen. */
+  /** Evidence older than this is removed; longer than the evidence TTL so that expired evidence can still be reported. */
   readonly evidenceRetentionMs: number
-  /** A gap of this length between two ticks is a pause of this process itself: silence during it proves nothing. */
+  /** A gap of this length between two ticks counts as a pause of this process: silence of peers during it proves nothing. */
   readonly ownPauseMs: number
 }
 
-/** Bounds of the mesh's state and links. */
+/** Limits on the mesh's state and links. */
 export interface MeshLimits {
-  /** Nodes of one cell form a full mesh; a failure domain with more is cut into cells. */
+  /** Maximum number of nodes in a cell, which form a full mesh; a larger failure domain is split into cells. */
   readonly cellSize: number
-  /** Links for gossip, wanted or not. */
+  /** Gossip links, whether in the overlay plan or not. */
   readonly links: number
-  /** Links from each region to each other one. */
+  /** Links that each region dials to each other region. */
   readonly linksPerRegionPair: number
   readonly documents: number
-  /** Deleted documents remembered; the rest of `documents` is for living ones. */
+  /** Deleted documents kept; the rest of `documents` is for current ones. */
   readonly deletions: number
   readonly members: number
-  /** Evidence lines held, of all watchers. */
+  /** Evidence records held, of all watchers. */
   readonly evidenceRecords: number
-  /** Entries in one frame of any list. */
+  /** Entries of a list in one frame. */
   readonly entriesPerFrame: number
 }
 
@@ -86,7 +89,7 @@
 const RELAY_SILENCE_HEARTBEATS = 1.5
 const SILENCE_HEARTBEATS = 3
 
-/** The times with some of them set. Silences that are not set follow the beat: they must outlast a lost one. */
+/** Default timing with overrides. Silence thresholds without an override scale with the heartbeat interval: they must outlast one lost heartbeat. */
 export function createMeshTiming (overrides: Partial<MeshTiming> = {}): MeshTiming {
   const heartbeatIntervalMs = overrides.heartbeatIntervalMs ?? DEFAULT_MESH_TIMING.heartbeatIntervalMs
   return { ...DEFAULT_MESH_TIMING, relaySilenceMs: RELAY_SILENCE_HEARTBEATS * heartbeatIntervalMs, silenceMs: SILENCE_HEARTBEATS * heartbeatIntervalMs, ...overrides }
--- a/packages/dotterelspur/src/connection/mesh/OverlayPlan.ts
+++ b/packages/dotterelspur/src/connection/mesh/OverlayPlan.ts
@@ -3,7 +3,7 @@
 import type { MemberRecord } from './MemberRecord.js'
 import type { MeshLimits } from './MeshTiming.js'
 
-/** Where the peer of a link is, which decides what travels on it. */
+/** Where the peer of a link is, which determines what is sent on the link. */
 export enum LinkScope {
   /** Same cell: a full mesh. */
   Cell = 'cell',
@@ -12,29 +12,30 @@
   OtherRegion = 'other-region'
 }
 
-/** The links that one node wants, worked out from the members alone: all nodes that know the same plan the same. */
+/** The links that one node is to have, computed from the members alone: nodes with the same members compute consistent plans. */
 export interface OverlayPlan {
   readonly wanted: ReadonlyMap<NodeId, LinkScope>
-  /** For each other cell of the region the nodes to which this one sends its own evidence. */
+  /** For each other cell of the region, the nodes to which this one sends its own evidence. */
   readonly relays: readonly CellRelays[]
 }
 
 export interface CellRelays {
   readonly cell: readonly NodeId[]
-  /** The relay, and the one that stands in while it is silent. */
+  /** The relay, followed by its standby, which replaces it while it is silent. */
   readonly relays: readonly NodeId[]
 }
 
 /**
- * Links into each other cell. With one, a paused relay would cut a node's evidence off from that cell until it
- * is suspected, planned around and another link is made, longer than evidence serves.
+ * Relays in each other cell. With only one, a paused relay would block a node's evidence for that cell until the relay
+ * is suspected, the plan is changed and another link is established, which takes longer than the evidence TTL.
  */
 const RELAYS_PER_CELL = 2
 
 /**
- * Plans the links of `self`: all of its cell; a relay and its standby in each other cell of the region, and
- * those nodes whose relay or standby it is; and the few links between regions that fall to it. So evidence reaches every node of
- * a region in two hops, and a node's links grow with its region's cells, not with the fleet.
+ * Plans the links of `self`: to all nodes of its cell; to a relay and its standby in each other cell of the region; to
+ * the nodes whose relay or standby it is; and the few links between regions that are assigned to it. So evidence reaches
+ * every node of a region in two hops, and the number of a node's links grows with the cells of its region, not with the
+ * fleet.
  */
 export function planOverlay (self: MemberRecord, living: readonly MemberRecord[], limits: MeshLimits): OverlayPlan {
   const wanted = new Map<NodeId, LinkScope>()
@@ -54,14 +55,14 @@
   return { wanted, relays }
 }
 
-/** Where a node's link goes, wanted or not. */
+/** The scope of a link to `peer`, whether the link is in the plan or not. */
 export function scopeOf (plan: OverlayPlan, self: MemberRecord, peer: MemberRecord): LinkScope {
   const planned = plan.wanted.get(peer.node)
   if (planned !== undefined) return planned
   return peer.region === self.region ? LinkScope.OtherCell : LinkScope.OtherRegion
 }
 
-/** The failure domains of a region, those with more than `cellSize` nodes cut into cells of about equal size. */
+/** The failure domains of a region; those with more than `cellSize` nodes are split into cells of about equal size. */
 function cellsOf (region: readonly MemberRecord[], cellSize: number): MemberRecord[][] {
   return [...groupBy(region, (record) => record.failureDomain).values()].flatMap((domain) => {
     const count = Math.ceil(domain.length / cellSize)
@@ -74,9 +75,9 @@
 }
 
 /**
- * The nodes of `cell` that take in what `node` has to say, by rendezvous. A suspect keeps its place: were it to
- * lose it, each suspicion would have links made anew, and nodes that are too busy to make them in time would
- * become suspect in turn, without end. The standby covers for a silent relay meanwhile.
+ * The nodes of `cell` that relay the evidence of `node`, by rendezvous hashing. A suspect stays a relay: otherwise each
+ * suspicion would require new links, and nodes too busy to establish them in time would become suspect in turn, without
+ * end. The standby replaces a silent relay in the meantime.
  */
 function relaysFor (node: NodeId, cell: readonly MemberRecord[]): NodeId[] {
   return rendezvousOrder(node, cell.map((record) => record.node)).slice(0, RELAYS_PER_CELL)
@@ -93,7 +94,7 @@
   }
 }
 
-/** The links that one region makes to another: its first nodes by rendezvous, each to its first node there. */
+/** The links that one region dials to another: from its first nodes in rendezvous order, each to its own first node in the other region. */
 function pairs (from: string, fromNodes: readonly MemberRecord[], to: string, toNodes: readonly MemberRecord[], count: number): Array<[NodeId, NodeId]> {
   const targets = toNodes.map((record) => record.node)
   const initiators = rendezvousOrder(`${from}>${to}`, fromNodes.map((record) => record.node)).slice(0, count)
--- a/packages/dotterelspur/src/connection/mesh/PresenceTable.ts
+++ b/packages/dotterelspur/src/connection/mesh/PresenceTable.ts
@@ -2,26 +2,26 @@
 import type { GroupPresence, ServicePresence } from '../../process/Presence.js'
 import { EvidenceKind, type EvidenceBody } from './Frame.js'
 
-/** By which way a line came: what this node probed itself, from its own cell, or from another cell of its region. */
+/** Origin of an evidence record: this node's own probes, a node of its cell, or a node of another cell of its region. */
 export enum EvidenceSource {
   Own = 'own',
   Cell = 'cell',
   OtherCell = 'other-cell'
 }
 
-/** One watcher's word on one group or worker, with times on this node's clock. */
+/** One watcher's observation of one group or service worker, with times on this node's clock. */
 export interface EvidenceRecord {
   readonly key: string
   readonly watcher: NodeId
   readonly body: EvidenceBody
   readonly source: EvidenceSource
-  /** The oldest probe was asked at or after this time. */
+  /** Lower bound of the time at which the oldest probe was sent. */
   readonly originMs: number
-  /** When this node learned that the watcher's word had turned for the worse; -Infinity while it is good. */
+  /** When this node received the watcher's first observation of the subject as unavailable; -Infinity while it is available. */
   readonly degradedSinceMs: number
 }
 
-/** A line as it arrives. */
+/** An evidence record as received or published. */
 export interface EvidenceUpdate {
   readonly watcher: NodeId
   readonly body: EvidenceBody
@@ -29,27 +29,27 @@
   readonly source: EvidenceSource
 }
 
-/** Key of a line: its subject and its watcher. */
+/** Key of an evidence record: its subject and its watcher. */
 export function evidenceKey (watcher: NodeId, body: EvidenceBody): string {
   return `${subjectOf(body)}\u0000${watcher}`
 }
 
-/** Key of what a line is about. */
+/** Key of the group or service worker that was observed. */
 export function subjectOf (body: EvidenceBody): string {
   return body.kind === EvidenceKind.Group ? `g${body.presence.group}` : `s${body.presence.vm}`
 }
 
-/** Whether work may be sent there by this evidence. */
+/** Whether requests may be sent to the subject according to this evidence. */
 export function isAvailable (body: EvidenceBody): boolean {
-  const whole = body.kind === EvidenceKind.Group ? body.presence.complete : body.presence.present
-  return whole && !body.presence.leaving
+  const isComplete = body.kind === EvidenceKind.Group ? body.presence.complete : body.presence.present
+  return isComplete && !body.presence.leaving
 }
 
 function generationOf (body: EvidenceBody): number {
   return body.kind === EvidenceKind.Group ? body.presence.formation : body.presence.incarnation
 }
 
-/** Evidence of this node's region, one line for each subject and watcher. */
+/** Evidence of this node's region, one record for each subject and watcher. */
 export class PresenceTable {
   private records: ReadonlyMap<string, EvidenceRecord> = new Map()
 
@@ -67,27 +67,27 @@
     return this.records.get(key)
   }
 
-  /** Takes in lines that are fresher than those held; returns those that turned for the worse. */
+  /** Stores records that are newer than those held; returns the ones whose subject became unavailable. */
   merge (updates: readonly EvidenceUpdate[], nowMs: number): EvidenceRecord[] {
     const pending = new Map(this.records)
-    const worse: EvidenceRecord[] = []
+    const degraded: EvidenceRecord[] = []
     for (const update of updates) {
-      const line = this.accept(pending, update, nowMs)
-      if (line === undefined) continue
-      const turned = line.degradedSinceMs === nowMs && pending.get(line.key)?.degradedSinceMs !== nowMs
-      pending.set(line.key, line)
-      if (turned) worse.push(line)
+      const record = this.accept(pending, update, nowMs)
+      if (record === undefined) continue
+      const hasDegraded = record.degradedSinceMs === nowMs && pending.get(record.key)?.degradedSinceMs !== nowMs
+      pending.set(record.key, record)
+      if (hasDegraded) degraded.push(record)
     }
     this.records = pending
-    return worse
+    return degraded
   }
 
-  /** Replaces this node's own lines: subjects that it watches no more are dropped. */
+  /** Replaces this node's own records: subjects that it no longer watches are removed. */
   replaceOwn (watcher: NodeId, updates: readonly EvidenceUpdate[], nowMs: number): EvidenceRecord[] {
     const kept = new Set(updates.map((update) => evidenceKey(watcher, update.body)))
     const pending = new Map(this.records)
-    for (const line of this.records.values()) {
-      if (line.source === EvidenceSource.Own && !kept.has(line.key)) pending.delete(line.key)
+    for (const record of this.records.values()) {
+      if (record.source === EvidenceSource.Own && !kept.has(record.key)) pending.delete(record.key)
     }
     this.records = pending
     return this.merge(updates, nowMs)
@@ -95,8 +95,8 @@
 
   expire (nowMs: number): void {
     const pending = new Map(this.records)
-    for (const line of this.records.values()) {
-      if (nowMs - line.originMs > this.retentionMs) pending.delete(line.key)
+    for (const record of this.records.values()) {
+      if (nowMs - record.originMs > this.retentionMs) pending.delete(record.key)
     }
     if (pending.size !== this.records.size) this.records = pending
   }
@@ -120,13 +120,13 @@
 
   private best (nowMs: number): EvidenceBody[] {
     const bySubject = new Map<string, EvidenceRecord[]>()
-    for (const line of this.records.values()) {
-      const subject = subjectOf(line.body)
-      const lines = bySubject.get(subject)
-      if (lines === undefined) bySubject.set(subject, [line])
-      else lines.push(line)
+    for (const record of this.records.values()) {
+      const subject = subjectOf(record.body)
+      const records = bySubject.get(subject)
+      if (records === undefined) bySubject.set(subject, [record])
+      else records.push(record)
     }
-    return [...bySubject.values()].map((lines) => aged(selectRecord(lines), nowMs))
+    return [...bySubject.values()].map((records) => aged(selectRecord(records), nowMs))
   }
 }
 
@@ -135,9 +135,9 @@
 }
 
 /**
- * A good word asked for before the held turn for the worse was learned. A bad word carries the age of the oldest
- * probe, often older than that of the good word before it; a copy of that good word, come late over another
- * relay, would look fresher and hide the turn until the watcher's next word.
+ * Whether an update reports the subject as available from probes sent before the degradation was received. A report of
+ * unavailability has the age of its oldest probe, often older than the preceding report of availability; a delayed copy
+ * of the latter over another relay would look newer and hide the degradation until the watcher's next report.
  */
 function predatesDegradation (held: EvidenceRecord, update: EvidenceUpdate): boolean {
   return isAvailable(update.body) && generationOf(update.body) === generationOf(held.body) && update.originMs <= held.degradedSinceMs
@@ -150,22 +150,23 @@
 }
 
 /**
- * Of several watchers' lines on one subject, the one that counts. Only the highest formation matters. Good
- * evidence counts when all of it was asked for after the latest turn for the worse was learned: a member
- * may have died after one watcher's probe and before the other's, and the fresher line alone would hide it.
+ * Selects one of several watchers' records of a subject. Only the highest generation (formation or incarnation) is
+ * considered. A report of availability is accepted if all its probes were sent after the latest degradation was
+ * received: a member may have died after one watcher's probe and before the other's, and the newer record alone would
+ * hide that.
  */
-function selectRecord (lines: readonly EvidenceRecord[]): EvidenceRecord {
-  const generation = Math.max(...lines.map((line) => generationOf(line.body)))
-  const current = lines.filter((line) => generationOf(line.body) === generation)
-  const worseSinceMs = Math.max(...current.map((line) => line.degradedSinceMs))
-  const freshest = current.reduce((best, line) => line.originMs > best.originMs ? line : best)
-  const good = current.filter((line) => isAvailable(line.body) && line.originMs > worseSinceMs)
-  if (good.length > 0) return good.reduce((best, line) => line.originMs > best.originMs ? line : best)
-  return current.find((line) => line.degradedSinceMs === worseSinceMs && !isAvailable(line.body)) ?? freshest
+function selectRecord (records: readonly EvidenceRecord[]): EvidenceRecord {
+  const generation = Math.max(...records.map((record) => generationOf(record.body)))
+  const current = records.filter((record) => generationOf(record.body) === generation)
+  const degradedSinceMs = Math.max(...current.map((record) => record.degradedSinceMs))
+  const freshest = current.reduce((best, record) => record.originMs > best.originMs ? record : best)
+  const available = current.filter((record) => isAvailable(record.body) && record.originMs > degradedSinceMs)
+  if (available.length > 0) return available.reduce((best, record) => record.originMs > best.originMs ? record : best)
+  return current.find((record) => record.degradedSinceMs === degradedSinceMs && !isAvailable(record.body)) ?? freshest
 }
 
-function aged (line: EvidenceRecord, nowMs: number): EvidenceBody {
-  const ageMs = nowMs - line.originMs
-  if (line.body.kind === EvidenceKind.Group) return { kind: EvidenceKind.Group, presence: { ...line.body.presence, ageMs } }
-  return { kind: EvidenceKind.Service, presence: { ...line.body.presence, ageMs } }
+function aged (record: EvidenceRecord, nowMs: number): EvidenceBody {
+  const ageMs = nowMs - record.originMs
+  if (record.body.kind === EvidenceKind.Group) return { kind: EvidenceKind.Group, presence: { ...record.body.presence, ageMs } }
+  return { kind: EvidenceKind.Service, presence: { ...record.body.presence, ageMs } }
 }
--- a/packages/dotterelspur/src/connection/mesh/RejoinTargets.ts
+++ b/packages/dotterelspur/src/connection/mesh/RejoinTargets.ts
@@ -4,8 +4,8 @@
 import { isLiving, MemberHealth, type MemberRecord } from './MemberRecord.js'
 
 /**
- * Addresses behind which a node may live that this one has lost or never met: dead members, seeds, and nodes
- * that wrote their object. Without them, two halves that have declared each other dead would stay apart.
+ * Addresses of nodes that may be running without being in this node's membership: dead members, seeds, and nodes with a
+ * stored node object. Without these attempts, two halves of a fleet that declared each other dead would never rejoin.
  */
 export function rejoinTargets (ownAddress: string, records: readonly MemberRecord[], documents: DocumentTable, seeds: readonly string[]): DialTarget[] {
   const known = new Set([ownAddress])
--- a/packages/dotterelspur/src/process/Clock.ts
+++ b/packages/dotterelspur/src/process/Clock.ts
@@ -1,11 +1,11 @@
 import type { Teardown } from './Teardown.js'
 
 /**
- * The one source of time, in milliseconds.
+ * The only source of time, in milliseconds.
  *
- * `nowMs` is monotonic and has no meaning outside the process: leases and evidence are judged on it, and
- * readings of two processes are never compared. `wallMs` is for people (audit, logs, the issued field of
- * request ids) and decides nothing alone.
+ * `nowMs` is monotonic and has no meaning outside the process: the expiry of leases and evidence is computed from it,
+ * and readings of two processes are never compared. `wallMs` is for display (audit, logs, the issued field of request
+ * ids); no decision depends on it alone.
  */
 export interface Clock {
   /** Monotonic milliseconds of this process. */
@@ -22,7 +22,7 @@
   readonly callback: () => void
 }
 
-/** A clock that moves only when told, for tests and experiments. Timers fire in order of time, then of registration. */
+/** A clock that advances only by method calls, for tests and experiments. Timers fire in order of time, then of registration. */
 export class ManualClock implements Clock {
   private currentMs: number
   private sequence = 0
@@ -46,7 +46,7 @@
     return () => { this.timers.delete(timer) }
   }
 
-  /** Moves to `currentMs + durationMs`, firing on the way each timer that falls due. */
+  /** Advances to `currentMs + durationMs` and fires each timer at its due time on the way. */
   advance (durationMs: number): void {
     const targetMs = this.currentMs + durationMs
     for (;;) {
@@ -59,7 +59,7 @@
     this.currentMs = targetMs
   }
 
-  /** Time passes while nothing runs, as in a process that stands still: timers that fall due fire late, at the next `advance`. */
+  /** Advances without firing timers, as in a paused process: timers that become due fire late, at the next `advance`. */
   pause (durationMs: number): void {
     this.currentMs += durationMs
   }
--- a/packages/dotterelspur/src/process/ObjectStore.ts
+++ b/packages/dotterelspur/src/process/ObjectStore.ts
@@ -2,21 +2,21 @@
 import type { Teardown } from './Teardown.js'
 
 /**
- * The platform's object API as the system uses it. Every call is counted by the platform, a waiting watch as
- * one. Versions are positive integers that rise with each write to the store; a deletion counts as a write.
+ * The platform's object API as the system uses it. The platform counts every call, and an open watch as one. Versions
+ * are positive integers that increase with each write to the store; a deletion counts as a write.
  */
 export interface ObjectStore {
-  /** `freshness` is a wish: a store that has no cheaper reads answers with the newest. */
+  /** `freshness` is a hint: a store without cheaper reads returns the newest version. */
   get<Body> (key: string, freshness?: ReadFreshness): Promise<Result<StoredObject<Body>, StoreError>>
   list<Body> (prefix: string): Promise<Result<ObjectListing<Body>, StoreError>>
-  /** Fails with Conflict when the key exists. */
+  /** Fails with Conflict if the key exists. */
   create<Body> (key: string, body: Body): Promise<Result<StoredObject<Body>, StoreError>>
-  /** Fails with Conflict when the stored version differs from `expectedVersion`. */
+  /** Fails with Conflict if the stored version differs from `expectedVersion`. */
   update<Body> (key: string, body: Body, expectedVersion: number): Promise<Result<StoredObject<Body>, StoreError>>
   remove (key: string, expectedVersion: number): Promise<Result<StoredObject<null>, StoreError>>
   /**
-   * Follows a prefix until torn down, through errors and reconnections. Events may repeat, skip or go back:
-   * the receiver keeps the highest version of each key. After a gap the watcher lists again by itself.
+   * Watches a prefix until torn down, through errors and reconnections. Events may be repeated, missing or out of order:
+   * the receiver keeps the highest version of each key. After a gap the watch lists the prefix again by itself.
    */
   watch<Body> (prefix: string, listener: (event: WatchEvent<Body>) => void): Teardown
 }
@@ -36,7 +36,7 @@
   readonly deleted: boolean
 }
 
-/** All objects under a prefix, and the store's version when it was read. */
+/** All objects under a prefix, and the store's version when they were read. */
 export interface ObjectListing<Body> {
   readonly objects: ReadonlyArray<StoredObject<Body>>
   readonly version: number
@@ -45,16 +45,16 @@
 export enum WatchEventKind {
   /** One object was written or deleted. */
   Object = 'object',
-  /** The complete state of the prefix; what is absent was deleted at or before `listing.version`. */
+  /** The complete state of the prefix; a key that is absent was deleted at or before `listing.version`. */
   Listing = 'listing',
   /** The watch lost contact with the store. */
   Disconnected = 'disconnected',
-  /** Contact again; a Listing follows. */
+  /** The watch is connected again; a Listing follows. */
   Connected = 'connected'
 }
 
 export type WatchEvent<Body> =
-  /** `hasMore`: another object of the same batch follows at once, so that who keeps a snapshot may commit once. */
+  /** `hasMore`: another object of the same batch follows immediately, so that a listener that keeps a snapshot can commit once for the batch. */
   | { readonly kind: WatchEventKind.Object, readonly object: StoredObject<Body>, readonly hasMore?: boolean }
   | { readonly kind: WatchEventKind.Listing, readonly listing: ObjectListing<Body> }
   | { readonly kind: WatchEventKind.Disconnected }
@@ -62,15 +62,15 @@
 
 export enum StoreErrorKind {
   NotFound = 'not-found',
-  /** The condition didn't hold: nothing was written. */
+  /** The condition of the write was not met. Nothing was written. */
   Conflict = 'conflict',
-  /** The store couldn't be reached, and nothing can have been written. */
+  /** The store was unreachable, and nothing can have been written. */
   Unavailable = 'unavailable',
-  /** The write may or may not have taken effect, and reading back did not settle it. */
+  /** The write may or may not have taken effect, and reading the object back did not determine which. */
   Unknown = 'unknown',
-  /** The store refused: too many calls. Nothing was written. */
+  /** The store refused the call because of its rate limit. Nothing was written. */
   RateLimited = 'rate-limited',
-  /** The request or the answer was malformed. Nothing was written. */
+  /** The request or the response was malformed. Nothing was written. */
   Invalid = 'invalid'
 }
 
--- a/packages/dotterelspur/src/process/Presence.ts
+++ b/packages/dotterelspur/src/process/Presence.ts
@@ -1,37 +1,37 @@
 import type { FabricDomainId, GroupId, ModelId, ModelVersion, AdapterId, VmId, ServiceId, FailureDomainId } from './ids.js'
 
-/** What an engine says it is doing. */
+/** The state that an engine reports. */
 export enum EngineState {
   Idle = 'idle',
   Loading = 'loading',
   Ready = 'ready',
-  /** Finishes what it has and takes nothing new. */
+  /** Finishes running requests and accepts no new ones. */
   Leaving = 'leaving',
   Failed = 'failed'
 }
 
-/** The load that an endpoint reports; always late. */
+/** The load that an endpoint reports; it is always out of date on arrival. */
 export interface LoadReport {
-  /** Requests that run now. */
+  /** Requests that are running. */
   readonly running: number
-  /** Requests that wait at the endpoint. */
+  /** Requests queued at the endpoint. */
   readonly waiting: number
-  /** Requests that it can run side by side without slowing below its target. */
+  /** Requests that it can run concurrently without falling below its target speed. */
   readonly capacity: number
   /** Share of its KV cache in use, 0 to 1. */
   readonly cacheUsed: number
-  /** How old the reading was when the endpoint sent it. */
+  /** Age of the measurement when the endpoint sent it. */
   readonly ageMs: number
 }
 
-/** Weights that an engine holds in memory, ready to be joined without a load. */
+/** Model weights that an engine holds in memory, so that a group can be formed without loading them. */
 export interface LoadedModel {
   readonly model: ModelId
   readonly version: ModelVersion
   readonly adapters: readonly AdapterId[]
 }
 
-/** A VM's own word, as returned by its presence probe. */
+/** The status that a VM returns to a presence probe. */
 export interface VmStatus {
   readonly vm: VmId
   readonly incarnation: number
@@ -41,38 +41,38 @@
   readonly model: ModelId | null
   readonly version: ModelVersion | null
   readonly adapters: readonly AdapterId[]
-  /** What its memory holds, whether it serves it or not; absent where the engine doesn't say. */
+  /** Models in memory, whether served or not; absent if the engine does not report them. */
   readonly loaded?: readonly LoadedModel[]
-  /** The highest fencing number that it has seen, 0 for none. */
+  /** The highest fencing number that it has received, 0 for none. */
   readonly fencing: number
   readonly load: LoadReport
 }
 
-/** A VM's status with the time, on the observer's monotonic clock, at which the observer asked. */
+/** A VM's status with the time, on the observer's monotonic clock, at which the observer sent the probe. */
 export interface VmEvidence {
   readonly status: VmStatus
   readonly askedAtMs: number
 }
 
 /**
- * What a watcher tells others of one group: whether every member was present, at that formation, and when.
- * `ageMs` is taken when the message is sent and counts from when the oldest of the member probes was *asked*;
- * a receiver that itself asked at `t` may hold the evidence only until `t - ageMs + evidence TTL` on its own clock.
+ * A watcher's report on one group: whether every member was present at that formation, and when. `ageMs` is computed
+ * when the message is sent, and counts from when the oldest member probe was *sent*; a receiver that requested the
+ * message at time `t` of its own clock may use the evidence only until `t - ageMs + evidence TTL`.
  */
 export interface GroupPresence {
   readonly group: GroupId
   readonly fabricDomain: FabricDomainId
   readonly failureDomain: FailureDomainId
   readonly formation: number
-  /** All members present, ready and at this formation, when the oldest probe was asked. */
+  /** All members were present, ready and at this formation when the oldest probe was sent. */
   readonly complete: boolean
-  /** At least one member said that it is leaving. */
+  /** At least one member reported that it is leaving. */
   readonly leaving: boolean
   readonly ageMs: number
   readonly load: LoadReport
 }
 
-/** The same for one worker of a plain service. */
+/** A watcher's report on one worker of a plain service. */
 export interface ServicePresence {
   readonly vm: VmId
   readonly incarnation: number
--- a/packages/dotterelspur/src/process/Procedure.ts
+++ b/packages/dotterelspur/src/process/Procedure.ts
@@ -4,7 +4,7 @@
  * network in a node and against a table in a test.
  */
 
-/** What a procedure asks its driver to do. `resultType` only carries the type of the answer. */
+/** An operation that a procedure requests from its driver. `resultType` only carries the type of the result. */
 export interface Effect<Kind extends string, Value> {
   readonly kind: Kind
   readonly resultType?: Value
@@ -22,14 +22,12 @@
   ResultOf<Extract<Effects, { kind: Kind }>> | Promise<ResultOf<Extract<Effects, { kind: Kind }>>>
 }
 
-/** Yields one effect and gives its answer the type that the effect declares. */
+/** Yields one effect and returns its result with the type that the effect declares. */
 export function * perform<One extends AnyEffect> (effect: One): Generator<One, ResultOf<One>, unknown> {
   return (yield effect) as ResultOf<One>
 }
 
-/**
- * Drives a procedure to its end. A handler that throws throws inside the procedure, at the effect.
- */
+/** Runs a procedure to completion. An error thrown by a handler is thrown inside the procedure, at the effect. */
 export async function runProcedure<Effects extends AnyEffect, Value> (
   procedure: Procedure<Effects, Value>,
   handlers: EffectHandlers<Effects>
--- a/packages/dotterelspur/src/process/Random.ts
+++ b/packages/dotterelspur/src/process/Random.ts
@@ -1,6 +1,6 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-/** A seeded source of randomness. Every decision that draws takes one as an argument, so that a run can be repeated. */
+/** A seeded random number generator. Functions that make random decisions take one as an argument, so that a run can be reproduced. */
 export interface Random {
   /** Uniform in [0, 1). */
   next (): number
@@ -10,7 +10,7 @@
 
 const UINT32_RANGE = 0x1_0000_0000
 
-/** Creates a source that gives the same sequence for the same seed. */
+/** Creates a generator that produces the same sequence for the same seed. */
 export function createRandom (seed: number): Random {
   const generator = xoroshiro128plus(seed)
   const next = (): number => (generator.next() >>> 0) / UINT32_RANGE
@@ -20,7 +20,7 @@
   }
 }
 
-/** One of `items`, uniformly; undefined when there are none. */
+/** Returns one of `items`, chosen uniformly; undefined if there are none. */
 export function pick<Item> (random: Random, items: readonly Item[]): Item | undefined {
   return items[random.integer(items.length)]
 }
--- a/packages/dotterelspur/src/process/Result.ts
+++ b/packages/dotterelspur/src/process/Result.ts
@@ -1,4 +1,4 @@
-/** A value or a typed error. Errors that a caller is expected to handle travel this way, not as exceptions. */
+/** A value or a typed error. Errors that the calling code is expected to handle are returned this way, not thrown. */
 export type Result<Value, Failure> = Success<Value> | Failed<Failure>
 
 export interface Success<Value> {
--- a/packages/dotterelspur/src/process/Teardown.ts
+++ b/packages/dotterelspur/src/process/Teardown.ts
@@ -1,7 +1,7 @@
-/** Undoes a registration. Calling it twice is harmless. */
+/** Undoes a registration. Idempotent. */
 export type Teardown = () => void
 
-/** Joins teardowns into one that runs them in reverse order, each once. */
+/** Combines teardowns into one that runs them in reverse order, each once. */
 export function mergeTeardowns (...teardowns: readonly Teardown[]): Teardown {
   let pending = [...teardowns]
   return () => {
--- a/packages/dotterelspur/src/process/VmRecord.ts
+++ b/packages/dotterelspur/src/process/VmRecord.ts
@@ -11,14 +11,14 @@
 
 export enum VmListState {
   Live = 'live',
-  /** The platform will take the VM away soon. */
+  /** The platform will remove the VM soon. */
   Leaving = 'leaving'
 }
 
-/** One line of the platform's list. The list lags: a VM on it may be dead, a live one may be missing or listed twice. */
+/** One entry of the platform's list. The list lags: a listed VM may be dead, a live one may be missing or listed twice. */
 export interface VmRecord {
   readonly vm: VmId
-  /** Rises each time the VM starts; what ran under a lower one is gone. */
+  /** Increases each time the VM starts; processes of a lower incarnation have terminated. */
   readonly incarnation: number
   readonly role: VmRole
   readonly state: VmListState
@@ -34,12 +34,12 @@
 
 /** The platform's lagging list of live and leaving VMs. */
 export interface VmDirectory {
-  /** One counted call. */
+  /** Makes one call that the platform counts. */
   list (): Promise<Result<VmListing, StoreError>>
 }
 
 export interface VmListing {
   readonly vms: readonly VmRecord[]
-  /** Rises with each change of the list; an answer with a lower one is from the past. */
+  /** Increases with each change of the list; a response with a lower version is outdated. */
   readonly version: number
 }
--- a/packages/dotterelspur/src/process/lease/LeaseChallenger.ts
+++ b/packages/dotterelspur/src/process/lease/LeaseChallenger.ts
@@ -2,22 +2,22 @@
 import type { NodeId } from '../ids.js'
 import type { LeaseTiming } from './LeaseTiming.js'
 
-/** What one node knows of a lease that it doesn't hold. */
+/** One node's latest observation of a lease that it does not hold. */
 export interface LeaseObservation {
-  /** Store version of the lease object, 0 while none was ever seen. */
+  /** Store version of the lease object, 0 if it was never read. */
   readonly version: number
   readonly lease: LeaseObject | null
-  /** On this node's monotonic clock: when this version, or its absence, was first seen here. */
+  /** When this node first observed this version, or the absence of the lease, on its monotonic clock. */
   readonly firstObservedAtMs: number | null
-  /** The highest fencing number seen anywhere: in the lease, in assignments, at endpoints. */
+  /** The highest fencing number observed anywhere: in the lease, in assignments, at endpoints. */
   readonly fencingFloor: number
 }
 
 export const NO_LEASE_OBSERVATION: LeaseObservation = { version: 0, lease: null, firstObservedAtMs: null, fencingFloor: 0 }
 
 /**
- * Takes in an observation of the lease object. An answer from the past (a lower version) changes nothing: if it
- * did, it would restart the count and delay every takeover for as long as the store answers from the past.
+ * Records a read of the lease object. Ignores outdated reads (a lower version): they would restart the TTL count and
+ * delay every takeover for as long as the store returns outdated versions.
  */
 export function observeLease (sighting: LeaseObservation, version: number, lease: LeaseObject, nowMs: number): LeaseObservation {
   if (version <= sighting.version) return sighting
@@ -25,16 +25,16 @@
 }
 
 /**
- * Takes in that the store knows no such lease. After a lease has been seen this is an answer from the past, or
- * the object was deleted from outside: then the last sighting stands until its TTL has passed, and the fencing
- * floor stays, so that a new lease never starts with a lower number.
+ * Records that the store has no lease object. If a lease was observed before, the read is outdated or the object was
+ * deleted by another system: the last observation then remains valid until its TTL has passed, and the fencing floor
+ * stays, so that a new lease never starts with a lower number.
  */
 export function observeAbsence (sighting: LeaseObservation, nowMs: number): LeaseObservation {
   if (sighting.firstObservedAtMs !== null) return sighting
   return { ...sighting, firstObservedAtMs: nowMs }
 }
 
-/** Raises the fencing floor, as when an assignment carries a number that the lease does not. */
+/** Raises the fencing floor, for instance if an assignment has a higher number than the lease. */
 export function raiseFencingFloor (sighting: LeaseObservation, fencing: number): LeaseObservation {
   return fencing <= sighting.fencingFloor ? sighting : { ...sighting, fencingFloor: fencing }
 }
@@ -46,22 +46,22 @@
 
 export type ChallengeDecision =
   | { readonly kind: ChallengeKind.Wait, readonly untilMs: number }
-  /** `expectedVersion` 0: create. */
+  /** `expectedVersion` 0 creates the lease object. */
   | { readonly kind: ChallengeKind.Take, readonly expectedVersion: number, readonly fencing: number }
 
 export interface Challenger {
   readonly node: NodeId
   readonly incarnation: number
-  /** Place in the rendezvous order of living candidates; 0 tries first. */
+  /** Index in the rendezvous order of living candidates; 0 tries first. */
   readonly rank: number
-  /** Whether a process of this name starts only when the one before it has ended: then a lease of its former life is open. */
+  /** Whether a process of this name starts only after the previous one has terminated: then it may take over a lease of its former incarnation at once. */
   readonly isSingleInstance?: boolean
 }
 
 /**
- * Decides whether to try for the lease now. A lease that is held is open to challenge only when the same
- * version has been seen here for its whole TTL on this node's own clock. The holder counts its TTL from before
- * it sent that version, so its count ends first whatever the clocks of the two say.
+ * Decides whether to try to take the lease now. A held lease may be taken over only after this node has observed the
+ * same version for its whole TTL on its own clock. The holder counts its TTL from before it sent that version, so its
+ * TTL ends first, however the two clocks differ.
  */
 export function decideChallenge (sighting: LeaseObservation, challenger: Challenger, timing: LeaseTiming, nowMs: number): ChallengeDecision {
   if (sighting.firstObservedAtMs === null) return { kind: ChallengeKind.Wait, untilMs: Infinity }
--- a/packages/dotterelspur/src/process/lease/LeaseHolder.ts
+++ b/packages/dotterelspur/src/process/lease/LeaseHolder.ts
@@ -2,14 +2,14 @@
 import type { FailureDomainId, NodeId } from '../ids.js'
 import type { LeaseTiming } from './LeaseTiming.js'
 
-/** A write of the lease that was sent and whose result is not known. */
+/** A write of the lease that was sent and whose result is unknown. */
 export interface PendingRenewal {
-  /** Its `renewal`: no other write of this process has it, so that it can be told from all others when read back. */
+  /** The `renewal` number of the write: unique among the writes of this process, so that the write can be identified when read back. */
   readonly renewal: number
   readonly sentAtMs: number
 }
 
-/** One holding of a lease, from a takeover until it is released or lost. */
+/** The period for which one process holds a lease, from taking it until it is released or lost. */
 export interface LeaseTerm {
   readonly failureDomain: FailureDomainId
   readonly holder: NodeId
@@ -18,24 +18,25 @@
   /** Store version of the last write known to have taken effect. */
   readonly version: number
   readonly renewal: number
-  /** When that write was sent, on this node's clock: the TTL counts from here. */
+  /** When that write was sent, on this node's clock; the TTL counts from here. */
   readonly sentAtMs: number
   readonly pending: readonly PendingRenewal[]
   /**
-   * Set by a pause of this process. While it is set nothing may be ordered: someone else may have taken the
-   * lease unnoticed. A renewal sent after the pause clears it, since its condition proves that nobody has.
+   * Set after a pause of this process. While it is set no orders may be sent, since another node may have taken the
+   * lease during the pause. A successful renewal sent after the pause clears it: its condition on the version proves that
+   * no other node has written the lease.
    */
   readonly suspendedAtMs: number | null
 }
 
 /** Why a term ended. */
 export enum LeaseLoss {
-  /** Someone else's write was found in the lease. */
+  /** The lease was found to contain another process's write. */
   Taken = 'taken',
-  /** The TTL ran out on the holder's own clock without a renewal that got through. */
+  /** The TTL expired on the holder's own clock without a successful renewal. */
   Expired = 'expired',
   Released = 'released',
-  /** An assignment carries a higher fencing number than the lease. */
+  /** An assignment has a higher fencing number than the lease. */
   FencingTooLow = 'fencing-too-low'
 }
 
@@ -45,17 +46,17 @@
   return { failureDomain, holder, holderIncarnation, fencing, version, renewal, sentAtMs, pending: [], suspendedAtMs: null }
 }
 
-/** The time on the holder's clock from which it may order nothing. */
+/** The time on the holder's clock from which it may send no orders. */
 export function orderDeadlineMs (term: LeaseTerm, timing: LeaseTiming): number {
   return term.sentAtMs + timing.ttlMs - timing.marginMs
 }
 
-/** Whether an order may be sent at this instant. Asked again right before each send. */
+/** Whether an order may be sent now. To be checked again immediately before each send. */
 export function mayOrder (term: LeaseTerm, timing: LeaseTiming, nowMs: number): boolean {
   return term.suspendedAtMs === null && nowMs < orderDeadlineMs(term, timing)
 }
 
-/** The holder's own TTL is over: it can't know any more that the lease is its own. */
+/** Whether the holder's own TTL has expired: another node may hold the lease from then on. */
 export function isExpired (term: LeaseTerm, timing: LeaseTiming, nowMs: number): boolean {
   return nowMs >= term.sentAtMs + timing.ttlMs
 }
@@ -65,25 +66,25 @@
   return term.sentAtMs + timing.renewMs
 }
 
-/** After a pause of the process the lease is presumed lost until a renewal proves otherwise. */
+/** Suspends a term after a pause of the process: the lease is presumed lost until a renewal proves otherwise. */
 export function suspendTerm (term: LeaseTerm, nowMs: number): LeaseTerm {
   return { ...term, suspendedAtMs: nowMs }
 }
 
-/** Notes a renewal before it is sent. */
+/** Records a renewal before it is sent. */
 export function addPendingRenewal (term: LeaseTerm, sent: PendingRenewal): LeaseTerm {
   return { ...term, pending: [...term.pending, sent] }
 }
 
-/** Forgets a renewal that certainly did not take effect. */
+/** Removes a renewal that certainly did not take effect. */
 export function removePendingRenewal (term: LeaseTerm, renewal: number): LeaseTerm {
   return { ...term, pending: term.pending.filter((sent) => sent.renewal !== renewal) }
 }
 
 /**
- * Takes in what the store holds now. A renewal of this term that took effect though its answer was lost is
- * recognised by its renewal number and counts from when it was sent. Someone else's write ends the term. An
- * answer from the past (a version at or below the known one) says nothing.
+ * Updates the term from the stored lease. A renewal of this term that took effect although its response was lost is
+ * recognized by its renewal number, and the TTL counts from when it was sent. Another process's write ends the term.
+ * An outdated read (a version at or below the known one) is ignored.
  */
 export function observeOwnLease (term: LeaseTerm, version: number, lease: LeaseObject): LeaseTerm | LeaseLoss {
   if (version <= term.version) return term
--- a/packages/dotterelspur/src/process/lease/LeaseProcedures.ts
+++ b/packages/dotterelspur/src/process/lease/LeaseProcedures.ts
@@ -15,9 +15,9 @@
 
 type StoredLease = Result<StoredObject<LeaseObject>, StoreError>
 
-/** The monotonic time. */
+/** Reads the monotonic clock. */
 export type NowEffect = Effect<LeaseEffectKind.Now, number>
-/** A renewal number that no other write of this process has. */
+/** Generates a renewal number that no other write of this process has. */
 export type RenewalEffect = Effect<LeaseEffectKind.Renewal, number>
 export interface ReadLeaseEffect extends Effect<LeaseEffectKind.Read, StoredLease> {
   readonly key: string
@@ -31,10 +31,10 @@
 export type LeaseEffect = NowEffect | RenewalEffect | ReadLeaseEffect | WriteLeaseEffect
 
 export enum LeaseResultKind {
-  /** The term stands, renewed or not. */
+  /** The term continues, renewed or not. */
   Held = 'held',
   Lost = 'lost',
-  /** Not taken; `observed` is what the store holds if that was learned. */
+  /** Not taken; `observed` is the stored lease if it was read back. */
   NotTaken = 'not-taken'
 }
 
@@ -51,7 +51,7 @@
   readonly incarnation: number
 }
 
-/** The lease object as its holder writes it. */
+/** Composes the lease object that the holder writes. */
 export function composeLease (
   { failureDomain, holder, holderIncarnation, fencing, renewal }: Pick<LeaseTerm, 'failureDomain' | 'holder' | 'holderIncarnation' | 'fencing' | 'renewal'>,
   { ttlMs }: LeaseTiming, released = false
@@ -60,8 +60,8 @@
 }
 
 /**
- * Tries once to take a lease. A write whose answer was lost is read back: if the store holds this write, told by its
- * renewal number, the term has begun, counted from when the write was sent.
+ * Tries once to take a lease. After a write whose response was lost, the lease is read back: if it contains this write,
+ * identified by its renewal number, the term has begun, and its TTL counts from when the write was sent.
  */
 export function * takeLease (
   failureDomain: FailureDomainId, self: LeaseIdentity, expectedVersion: number, fencing: number, timing: LeaseTiming
@@ -82,7 +82,7 @@
   return { kind: LeaseResultKind.NotTaken, observed: read.value, error: written.error }
 }
 
-/** Tries once to renew; reads back when the answer was lost or the condition failed. `released` gives the lease up. */
+/** Tries once to renew; reads the lease back if the response was lost or the condition failed. With `released`, releases the lease. */
 export function * renewLease (term: LeaseTerm, self: LeaseIdentity, timing: LeaseTiming, released = false): Procedure<LeaseEffect, RenewResult> {
   const key = leaseKey(term.failureDomain)
   const renewal = yield * perform<RenewalEffect>({ kind: LeaseEffectKind.Renewal })
@@ -106,7 +106,7 @@
   return { kind: LeaseResultKind.Held, term: observed, error: observed === term ? error : null }
 }
 
-/** A refused condition may be this term's own earlier write, whose answer was lost. */
+/** After a conflict too: it may be caused by this term's own earlier write, whose response was lost. */
 function needsReadBack (error: StoreError): boolean {
   return error.kind === StoreErrorKind.Unknown || error.kind === StoreErrorKind.Conflict
 }
--- a/packages/dotterelspur/src/process/lease/LeaseTiming.ts
+++ b/packages/dotterelspur/src/process/lease/LeaseTiming.ts
@@ -1,15 +1,15 @@
 import { DEFAULT_LEASE_MARGIN_MS, DEFAULT_LEASE_RENEW_MS, DEFAULT_LEASE_TTL_MS } from '../TimingDefaults.js'
 
-/** The times of one lease. All are counted on the monotonic clock of whoever reads them. */
+/** Intervals and timeouts of one lease. Each process measures them on its own monotonic clock. */
 export interface LeaseTiming {
-  /** Time to live, counted by the holder from when it sent a renewal and by others from when they first saw it. */
+  /** Time to live, counted by the holder from when it sent a renewal and by others from when they first observed it. */
   readonly ttlMs: number
   readonly renewMs: number
-  /** The holder stops ordering this long before its own TTL ends; at least the longest time an order is under way. */
+  /** The holder stops sending orders this long before its own TTL ends; at least the longest time that an order is in flight. */
   readonly marginMs: number
-  /** Each lower rank waits this much longer before it tries, so that challengers seldom meet. */
+  /** Each further rank waits this much longer before it tries, so that challengers rarely conflict. */
   readonly staggerMs: number
-  /** Pause between two attempts at a renewal that did not get through. */
+  /** Time between two attempts after a failed renewal. */
   readonly retryMs: number
 }
 
--- a/packages/dotterelspur/src/process/lease/leaseCandidates.ts
+++ b/packages/dotterelspur/src/process/lease/leaseCandidates.ts
@@ -1,7 +1,7 @@
 import type { FailureDomainId, NodeId, RegionId } from '../ids.js'
 import { rendezvousOrder } from '../rendezvous.js'
 
-/** What ranking needs to know of a node. */
+/** The properties of a node that determine its rank. */
 export interface LeaseCandidate {
   readonly node: NodeId
   readonly region: RegionId
@@ -9,8 +9,8 @@
 }
 
 /**
- * Orders the living nodes for a failure domain's lease: those inside it first, then those of its region, then
- * the rest, each part by rendezvous hash. Nodes that see the same members agree without talking.
+ * Orders the living nodes for a failure domain's lease: those inside it first, then those of its region, then the rest,
+ * each part by rendezvous hashing. Nodes with the same members compute the same order without communication.
  */
 export function rankCandidates (failureDomain: FailureDomainId, region: RegionId | null, candidates: readonly LeaseCandidate[]): NodeId[] {
   const parts: NodeId[][] = [[], [], []]
--- a/packages/dotterelspur/src/process/rendezvous.ts
+++ b/packages/dotterelspur/src/process/rendezvous.ts
@@ -6,8 +6,8 @@
 }
 
 /**
- * Orders `members` by highest random weight for `key`: every node that knows the same members computes the
- * same order without talking, and losing one member moves only the keys that it held.
+ * Orders `members` by highest random weight for `key` (rendezvous hashing): every node with the same members computes
+ * the same order without communication, and removing one member moves only the keys assigned to it.
  */
 export function rendezvousOrder<Member extends string> (key: string, members: readonly Member[]): Member[] {
   return members
