--- a/packages/dotterelspur/src/__tests__/unit/Lease.test.ts
+++ b/packages/dotterelspur/src/__tests__/unit/Lease.test.ts
@@ -14,7 +14,7 @@
   }
 }
 
-function makeSighting (fields: Partial<LeaseObject> = {}, version = 10, atMs = 1_000): LeaseObservation {
+function makeObservation (fields: Partial<LeaseObject> = {}, version = 10, atMs = 1_000): LeaseObservation {
   return observeLease(NO_LEASE_OBSERVATION, version, makeLease(fields), atMs)
 }
 
@@ -65,31 +65,31 @@
 
 describe('LeaseChallenger', () => {
   const cases = [
-    { title: 'waits a whole TTL on its own clock for a held lease', sighting: makeSighting(), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
-    { title: 'waits longer at a lower rank', sighting: makeSighting(), rank: 2, openAtMs: 1_000 + TIMING.ttlMs + 2 * TIMING.staggerMs },
-    { title: 'takes a released lease at once', sighting: makeSighting({ released: true }), rank: 0, openAtMs: 1_000 },
-    { title: 'takes a lease that never existed at once', sighting: observeAbsence(NO_LEASE_OBSERVATION, 1_000), rank: 0, openAtMs: 1_000 },
-    { title: 'takes a lease again at once that the same process wrote', sighting: makeSighting({ holder: 'node-a', holderIncarnation: 1 }), rank: 0, openAtMs: 1_000 },
-    { title: 'waits a whole TTL for a lease of its own earlier incarnation', sighting: makeSighting({ holder: 'node-a', holderIncarnation: 0 }), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
-    { title: 'honours a longer TTL of the holder', sighting: makeSighting({ ttlMs: 20_000 }), rank: 0, openAtMs: 21_000 }
+    { title: 'waits a whole TTL on its own clock for a held lease', observation: makeObservation(), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
+    { title: 'waits longer at a lower rank', observation: makeObservation(), rank: 2, openAtMs: 1_000 + TIMING.ttlMs + 2 * TIMING.staggerMs },
+    { title: 'takes a released lease at once', observation: makeObservation({ released: true }), rank: 0, openAtMs: 1_000 },
+    { title: 'takes a lease that never existed at once', observation: observeAbsence(NO_LEASE_OBSERVATION, 1_000), rank: 0, openAtMs: 1_000 },
+    { title: 'takes a lease again at once that the same process wrote', observation: makeObservation({ holder: 'node-a', holderIncarnation: 1 }), rank: 0, openAtMs: 1_000 },
+    { title: 'waits a whole TTL for a lease of its own earlier incarnation', observation: makeObservation({ holder: 'node-a', holderIncarnation: 0 }), rank: 0, openAtMs: 1_000 + TIMING.ttlMs },
+    { title: 'honours a longer TTL of the holder', observation: makeObservation({ ttlMs: 20_000 }), rank: 0, openAtMs: 21_000 }
   ]
-  for (const { title, sighting, rank, openAtMs } of cases) {
+  for (const { title, observation, rank, openAtMs } of cases) {
     it(title, () => {
-      const decide = (nowMs: number) => decideChallenge(sighting, { ...SELF, rank }, TIMING, nowMs)
+      const decide = (nowMs: number) => decideChallenge(observation, { ...SELF, rank }, TIMING, nowMs)
       expect(decide(openAtMs - 1)).to.deep.equal({ kind: ChallengeKind.Wait, untilMs: openAtMs })
-      expect(decide(openAtMs)).to.deep.equal({ kind: ChallengeKind.Take, expectedVersion: sighting.version, fencing: sighting.fencingFloor + 1 })
+      expect(decide(openAtMs)).to.deep.equal({ kind: ChallengeKind.Take, expectedVersion: observation.version, fencing: observation.fencingFloor + 1 })
     })
   }
 
   it('ignores outdated reads and the absence of a lease that was observed before', () => {
-    const sighting = makeSighting()
-    expect(observeLease(sighting, 9, makeLease({ fencing: 3 }), 2_000)).to.equal(sighting)
-    expect(observeLease(sighting, 10, makeLease(), 2_000)).to.equal(sighting)
-    expect(observeAbsence(sighting, 2_000)).to.equal(sighting)
+    const observation = makeObservation()
+    expect(observeLease(observation, 9, makeLease({ fencing: 3 }), 2_000)).to.equal(observation)
+    expect(observeLease(observation, 10, makeLease(), 2_000)).to.equal(observation)
+    expect(observeAbsence(observation, 2_000)).to.equal(observation)
   })
 
   it('restarts the TTL count at each renewal, and uses a higher fencing number than any observed', () => {
-    const renewed = observeLease(makeSighting(), 11, makeLease({ renewal: 1 }), 3_000)
+    const renewed = observeLease(makeObservation(), 11, makeLease({ renewal: 1 }), 3_000)
     expect(renewed.firstObservedAtMs).to.equal(3_000)
     const decision = decideChallenge(raiseFencingFloor(renewed, 40), { ...SELF, rank: 0 }, TIMING, 3_000 + TIMING.ttlMs)
     expect(decision).to.include({ fencing: 41 })
@@ -112,7 +112,7 @@
       const sentAtMs = random.integer(10_000)
       const seenAtMs = sentAtMs + random.integer(30_000)
       const term = beginTerm(makeLease(), 10, sentAtMs)
-      const decision = decideChallenge(makeSighting({}, 10, seenAtMs), { ...SELF, rank: 0 }, TIMING, 0)
+      const decision = decideChallenge(makeObservation({}, 10, seenAtMs), { ...SELF, rank: 0 }, TIMING, 0)
       const openAtMs = decision.kind === ChallengeKind.Wait ? decision.untilMs : 0
       expect(mayOrder(term, TIMING, openAtMs - TIMING.marginMs)).to.equal(false)
     }
--- a/packages/dotterelspur/src/connection/mesh/EvidenceExchange.ts
+++ b/packages/dotterelspur/src/connection/mesh/EvidenceExchange.ts
@@ -36,8 +36,8 @@
     this.pushDegraded(this.table.replaceOwn(watcher, updates, nowMs), plan, digests, nowMs)
   }
 
-  receive (link: GossipLink, beat: HeartbeatFrame, plan: OverlayPlan, digests: Digests, nowMs: number): void {
-    const { updates, storeContactMs } = readHeartbeat(link, beat, nowMs)
+  receive (link: GossipLink, heartbeat: HeartbeatFrame, plan: OverlayPlan, digests: Digests, nowMs: number): void {
+    const { updates, storeContactMs } = readHeartbeat(link, heartbeat, nowMs)
     this.noteStoreContact(storeContactMs)
     this.pushDegraded(this.table.merge(updates, nowMs), plan, digests, nowMs)
   }
--- a/packages/dotterelspur/src/connection/mesh/MeshMachine.ts
+++ b/packages/dotterelspur/src/connection/mesh/MeshMachine.ts
@@ -227,11 +227,11 @@
     this.outbox.close(link.id, reason)
   }
 
-  private onHeartbeat (link: GossipLink, beat: HeartbeatFrame, nowMs: number): void {
-    this.evidence.receive(link, beat, this.memberDissemination.plan, this.digests(), nowMs)
-    this.antiEntropy.note(link, beat.membersDigest, beat.documentsDigest, nowMs)
+  private onHeartbeat (link: GossipLink, heartbeat: HeartbeatFrame, nowMs: number): void {
+    this.evidence.receive(link, heartbeat, this.memberDissemination.plan, this.digests(), nowMs)
+    this.antiEntropy.note(link, heartbeat.membersDigest, heartbeat.documentsDigest, nowMs)
     // The peer can send no evidence until its first heartbeat is echoed, so the echo doesn't wait for the interval.
-    if (beat.sequence === 1) this.evidence.sendHeartbeat(link, this.memberDissemination.plan, this.digests(), nowMs)
+    if (heartbeat.sequence === 1) this.evidence.sendHeartbeat(link, this.memberDissemination.plan, this.digests(), nowMs)
   }
 
   private digests (): Digests {
--- a/packages/dotterelspur/src/process/Procedure.ts
+++ b/packages/dotterelspur/src/process/Procedure.ts
@@ -36,14 +36,14 @@
   let step = procedure.next()
   while (step.done !== true) {
     const effect = step.value
-    let answer: unknown
+    let result: unknown
     try {
-      answer = await table[effect.kind]!(effect)
+      result = await table[effect.kind]!(effect)
     } catch (error) {
       step = procedure.throw(error)
       continue
     }
-    step = procedure.next(answer)
+    step = procedure.next(result)
   }
   return step.value
 }
--- a/packages/dotterelspur/src/process/lease/LeaseChallenger.ts
+++ b/packages/dotterelspur/src/process/lease/LeaseChallenger.ts
@@ -19,9 +19,9 @@
  * Records a read of the lease object. Ignores outdated reads (a lower version): they would restart the TTL count and
  * delay every takeover for as long as the store returns outdated versions.
  */
-export function observeLease (sighting: LeaseObservation, version: number, lease: LeaseObject, nowMs: number): LeaseObservation {
-  if (version <= sighting.version) return sighting
-  return { version, lease, firstObservedAtMs: nowMs, fencingFloor: Math.max(sighting.fencingFloor, lease.fencing) }
+export function observeLease (observation: LeaseObservation, version: number, lease: LeaseObject, nowMs: number): LeaseObservation {
+  if (version <= observation.version) return observation
+  return { version, lease, firstObservedAtMs: nowMs, fencingFloor: Math.max(observation.fencingFloor, lease.fencing) }
 }
 
 /**
@@ -29,14 +29,14 @@
  * deleted by another system: the last observation then remains valid until its TTL has passed, and the fencing floor
  * stays, so that a new lease never starts with a lower number.
  */
-export function observeAbsence (sighting: LeaseObservation, nowMs: number): LeaseObservation {
-  if (sighting.firstObservedAtMs !== null) return sighting
-  return { ...sighting, firstObservedAtMs: nowMs }
+export function observeAbsence (observation: LeaseObservation, nowMs: number): LeaseObservation {
+  if (observation.firstObservedAtMs !== null) return observation
+  return { ...observation, firstObservedAtMs: nowMs }
 }
 
 /** Raises the fencing floor, for instance if an assignment has a higher number than the lease. */
-export function raiseFencingFloor (sighting: LeaseObservation, fencing: number): LeaseObservation {
-  return fencing <= sighting.fencingFloor ? sighting : { ...sighting, fencingFloor: fencing }
+export function raiseFencingFloor (observation: LeaseObservation, fencing: number): LeaseObservation {
+  return fencing <= observation.fencingFloor ? observation : { ...observation, fencingFloor: fencing }
 }
 
 export enum ChallengeKind {
@@ -63,11 +63,11 @@
  * same version for its whole TTL on its own clock. The holder counts its TTL from before it sent that version, so its
  * TTL ends first, however the two clocks differ.
  */
-export function decideChallenge (sighting: LeaseObservation, challenger: Challenger, timing: LeaseTiming, nowMs: number): ChallengeDecision {
-  if (sighting.firstObservedAtMs === null) return { kind: ChallengeKind.Wait, untilMs: Infinity }
-  const openAtMs = sighting.firstObservedAtMs + openingDelayMs(sighting.lease, challenger, timing) + challenger.rank * timing.staggerMs
+export function decideChallenge (observation: LeaseObservation, challenger: Challenger, timing: LeaseTiming, nowMs: number): ChallengeDecision {
+  if (observation.firstObservedAtMs === null) return { kind: ChallengeKind.Wait, untilMs: Infinity }
+  const openAtMs = observation.firstObservedAtMs + openingDelayMs(observation.lease, challenger, timing) + challenger.rank * timing.staggerMs
   if (nowMs < openAtMs) return { kind: ChallengeKind.Wait, untilMs: openAtMs }
-  return { kind: ChallengeKind.Take, expectedVersion: sighting.version, fencing: sighting.fencingFloor + 1 }
+  return { kind: ChallengeKind.Take, expectedVersion: observation.version, fencing: observation.fencingFloor + 1 }
 }
 
 function openingDelayMs (lease: LeaseObject | null, challenger: Challenger, timing: LeaseTiming): number {
