--- a/packages/dotterelspur/src/connection/mesh/DocumentSpread.ts
+++ b/packages/dotterelspur/src/connection/mesh/DocumentDissemination.ts
@@ -4,24 +4,24 @@
 import type { LinkId, Outbox } from './MeshEffect.js'
 import type { MeshLimits, MeshTiming } from './MeshTiming.js'
 
-interface Wanted {
+interface PendingFetch {
   readonly version: number
-  readonly askedOf: LinkId
-  readonly askedAtMs: number
-  /** Links whose peers also hold it, to ask next. */
+  readonly requestedFrom: LinkId
+  readonly requestedAtMs: number
+  /** Other links whose peers hold the document; used for retries. */
   readonly others: ReadonlySet<LinkId>
 }
 
 /**
- * Spreads documents: a change is announced by key and version on every link at once, and its body is fetched
- * once, from the first peer that announced it. What an announcement misses, the comparison of digests finds.
+ * Disseminates documents: a change is announced by key and version on every link immediately, and a node fetches the
+ * body once, from the first peer that announced it. Missed announcements are found by comparing digests.
  */
-export class DocumentSpread {
-  private readonly wanted = new Map<string, Wanted>()
+export class DocumentDissemination {
+  private readonly wanted = new Map<string, PendingFetch>()
 
   constructor (private readonly table: DocumentTable, private readonly outbox: Outbox, private readonly timing: MeshTiming, private readonly limits: MeshLimits) {}
 
-  /** Takes documents in and announces the new ones on all links but the one they came from. */
+  /** Merges documents into the table and announces those that were newer on all links except `from`. */
   take (documents: readonly MeshDocument[], links: Iterable<LinkId>, from: LinkId | undefined): MeshDocument[] {
     const taken = this.table.merge(documents)
     for (const document of documents) {
@@ -40,8 +40,8 @@
     for (const page of pages(versions, this.limits.entriesPerFrame)) this.outbox.send(link, { kind: FrameKind.Announce, versions: page })
   }
 
-  /** A peer holds these: asks for what is newer, unless another peer was asked a moment ago. */
-  learn (link: LinkId, versions: readonly DocumentVersion[], nowMs: number): void {
+  /** Requests from a peer those of its versions that are newer, unless another peer was already asked for them. */
+  fetchNewer (link: LinkId, versions: readonly DocumentVersion[], nowMs: number): void {
     const keys: string[] = []
     for (const { key, version } of versions) {
       if (version <= this.table.versionOf(key)) continue
@@ -51,17 +51,17 @@
         continue
       }
       if (wanted === undefined && this.wanted.size >= this.limits.documents) continue
-      this.wanted.set(key, { version, askedOf: link, askedAtMs: nowMs, others: new Set() })
+      this.wanted.set(key, { version, requestedFrom: link, requestedAtMs: nowMs, others: new Set() })
       keys.push(key)
     }
-    this.ask(link, keys)
+    this.request(link, keys)
   }
 
-  /** Asks again, of another peer, what did not come in time. */
+  /** Requests documents whose fetch timed out from another peer. */
   retry (links: ReadonlySet<LinkId>, nowMs: number): void {
     const keysByLink = new Map<LinkId, string[]>()
     for (const [key, wanted] of this.wanted) {
-      const waiting = links.has(wanted.askedOf) && nowMs - wanted.askedAtMs < this.timing.wantTimeoutMs
+      const waiting = links.has(wanted.requestedFrom) && nowMs - wanted.requestedAtMs < this.timing.documentFetchTimeoutMs
       if (waiting) continue
       const next = [...wanted.others].find((link) => links.has(link))
       if (next === undefined) {
@@ -70,13 +70,13 @@
       }
       const others = new Set(wanted.others)
       others.delete(next)
-      this.wanted.set(key, { version: wanted.version, askedOf: next, askedAtMs: nowMs, others })
+      this.wanted.set(key, { version: wanted.version, requestedFrom: next, requestedAtMs: nowMs, others })
       keysByLink.set(next, [...keysByLink.get(next) ?? [], key])
     }
-    for (const [link, keys] of keysByLink) this.ask(link, keys)
+    for (const [link, keys] of keysByLink) this.request(link, keys)
   }
 
-  /** Answers a peer that wants documents, one frame each, since a body may be large. */
+  /** Sends the requested documents to a peer, one frame each, since a body may be large. */
   answer (link: LinkId, keys: readonly string[]): void {
     for (const key of keys) {
       const document = this.table.get(key)
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Asks a peer whose digest differs for its versions in the buckets that differ. */
+  /** Asks a peer whose digest differs for its versions in the differing buckets. */
   compare (link: LinkId): void {
     this.outbox.send(link, { kind: FrameKind.DocumentsSync, buckets: this.table.buckets })
   }
@@ -94,12 +94,12 @@
     for (const page of pages(versions, this.limits.entriesPerFrame)) this.outbox.send(link, { kind: FrameKind.DocumentVersions, versions: page })
   }
 
-  private ask (link: LinkId, keys: readonly string[]): void {
+  private request (link: LinkId, keys: readonly string[]): void {
     for (const page of pages(keys, this.limits.entriesPerFrame)) this.outbox.send(link, { kind: FrameKind.Want, keys: page })
   }
 }
 
-/** Cuts a list into pages of at most `size`. */
+/** Splits a list into pages of at most `size` items. */
 export function pages<Item> (items: readonly Item[], size: number): Item[][] {
   const result: Item[][] = []
   for (let start = 0; start < items.length; start += size) result.push(items.slice(start, start + size))
