--- a/packages/dotterelspur-fleet/src/process/LeaseController.ts
+++ b/packages/dotterelspur-fleet/src/process/LeaseController.ts
@@ -19,7 +19,7 @@
 
 /** Manages one failure domain's lease on one node: observes it, takes it, renews it and releases it. */
 export class LeaseController {
-  private sighting: LeaseObservation = NO_LEASE_OBSERVATION
+  private leaseObservation: LeaseObservation = NO_LEASE_OBSERVATION
   private held: LeaseTerm | null = null
   private runningStep: Promise<void> | null = null
   private lastReadAtMs = -Infinity
@@ -50,7 +50,7 @@
   /** Takes in a copy of the lease that arrived through the mesh. */
   observeDocument (document: MeshDocument): void {
     if (!document.key.startsWith(LEASE_PREFIX) || document.deleted) return
-    this.sighting = observeLease(this.sighting, document.version, document.body as LeaseObject, this.options.clock.nowMs())
+    this.leaseObservation = observeLease(this.leaseObservation, document.version, document.body as LeaseObject, this.options.clock.nowMs())
   }
 
   /** Suspends the term after a pause of this process: no orders are sent until a renewal succeeds. */
@@ -60,7 +60,7 @@
 
   /** Takes in a fencing number from an assignment or an endpoint. A number above this term's ends the term, since another node has held the lease after it. */
   observeFencing (fencing: number): void {
-    this.sighting = raiseFencingFloor(this.sighting, fencing)
+    this.leaseObservation = raiseFencingFloor(this.leaseObservation, fencing)
     if (this.held !== null && fencing > this.held.fencing) this.endTerm(LeaseLoss.FencingTooLow)
   }
 
@@ -123,23 +123,23 @@
     const nowMs = this.options.clock.nowMs()
     if (nowMs < this.nextAttemptAtMs) return
     const { node, incarnation } = this.options.mesh.self
-    const decision = decideChallenge(this.sighting, { node, incarnation, rank }, this.timing.lease, nowMs)
+    const decision = decideChallenge(this.leaseObservation, { node, incarnation, rank }, this.timing.lease, nowMs)
     if (decision.kind === ChallengeKind.Wait) return await this.readIfDue(nowMs)
     const take = takeLease(this.failureDomain, { node, incarnation }, decision.expectedVersion, decision.fencing, this.timing.lease)
     const result = await runProcedure(take, this.handlers())
     if (result.kind === LeaseResultKind.Held) return this.startTerm(result.term)
     if (result.observed !== null) this.observe(result.observed)
-    if (result.error.kind === StoreErrorKind.Conflict && result.error.currentVersion === null) this.sighting = { ...this.sighting, version: 0, firstObservedAtMs: nowMs }
+    if (result.error.kind === StoreErrorKind.Conflict && result.error.currentVersion === null) this.leaseObservation = { ...this.leaseObservation, version: 0, firstObservedAtMs: nowMs }
     this.backOff()
   }
 
   private async readIfDue (nowMs: number): Promise<void> {
-    const lastObservedAtMs = Math.max(this.lastReadAtMs, this.sighting.firstObservedAtMs ?? -Infinity)
+    const lastObservedAtMs = Math.max(this.lastReadAtMs, this.leaseObservation.firstObservedAtMs ?? -Infinity)
     if (nowMs - lastObservedAtMs < this.timing.leaseReadIntervalMs) return
     this.lastReadAtMs = nowMs
     const read = await this.store.get<LeaseObject>(leaseKey(this.failureDomain))
     if (read.ok) this.observe(read.value)
-    else if (read.error.kind === StoreErrorKind.NotFound) this.sighting = observeAbsence(this.sighting, this.options.clock.nowMs())
+    else if (read.error.kind === StoreErrorKind.NotFound) this.leaseObservation = observeAbsence(this.leaseObservation, this.options.clock.nowMs())
     if (read.ok || read.error.kind === StoreErrorKind.NotFound) this.options.mesh.noteStoreContact()
   }
 
@@ -160,8 +160,8 @@
     const term = this.held
     this.held = null
     if (term === null) return
-    this.sighting = raiseFencingFloor(this.sighting, term.fencing)
-    if (this.sighting.version < term.version) this.sighting = { ...this.sighting, version: term.version, lease: this.ownLease(term), firstObservedAtMs: this.options.clock.nowMs() }
+    this.leaseObservation = raiseFencingFloor(this.leaseObservation, term.fencing)
+    if (this.leaseObservation.version < term.version) this.leaseObservation = { ...this.leaseObservation, version: term.version, lease: this.ownLease(term), firstObservedAtMs: this.options.clock.nowMs() }
     this.listener.lost(this.failureDomain, loss)
   }
 
@@ -175,7 +175,7 @@
 
   private observe (stored: StoredObject<LeaseObject>): void {
     if (stored.deleted) return
-    this.sighting = observeLease(this.sighting, stored.version, stored.body, this.options.clock.nowMs())
+    this.leaseObservation = observeLease(this.leaseObservation, stored.version, stored.body, this.options.clock.nowMs())
   }
 
   /** Broadcasts a takeover or a release through the mesh, so that other nodes learn of it at once. Renewals aren't broadcast: only the candidates read them. */
--- a/packages/dotterelspur-poison/src/request/fingerprint.ts
+++ b/packages/dotterelspur-poison/src/request/fingerprint.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto'
 import type { RequestContent, RequestFingerprint } from 'dotterelspur'
 
-/** 128 bits: nobody can construct another content with the same fingerprint. */
+/** 128 bits, so that it is infeasible to construct another request with the same fingerprint. */
 const FINGERPRINT_BYTES = 16
 
 /**
--- a/packages/dotterelspur/src/request/dispatch/Placement.ts
+++ b/packages/dotterelspur/src/request/dispatch/Placement.ts
@@ -233,7 +233,7 @@
 
 /**
  * Callers retry once the first endpoint may be tried again, with the usual jitter, even where that is later than they
- * will wait: nobody can serve them earlier.
+ * will wait: no endpoint accepts their request earlier.
  */
 function refuseForBackpressure (targets: readonly DispatchTarget[], query: PlacementQuery, input: PlacementInput): PlacementRefusal {
   const { backpressure, random, nowMs } = input
